--- a/scripts/platform-processes.sh
+++ b/scripts/platform-processes.sh
@@ -25,7 +25,7 @@
 	echo "$run/$1.conf"
 }
 
-# start_gateway N: the gateway of seed N
+# start_gateway N: the gateway of seed N, from the directory $programs
 start_gateway() {
 	conf=$(platform_settings "gateway-$1" <<-END
 		node-name=gateway-$1
@@ -34,18 +34,20 @@
 		listen.control=$(control "$1")
 	END
 	)
-	COMFREYPOST_CONFIG=$conf start "gateway-$1" target/comfrey-gateway \
+	COMFREYPOST_CONFIG=$conf start "gateway-$1" \
+		"${programs:-target}/comfrey-gateway" \
 		--metrics-port "$((ports + 130 + $1))"
 }
 
-# start_agent N PORT: the agent of the rank at PORT
+# start_agent N PORT: the agent of the rank at PORT, from $programs
 start_agent() {
 	conf=$(platform_settings "agent-$1" <<-END
 		node-name=agent-$1
 		app=127.0.0.1:$2
 	END
 	)
-	COMFREYPOST_CONFIG=$conf start "agent-$1" target/comfrey-rank-agent
+	COMFREYPOST_CONFIG=$conf start "agent-$1" \
+		"${programs:-target}/comfrey-rank-agent"
 }
 
 # await_ready N: until gateway N says that it is ready, 10 s at most
