--- a/gateway/hold-lease.c
+++ b/gateway/hold-lease.c
@@ -11,22 +11,22 @@
 void
 cf_hold_lease_renew (CfHoldLease *l, gint64 fence, gboolean held, gint64 now)
 {
-  if (fence < l->fence && now - l->heard_ms < FORGET_MS)
+  if (fence < l->fence && now - l->renewed_ms < FORGET_MS)
     return;
   l->fence = fence;
   l->held = held;
-  l->heard_ms = now;
+  l->renewed_ms = now;
 }
 
 gboolean
 cf_hold_lease_is_open (const CfHoldLease *l, gint64 now)
 {
-  return l->held && now - l->heard_ms < FORGET_MS;
+  return l->held && now - l->renewed_ms < FORGET_MS;
 }
 
 gboolean
 cf_hold_lease_has_expired (const CfHoldLease *l, int place, gint64 now)
 {
   return cf_hold_lease_is_open (l, now)
-         && now - l->heard_ms > LEASE_MS + (gint64)place * TURN_MS;
+         && now - l->renewed_ms > LEASE_MS + (gint64)place * TURN_MS;
 }
--- a/gateway/hold-lease.h
+++ b/gateway/hold-lease.h
@@ -11,9 +11,9 @@
  */
 typedef struct
 {
-  gint64 fence;    /**< the highest token of a leader that was heard */
-  gboolean held;   /**< that leader holds a pass */
-  gint64 heard_ms; /**< when it said so last */
+  gint64 fence;      /**< the highest token of a leader that was heard */
+  gboolean held;     /**< that leader holds a pass */
+  gint64 renewed_ms; /**< when it said so last */
 } CfHoldLease;
 
 /** How often a leader renews its lease while it holds a pass. */
--- a/gateway/map-coordinator-plan.c
+++ b/gateway/map-coordinator-plan.c
@@ -21,11 +21,12 @@
 {
   if (CF_WITHOUT_MAP_CHANGES || now < c->idle_until_ms)
     return FALSE;
-  if (!cf_map_all_seen_since (c, 0) || !cf_expert_demand_known (&c->demand))
+  if (!cf_map_has_all_reports_since (c, 0)
+      || !cf_expert_demand_known (&c->demand))
     return FALSE;
-  if (cf_map_is_known (c))
+  if (cf_map_is_in_use_known (c))
     return TRUE;
-  cf_map_ask_lists (c, now);
+  cf_map_request_lists (c, now);
   return FALSE;
 }
 
@@ -37,8 +38,8 @@
   g_clear_pointer (&c->next, cf_group_map_free);
   for (int r = 0; r < c->shape.ranks; r++)
     c->pace[r] = MAX (c->ranks[r].status.pace, 1);
-  limits.min_gain = cf_map_gain_asked (limits.min_gain, c->pass_ms,
-                                       c->pass_aim_ms, c->demand.n_windows);
+  limits.min_gain = cf_map_required_gain (limits.min_gain, c->pass_ms,
+                                          c->pass_aim_ms, c->demand.n_windows);
   c->plan = cf_map_plan_new (c->in_use, c->demand.tokens, c->pace, &limits);
 }
 
@@ -48,23 +49,23 @@
   double before = cf_map_plan_skew_before (c->plan);
   double after = cf_map_plan_skew_after (c->plan);
 
-  c->next = cf_map_plan_end (g_steal_pointer (&c->plan));
+  c->next = cf_map_plan_finish (g_steal_pointer (&c->plan));
   c->idle_until_ms = now + PLAN_PAUSE_MS;
   if (!c->next)
     return;
-  c->last_copies = cf_group_map_added (c->in_use, c->next);
+  c->n_copies = cf_group_map_added (c->in_use, c->next);
   c->skew_before = before;
   c->skew_after = after;
-  c->version = cf_map_new_version (c, FALSE);
-  cf_map_enter (c, CF_MAP_PREPARING, "worth-it", now);
+  c->version = cf_map_allocate_version (c, FALSE);
+  cf_map_enter_state (c, CF_MAP_PREPARING, "worth-it", now);
 }
 
 void
-cf_map_plan_next (CfMapCoordinator *c, gint64 now)
+cf_map_run_idle (CfMapCoordinator *c, gint64 now)
 {
-  if (cf_map_any_held (c) || cf_map_any_armed (c))
+  if (cf_map_has_held_pass (c) || cf_map_has_armed_rank (c))
     {
-      cf_map_enter (c, CF_MAP_SETTLING, "someone-else-acts", now);
+      cf_map_enter_state (c, CF_MAP_SETTLING, "someone-else-acts", now);
       return;
     }
   if (!may_plan (c, now))
@@ -80,7 +81,7 @@
 }
 
 void
-cf_map_prepare (CfMapCoordinator *c, gint64 now)
+cf_map_run_preparing (CfMapCoordinator *c, gint64 now)
 {
   gboolean ready = TRUE;
   int orders = 0;
@@ -94,23 +95,23 @@
         continue;
       ready = FALSE;
       o.map = c->next;
-      if (!cf_map_may_ask (v, now, CF_MAP_PREPARE_AGAIN_MS))
+      if (!cf_map_may_send (v, now, CF_MAP_PREPARE_RETRY_MS))
         continue;
       cf_map_send_order (c, r, &o, now);
       orders++;
     }
-  c->has_more = orders == ORDERS_A_TICK;
+  c->has_unsent_orders = orders == ORDERS_A_TICK;
   if (ready)
     {
-      c->lead = cf_map_coordinator_passes_ahead (c);
+      c->passes_ahead = cf_map_coordinator_choose_passes_ahead (c);
       c->step = 0;
       c->holder = (int)(c->version % c->shape.ranks);
-      c->hold_ms = now;
-      cf_map_enter (c, CF_MAP_HOLDING, "all-prepared", now);
+      c->hold_start_ms = now;
+      cf_map_enter_state (c, CF_MAP_HOLDING, "all-prepared", now);
     }
   else if (now - c->state_ms > PREPARE_MAX_MS)
     {
       c->idle_until_ms = now + CF_MAP_ABORT_PAUSE_MS;
-      cf_map_enter (c, CF_MAP_IDLE, "copies-too-slow", now);
+      cf_map_enter_state (c, CF_MAP_IDLE, "copies-too-slow", now);
     }
 }
--- a/gateway/map-coordinator-reports.c
+++ b/gateway/map-coordinator-reports.c
@@ -8,12 +8,12 @@
 new_epoch (CfMapCoordinator *c, gint64 epoch, gint64 now)
 {
   c->epoch = epoch;
-  c->pass_step = 0;
+  c->newest_pass = 0;
   for (int r = 0; r < c->shape.ranks; r++)
-    c->ranks[r].lists_map = -1;
+    c->ranks[r].lists_version = -1;
   cf_expert_demand_reset (&c->demand);
   g_clear_pointer (&c->next, cf_group_map_free);
-  cf_map_enter (c, CF_MAP_SETTLING, "new-epoch", now);
+  cf_map_enter_state (c, CF_MAP_SETTLING, "new-epoch", now);
 }
 
 /* How long passes take, from the newest that ranks report. */
@@ -22,11 +22,11 @@
 {
   gint64 ms;
 
-  if (step <= c->pass_step)
+  if (step <= c->newest_pass)
     return;
-  ms = (now - c->pass_at_ms) / (step - c->pass_step);
-  c->pass_step = step;
-  c->pass_at_ms = now;
+  ms = (now - c->newest_pass_ms) / (step - c->newest_pass);
+  c->newest_pass = step;
+  c->newest_pass_ms = now;
   if (ms > PASS_MOST_MS)
     c->pass_ms = 0;
   else
@@ -39,7 +39,7 @@
 {
   c->fence = 0;
   c->fenced_ms = now;
-  cf_map_enter (c, CF_MAP_SETTLING, "fenced", now);
+  cf_map_enter_state (c, CF_MAP_SETTLING, "fenced", now);
 }
 
 /* Whether @s is of a start of the rank before the one known. */
@@ -58,9 +58,9 @@
 {
   CfRankView *v = &c->ranks[rank];
 
-  v->lists_map = -1;
+  v->lists_version = -1;
   if (c->state != CF_MAP_SETTLING)
-    cf_map_enter (c, CF_MAP_SETTLING, "rank-restarted", now);
+    cf_map_enter_state (c, CF_MAP_SETTLING, "rank-restarted", now);
 }
 
 static void
@@ -85,19 +85,20 @@
   v->token = token;
   v->seen_ms = as_of;
   if (!s->open && c->state != CF_MAP_SETTLING)
-    cf_map_enter (c, CF_MAP_SETTLING, "group-broken", now);
+    cf_map_enter_state (c, CF_MAP_SETTLING, "group-broken", now);
 }
 
 void
-cf_map_coordinator_status (CfMapCoordinator *c, const CfRankStatus *s,
-                           gint64 token, gint64 now)
+cf_map_coordinator_take_status (CfMapCoordinator *c, const CfRankStatus *s,
+                                gint64 token, gint64 now)
 {
   take_status (c, s, token, now, now);
 }
 
 void
-cf_map_coordinator_status_as_of (CfMapCoordinator *c, const CfRankStatus *s,
-                                 gint64 token, gint64 as_of, gint64 now)
+cf_map_coordinator_take_status_as_of (CfMapCoordinator *c,
+                                      const CfRankStatus *s, gint64 token,
+                                      gint64 as_of, gint64 now)
 {
   gboolean is_ours = s->rank >= 0 && s->rank < c->shape.ranks;
 
@@ -106,17 +107,18 @@
 }
 
 void
-cf_map_coordinator_held (CfMapCoordinator *c, int rank, gint64 epoch,
-                         gint64 step)
+cf_map_coordinator_take_held (CfMapCoordinator *c, int rank, gint64 epoch,
+                              gint64 step)
 {
   if (rank >= 0 && rank < c->shape.ranks && epoch == c->epoch)
     c->ranks[rank].status.held = step;
 }
 
 void
-cf_map_coordinator_drawn (CfMapCoordinator *c, const gint64 *drawn, guint n)
+cf_map_coordinator_add_demand (CfMapCoordinator *c, const gint64 *drawn,
+                               guint n)
 {
-  if (n == cf_map_n_experts (c))
+  if (n == cf_map_count_experts (c))
     cf_expert_demand_add (&c->demand, drawn);
 }
 
@@ -147,14 +149,14 @@
 }
 
 void
-cf_map_coordinator_lists (CfMapCoordinator *c, int rank, gint64 epoch,
-                          gint64 version, const gint64 *experts, guint n)
+cf_map_coordinator_take_lists (CfMapCoordinator *c, int rank, gint64 epoch,
+                               gint64 version, const gint64 *experts, guint n)
 {
   if (rank < 0 || rank >= c->shape.ranks || epoch != c->epoch)
     return;
-  c->ranks[rank].asked_ms = 0;
+  c->ranks[rank].pending_since_ms = 0;
   if (take_rows (c, rank, experts, n))
-    c->ranks[rank].lists_map = version;
+    c->ranks[rank].lists_version = version;
 }
 
 static void
@@ -164,14 +166,14 @@
     {
     case CF_MAP_PREPARING:
       c->idle_until_ms = now + CF_MAP_ABORT_PAUSE_MS;
-      cf_map_enter (c, CF_MAP_SETTLING, "prepare-refused", now);
+      cf_map_enter_state (c, CF_MAP_SETTLING, "prepare-refused", now);
       break;
     case CF_MAP_HOLDING:
       if (rank != c->holder || c->ranks[rank].status.held == c->step)
         break;
       /* The pass has begun: one further ahead. */
       c->step = 0;
-      c->lead = MIN (c->lead * 2, CF_MAP_LEAD_LAST);
+      c->passes_ahead = MIN (c->passes_ahead * 2, CF_MAP_MAX_PASSES_AHEAD);
       break;
     default:
       break;
@@ -179,8 +181,8 @@
 }
 
 void
-cf_map_coordinator_ack (CfMapCoordinator *c, int rank, CfRankAck ack,
-                        gint64 now)
+cf_map_coordinator_take_ack (CfMapCoordinator *c, int rank, CfRankAck ack,
+                             gint64 now)
 {
   if (rank < 0 || rank >= c->shape.ranks || c->fence == 0)
     return;
@@ -190,7 +192,7 @@
       break;
     case CF_RANK_ACK_UNKNOWN:
       /* Given again at once: it may be carried out late, or never. */
-      c->ranks[rank].asked_ms = 0;
+      c->ranks[rank].pending_since_ms = 0;
       break;
     case CF_RANK_ACK_REFUSED:
       refused (c, rank, now);
--- a/gateway/map-coordinator-settle.c
+++ b/gateway/map-coordinator-settle.c
@@ -50,51 +50,51 @@
 }
 
 void
-cf_map_settle (CfMapCoordinator *c, gint64 now)
+cf_map_run_settling (CfMapCoordinator *c, gint64 now)
 {
   gboolean held;
   int holder = 0;
   gint64 step;
 
-  if (!cf_map_all_seen_since (c, c->state_ms) || !guards_all (c))
+  if (!cf_map_has_all_reports_since (c, c->state_ms) || !guards_all (c))
     return;
-  held = cf_map_any_held (c);
+  held = cf_map_has_held_pass (c);
   step = only_hold (c, &holder);
-  if (!held && !cf_map_any_armed (c))
+  if (!held && !cf_map_has_armed_rank (c))
     {
-      cf_map_enter (c, CF_MAP_IDLE, "nothing-pending", now);
+      cf_map_enter_state (c, CF_MAP_IDLE, "nothing-pending", now);
       return;
     }
   g_clear_pointer (&c->next, cf_group_map_free);
   c->version = common_version (c);
   if (c->version && !held)
-    cf_map_enter (c, CF_MAP_SWITCHING, "all-armed", now);
+    cf_map_enter_state (c, CF_MAP_SWITCHING, "all-armed", now);
   /* Under a void version the leader before may be about to end the hold. */
-  else if (c->version && step && !cf_map_version_is_void (c->version))
+  else if (c->version && step && !cf_map_version_is_barrier (c->version))
     {
       c->step = step;
       c->holder = holder;
-      c->hold_ms = now;
-      cf_map_enter (c, CF_MAP_ARMING, "earlier-leader-held", now);
+      c->hold_start_ms = now;
+      cf_map_enter_state (c, CF_MAP_ARMING, "earlier-leader-held", now);
     }
   else if (held)
-    cf_map_enter (c, CF_MAP_BURNING, "versions-differ", now);
+    cf_map_enter_state (c, CF_MAP_INVALIDATING, "versions-differ", now);
 }
 
 void
-cf_map_burn (CfMapCoordinator *c, gint64 now)
+cf_map_run_invalidating (CfMapCoordinator *c, gint64 now)
 {
   gboolean clear = TRUE;
 
-  if (!cf_map_is_known (c))
+  if (!cf_map_is_in_use_known (c))
     {
-      cf_map_ask_lists (c, now);
+      cf_map_request_lists (c, now);
       return;
     }
   if (c->next == NULL)
     {
       c->next = cf_group_map_copy (c->in_use);
-      c->version = cf_map_new_version (c, TRUE);
+      c->version = cf_map_allocate_version (c, TRUE);
     }
   for (int r = 0; r < c->shape.ranks; r++)
     {
@@ -104,7 +104,7 @@
       if (!v->status.armed && v->status.prepared == c->version)
         continue;
       clear = FALSE;
-      if (!cf_map_may_ask (v, now, CF_MAP_ORDER_AGAIN_MS))
+      if (!cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
         continue;
       o.map = c->next;
       if (v->status.armed)
@@ -119,9 +119,9 @@
       CfRankView *v = &c->ranks[r];
       CfRankOrder o = { .kind = CF_ORDER_GO, .step = v->status.held };
 
-      if (v->status.held && cf_map_may_ask (v, now, CF_MAP_ORDER_AGAIN_MS))
+      if (v->status.held && cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
         cf_map_send_order (c, r, &o, now);
     }
-  if (clear && !cf_map_any_held (c))
-    cf_map_enter (c, CF_MAP_IDLE, "burnt", now);
+  if (clear && !cf_map_has_held_pass (c))
+    cf_map_enter_state (c, CF_MAP_IDLE, "burnt", now);
 }
--- a/gateway/map-coordinator-switch.c
+++ b/gateway/map-coordinator-switch.c
@@ -17,15 +17,15 @@
 }
 
 int
-cf_map_coordinator_passes_ahead (const CfMapCoordinator *c)
+cf_map_coordinator_choose_passes_ahead (const CfMapCoordinator *c)
 {
   gint64 passes = c->pass_ms ? c->arming_ms / c->pass_ms : 0;
 
-  return (int)MIN (passes + 1, CF_MAP_LEAD_LAST);
+  return (int)MIN (passes + 1, CF_MAP_MAX_PASSES_AHEAD);
 }
 
 gboolean
-cf_map_coordinator_holds_pass (const CfMapCoordinator *c)
+cf_map_coordinator_is_holding_pass (const CfMapCoordinator *c)
 {
   if (c->fence == 0)
     return FALSE;
@@ -34,10 +34,10 @@
     case CF_MAP_HOLDING:
     case CF_MAP_ARMING:
     case CF_MAP_RELEASING:
-    case CF_MAP_BURNING:
+    case CF_MAP_INVALIDATING:
       return TRUE;
     case CF_MAP_SETTLING:
-      return cf_map_any_held (c);
+      return cf_map_has_held_pass (c);
     case CF_MAP_IDLE:
     case CF_MAP_PREPARING:
     case CF_MAP_SWITCHING:
@@ -47,28 +47,28 @@
 }
 
 void
-cf_map_hold (CfMapCoordinator *c, gint64 now)
+cf_map_run_holding (CfMapCoordinator *c, gint64 now)
 {
   CfRankView *v = &c->ranks[c->holder];
   CfRankOrder o = { .kind = CF_ORDER_HOLD };
 
   if (c->step && v->status.held == c->step)
     {
-      cf_map_enter (c, CF_MAP_ARMING, "held", now);
+      cf_map_enter_state (c, CF_MAP_ARMING, "held", now);
       return;
     }
   if (v->status.held || now - c->state_ms > STEP_MAX_MS)
     {
-      cf_map_enter (c, CF_MAP_SETTLING, "hold-not-confirmed", now);
+      cf_map_enter_state (c, CF_MAP_SETTLING, "hold-not-confirmed", now);
       return;
     }
   if (c->step == 0)
     {
-      c->step = newest_step (c) + c->lead;
-      v->asked_ms = 0;
+      c->step = newest_step (c) + c->passes_ahead;
+      v->pending_since_ms = 0;
     }
   o.step = c->step;
-  if (cf_map_may_ask (v, now, CF_MAP_ORDER_AGAIN_MS))
+  if (cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
     cf_map_send_order (c, c->holder, &o, now);
 }
 
@@ -80,7 +80,7 @@
 }
 
 void
-cf_map_arm (CfMapCoordinator *c, gint64 now)
+cf_map_run_arming (CfMapCoordinator *c, gint64 now)
 {
   gboolean ready = TRUE;
 
@@ -93,28 +93,28 @@
         continue;
       ready = FALSE;
       o.step = c->step;
-      if (cf_map_may_ask (v, now, CF_MAP_ORDER_AGAIN_MS))
+      if (cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
         cf_map_send_order (c, r, &o, now);
     }
   if (ready)
     {
-      learn_arming (c, now - c->hold_ms);
-      cf_map_enter (c, CF_MAP_RELEASING, "all-armed", now);
+      learn_arming (c, now - c->hold_start_ms);
+      cf_map_enter_state (c, CF_MAP_RELEASING, "all-armed", now);
     }
   else if (now - c->state_ms > STEP_MAX_MS)
-    cf_map_enter (c, CF_MAP_SETTLING, "arming-too-slow", now);
+    cf_map_enter_state (c, CF_MAP_SETTLING, "arming-too-slow", now);
 }
 
 void
-cf_map_release (CfMapCoordinator *c, gint64 now)
+cf_map_run_releasing (CfMapCoordinator *c, gint64 now)
 {
   CfRankView *v = &c->ranks[c->holder];
   CfRankOrder o = { .kind = CF_ORDER_GO, .step = c->step };
 
   /* What an agent read before the hold may come in after it was confirmed. */
-  if (v->status.held != c->step && v->asked_ms != 0)
-    cf_map_enter (c, CF_MAP_SWITCHING, "released", now);
-  else if (cf_map_may_ask (v, now, CF_MAP_ORDER_AGAIN_MS))
+  if (v->status.held != c->step && v->pending_since_ms != 0)
+    cf_map_enter_state (c, CF_MAP_SWITCHING, "released", now);
+  else if (cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
     cf_map_send_order (c, c->holder, &o, now);
 }
 
@@ -131,7 +131,7 @@
 adopt_next (CfMapCoordinator *c)
 {
   for (int r = 0; c->next && r < c->shape.ranks; r++)
-    c->ranks[r].lists_map = c->version;
+    c->ranks[r].lists_version = c->version;
   if (!c->next)
     return;
   cf_group_map_free (c->in_use);
@@ -139,22 +139,22 @@
 }
 
 void
-cf_map_await_switch (CfMapCoordinator *c, gint64 now)
+cf_map_run_switching (CfMapCoordinator *c, gint64 now)
 {
   if (all_on_version (c))
     {
       adopt_next (c);
       c->n_changes++;
       c->idle_until_ms = now;
-      cf_map_enter (c, CF_MAP_IDLE, "changed", now);
+      cf_map_enter_state (c, CF_MAP_IDLE, "changed", now);
       return;
     }
   if (c->step && c->ranks[c->holder].status.held == c->step)
     {
-      cf_map_enter (c, CF_MAP_RELEASING, "still-held", now);
+      cf_map_enter_state (c, CF_MAP_RELEASING, "still-held", now);
       return;
     }
-  if (cf_map_any_held (c) || !cf_map_any_armed (c))
-    if (cf_map_all_seen_since (c, c->state_ms))
-      cf_map_enter (c, CF_MAP_SETTLING, "not-as-armed", now);
+  if (cf_map_has_held_pass (c) || !cf_map_has_armed_rank (c))
+    if (cf_map_has_all_reports_since (c, c->state_ms))
+      cf_map_enter_state (c, CF_MAP_SETTLING, "not-as-armed", now);
 }
--- a/gateway/map-coordinator-view.c
+++ b/gateway/map-coordinator-view.c
@@ -8,36 +8,37 @@
 #define VOID_BITS 1
 
 gsize
-cf_map_n_experts (const CfMapCoordinator *c)
+cf_map_count_experts (const CfMapCoordinator *c)
 {
   return (gsize)c->shape.sets * c->shape.experts;
 }
 
 void
-cf_map_enter (CfMapCoordinator *c, CfMapState s, const char *why, gint64 now)
+cf_map_enter_state (CfMapCoordinator *c, CfMapState s, const char *why,
+                    gint64 now)
 {
   CfMapState from = c->state;
 
   c->state = s;
   c->state_ms = now;
   g_clear_pointer (&c->plan, cf_map_plan_free);
-  c->has_more = FALSE;
+  c->has_unsent_orders = FALSE;
   for (int r = 0; r < c->shape.ranks; r++)
-    c->ranks[r].asked_ms = 0;
-  c->calls->moved (c->data, from, s, why);
+    c->ranks[r].pending_since_ms = 0;
+  c->callbacks->state_changed (c->data, from, s, why);
 }
 
 gint64
-cf_map_new_version (CfMapCoordinator *c, gboolean is_void)
+cf_map_allocate_version (CfMapCoordinator *c, gboolean is_barrier)
 {
   gint64 salt = c->salt & SALT_MASK;
   gint64 n = ((c->fence << SALT_BITS | salt) << VERSION_BITS) + ++c->n_versions;
 
-  return n << VOID_BITS | (is_void ? 1 : 0);
+  return n << VOID_BITS | (is_barrier ? 1 : 0);
 }
 
 gboolean
-cf_map_version_is_void (gint64 version)
+cf_map_version_is_barrier (gint64 version)
 {
   return (version & 1) != 0;
 }
@@ -49,7 +50,7 @@
 }
 
 gboolean
-cf_map_all_seen_since (const CfMapCoordinator *c, gint64 since)
+cf_map_has_all_reports_since (const CfMapCoordinator *c, gint64 since)
 {
   for (int r = 0; r < c->shape.ranks; r++)
     {
@@ -62,7 +63,7 @@
 }
 
 gboolean
-cf_map_any_armed (const CfMapCoordinator *c)
+cf_map_has_armed_rank (const CfMapCoordinator *c)
 {
   for (int r = 0; r < c->shape.ranks; r++)
     if (c->ranks[r].status.armed)
@@ -71,7 +72,7 @@
 }
 
 gboolean
-cf_map_any_held (const CfMapCoordinator *c)
+cf_map_has_held_pass (const CfMapCoordinator *c)
 {
   for (int r = 0; r < c->shape.ranks; r++)
     if (c->ranks[r].status.held)
@@ -80,18 +81,18 @@
 }
 
 gboolean
-cf_map_is_known (const CfMapCoordinator *c)
+cf_map_is_in_use_known (const CfMapCoordinator *c)
 {
   for (int r = 0; r < c->shape.ranks; r++)
-    if (c->ranks[r].lists_map != c->ranks[r].status.map)
+    if (c->ranks[r].lists_version != c->ranks[r].status.map)
       return FALSE;
   return cf_group_map_whole (c->in_use);
 }
 
 gboolean
-cf_map_may_ask (const CfRankView *v, gint64 now, gint64 again_ms)
+cf_map_may_send (const CfRankView *v, gint64 now, gint64 again_ms)
 {
-  return v->asked_ms == 0 || now - v->asked_ms >= again_ms;
+  return v->pending_since_ms == 0 || now - v->pending_since_ms >= again_ms;
 }
 
 void
@@ -99,21 +100,21 @@
 {
   o->epoch = c->epoch;
   o->fence = c->fence;
-  c->ranks[rank].asked_ms = now;
-  c->calls->order (c->data, rank, o);
+  c->ranks[rank].pending_since_ms = now;
+  c->callbacks->send_order (c->data, rank, o);
 }
 
 void
-cf_map_ask_lists (CfMapCoordinator *c, gint64 now)
+cf_map_request_lists (CfMapCoordinator *c, gint64 now)
 {
   for (int r = 0; r < c->shape.ranks; r++)
     {
       CfRankView *v = &c->ranks[r];
 
-      if (v->lists_map == v->status.map
-          || !cf_map_may_ask (v, now, CF_MAP_PREPARE_AGAIN_MS))
+      if (v->lists_version == v->status.map
+          || !cf_map_may_send (v, now, CF_MAP_PREPARE_RETRY_MS))
         continue;
-      v->asked_ms = now;
-      c->calls->want_lists (c->data, r);
+      v->pending_since_ms = now;
+      c->callbacks->request_lists (c->data, r);
     }
 }
--- a/gateway/map-coordinator.c
+++ b/gateway/map-coordinator.c
@@ -31,7 +31,7 @@
       return "releasing";
     case CF_MAP_SWITCHING:
       return "switching";
-    case CF_MAP_BURNING:
+    case CF_MAP_INVALIDATING:
       return "burning";
     }
   return "unknown";
@@ -40,17 +40,17 @@
 void
 cf_map_coordinator_init (CfMapCoordinator *c, const CfGroupShape *shape,
                          const CfPlanLimits *limits,
-                         const CfMapCoordinatorCalls *calls, void *data)
+                         const CfMapCoordinatorCallbacks *callbacks, void *data)
 {
   memset (c, 0, sizeof *c);
   c->shape = *shape;
   c->limits = *limits;
-  c->calls = calls;
+  c->callbacks = callbacks;
   c->data = data;
   c->ranks = g_new0 (CfRankView, shape->ranks);
   for (int r = 0; r < shape->ranks; r++)
-    c->ranks[r].lists_map = -1;
-  cf_expert_demand_init (&c->demand, shape->ranks, cf_map_n_experts (c));
+    c->ranks[r].lists_version = -1;
+  cf_expert_demand_init (&c->demand, shape->ranks, cf_map_count_experts (c));
   c->pace = g_new0 (double, shape->ranks);
   c->in_use = cf_group_map_new (shape);
   c->arming_ms = ARMING_FIRST_MS;
@@ -68,20 +68,20 @@
 }
 
 gboolean
-cf_map_coordinator_has_more (const CfMapCoordinator *c)
+cf_map_coordinator_has_pending_work (const CfMapCoordinator *c)
 {
-  return c->plan != NULL || c->has_more;
+  return c->plan != NULL || c->has_unsent_orders;
 }
 
 void
-cf_map_coordinator_lead (CfMapCoordinator *c, gint64 fence, guint salt,
-                         gint64 now)
+cf_map_coordinator_start_leading (CfMapCoordinator *c, gint64 fence, guint salt,
+                                  gint64 now)
 {
   c->fence = fence;
   c->salt = salt;
   c->n_versions = 0;
   c->last_tick_ms = now;
-  cf_map_enter (c, CF_MAP_SETTLING, "took-the-lead", now);
+  cf_map_enter_state (c, CF_MAP_SETTLING, "took-the-lead", now);
 }
 
 void
@@ -94,32 +94,32 @@
   if (c->fence == 0)
     return;
   if (stood_still && c->state != CF_MAP_SETTLING)
-    cf_map_enter (c, CF_MAP_SETTLING, "stood-still", now);
+    cf_map_enter_state (c, CF_MAP_SETTLING, "stood-still", now);
   switch (c->state)
     {
     case CF_MAP_SETTLING:
-      cf_map_settle (c, now);
+      cf_map_run_settling (c, now);
       break;
     case CF_MAP_IDLE:
-      cf_map_plan_next (c, now);
+      cf_map_run_idle (c, now);
       break;
     case CF_MAP_PREPARING:
-      cf_map_prepare (c, now);
+      cf_map_run_preparing (c, now);
       break;
     case CF_MAP_HOLDING:
-      cf_map_hold (c, now);
+      cf_map_run_holding (c, now);
       break;
     case CF_MAP_ARMING:
-      cf_map_arm (c, now);
+      cf_map_run_arming (c, now);
       break;
     case CF_MAP_RELEASING:
-      cf_map_release (c, now);
+      cf_map_run_releasing (c, now);
       break;
     case CF_MAP_SWITCHING:
-      cf_map_await_switch (c, now);
+      cf_map_run_switching (c, now);
       break;
-    case CF_MAP_BURNING:
-      cf_map_burn (c, now);
+    case CF_MAP_INVALIDATING:
+      cf_map_run_invalidating (c, now);
       break;
     }
 }
--- a/gateway/map-coordinator.h
+++ b/gateway/map-coordinator.h
@@ -27,14 +27,14 @@
 /** CfMapState: what the coordinator is doing. */
 typedef enum
 {
-  CF_MAP_SETTLING,  /**< learns what an earlier leader left */
-  CF_MAP_IDLE,      /**< nothing is pending; a plan may be made */
-  CF_MAP_PREPARING, /**< the ranks copy experts */
-  CF_MAP_HOLDING,   /**< a pass is being held */
-  CF_MAP_ARMING,    /**< the ranks are told to switch at that pass */
-  CF_MAP_RELEASING, /**< the hold is being ended */
-  CF_MAP_SWITCHING, /**< the pass has not been begun everywhere yet */
-  CF_MAP_BURNING,   /**< orders that may still come are made void */
+  CF_MAP_SETTLING,     /**< learns what an earlier leader left */
+  CF_MAP_IDLE,         /**< nothing is pending; a plan may be made */
+  CF_MAP_PREPARING,    /**< the ranks copy experts */
+  CF_MAP_HOLDING,      /**< a pass is being held */
+  CF_MAP_ARMING,       /**< the ranks are told to switch at that pass */
+  CF_MAP_RELEASING,    /**< the hold is being ended */
+  CF_MAP_SWITCHING,    /**< the pass has not been begun everywhere yet */
+  CF_MAP_INVALIDATING, /**< orders that may still come are made void */
 } CfMapState;
 
 const char *cf_map_state_name (CfMapState s);
@@ -43,26 +43,27 @@
 typedef struct
 {
   CfRankStatus status;
-  gint64 token;     /**< that guards it, as of @status */
-  gint64 seen_ms;   /**< when @status came in; 0 if never */
-  gint64 asked_ms;  /**< when the last order was sent; 0: none is open */
-  gint64 lists_map; /**< version that its row of @in_use is of; -1: none */
+  gint64 token;            /**< that guards it, as of @status */
+  gint64 seen_ms;          /**< when @status came in; 0 if never */
+  gint64 pending_since_ms; /**< when the last order was sent; 0: none is open */
+  gint64 lists_version; /**< version that its row of @in_use is of; -1: none */
 } CfRankView;
 
-/** CfMapCoordinatorCalls: how orders get out. */
+/** CfMapCoordinatorCallbacks: how orders get out. */
 typedef struct
 {
-  void (*order) (void *data, int rank, const CfRankOrder *o);
+  void (*send_order) (void *data, int rank, const CfRankOrder *o);
   /** Asks which experts a rank holds. */
-  void (*want_lists) (void *data, int rank);
+  void (*request_lists) (void *data, int rank);
   /** A state was left; for the log. */
-  void (*moved) (void *data, CfMapState from, CfMapState to, const char *why);
-} CfMapCoordinatorCalls;
+  void (*state_changed) (void *data, CfMapState from, CfMapState to,
+                         const char *why);
+} CfMapCoordinatorCallbacks;
 
 /** CfMapCoordinator: the changes of one group's maps. */
 typedef struct
 {
-  const CfMapCoordinatorCalls *calls;
+  const CfMapCoordinatorCallbacks *callbacks;
   void *data;
   CfGroupShape shape;
   CfPlanLimits limits;
@@ -78,92 +79,96 @@
   double *pace; /**< by rank, as the last plan took it */
   CfGroupMap *in_use;
   CfGroupMap *next;
-  CfMapPlan *plan;    /**< (nullable): being made, of @in_use */
-  gboolean has_more;  /**< orders that the last tick did not send */
-  gint64 version;     /**< of @next */
-  guint n_versions;   /**< used by this leader */
-  guint salt;         /**< differs from one life of a leader to the next */
-  gint64 step;        /**< the pass held */
-  int holder;         /**< the rank that holds it */
-  int lead;           /**< passes between the newest known and @step */
-  gint64 hold_ms;     /**< when that pass was first to be held */
+  CfMapPlan *plan;            /**< (nullable): being made, of @in_use */
+  gboolean has_unsent_orders; /**< orders that the last tick did not send */
+  gint64 version;             /**< of @next */
+  guint n_versions;           /**< used by this leader */
+  guint salt;           /**< differs from one life of a leader to the next */
+  gint64 step;          /**< the pass held */
+  int holder;           /**< the rank that holds it */
+  int passes_ahead;     /**< passes between the newest known and @step */
+  gint64 hold_start_ms; /**< when that pass was first to be held */
   gint64 arming_ms;   /**< how long it takes to hold a pass and arm all ranks */
   gint64 pass_ms;     /**< how long a pass takes lately; 0: not known */
   gint64 pass_aim_ms; /**< callers are served late if it takes longer; 0: any
                            length will do */
-  gint64 pass_step;   /**< the newest pass known... */
-  gint64 pass_at_ms;  /**< ...and since when */
+  gint64 newest_pass; /**< the newest pass known... */
+  gint64 newest_pass_ms; /**< ...and since when */
   guint64 n_changes;
-  int last_copies;    /**< experts that the last change copied */
+  int n_copies;       /**< experts that the last change copied */
   double skew_before; /**< as planned */
   double skew_after;
 } CfMapCoordinator;
 
 void cf_map_coordinator_init (CfMapCoordinator *c, const CfGroupShape *shape,
                               const CfPlanLimits *limits,
-                              const CfMapCoordinatorCalls *calls, void *data);
+                              const CfMapCoordinatorCallbacks *callbacks,
+                              void *data);
 void cf_map_coordinator_clear (CfMapCoordinator *c);
 
 /** cf_map_version_fence: the token of the leader that made @version. */
 gint64 cf_map_version_fence (gint64 version);
 
 /**
- * cf_map_coordinator_lead:
+ * cf_map_coordinator_start_leading:
  * Takes the lead with @fence, which has to be higher than any seen.
  * @salt: random, so that a leader that forgot its past uses other versions
  */
-void cf_map_coordinator_lead (CfMapCoordinator *c, gint64 fence, guint salt,
-                              gint64 now_ms);
+void cf_map_coordinator_start_leading (CfMapCoordinator *c, gint64 fence,
+                                       guint salt, gint64 now_ms);
 
 /**
- * cf_map_coordinator_status:
+ * cf_map_coordinator_take_status:
  * @token: the highest fencing token that guards the rank: no order with a
  *   lower one reaches it any more
  *
  * A rank's status came in.  One of an earlier epoch, or of an earlier
  * incarnation of its target, is dropped.
  */
-void cf_map_coordinator_status (CfMapCoordinator *c, const CfRankStatus *s,
-                                gint64 token, gint64 now_ms);
+void cf_map_coordinator_take_status (CfMapCoordinator *c, const CfRankStatus *s,
+                                     gint64 token, gint64 now_ms);
 
 /**
- * cf_map_coordinator_status_as_of:
+ * cf_map_coordinator_take_status_as_of:
  * The same for a status that is as of @as_of_ms, as a rank's report is that
  * another VM asks for; dropped if a newer one is known.
  */
-void cf_map_coordinator_status_as_of (CfMapCoordinator *c,
-                                      const CfRankStatus *s, gint64 token,
-                                      gint64 as_of_ms, gint64 now_ms);
+void cf_map_coordinator_take_status_as_of (CfMapCoordinator *c,
+                                           const CfRankStatus *s, gint64 token,
+                                           gint64 as_of_ms, gint64 now_ms);
 
-/** cf_map_coordinator_held: the rank itself has confirmed that it holds pass
+/** cf_map_coordinator_take_held: the rank itself has confirmed that it holds
+ * pass
  * @step, or none if that is 0. */
-void cf_map_coordinator_held (CfMapCoordinator *c, int rank, gint64 epoch,
-                              gint64 step);
+void cf_map_coordinator_take_held (CfMapCoordinator *c, int rank, gint64 epoch,
+                                   gint64 step);
 
-/** cf_map_coordinator_drawn: what a rank drew of each expert since it last
+/** cf_map_coordinator_add_demand: what a rank drew of each expert since it last
  * said so, sets x experts numbers. */
-void cf_map_coordinator_drawn (CfMapCoordinator *c, const gint64 *drawn,
-                               guint n);
+void cf_map_coordinator_add_demand (CfMapCoordinator *c, const gint64 *drawn,
+                                    guint n);
 
-/** cf_map_coordinator_lists: the experts it holds, sets ended by -1. */
-void cf_map_coordinator_lists (CfMapCoordinator *c, int rank, gint64 epoch,
-                               gint64 version, const gint64 *experts, guint n);
+/** cf_map_coordinator_take_lists: the experts it holds, sets ended by -1. */
+void cf_map_coordinator_take_lists (CfMapCoordinator *c, int rank, gint64 epoch,
+                                    gint64 version, const gint64 *experts,
+                                    guint n);
 
-/** cf_map_coordinator_ack: what is known of the order last sent to @rank. */
-void cf_map_coordinator_ack (CfMapCoordinator *c, int rank, CfRankAck ack,
-                             gint64 now_ms);
+/** cf_map_coordinator_take_ack: what is known of the order last sent to @rank.
+ */
+void cf_map_coordinator_take_ack (CfMapCoordinator *c, int rank, CfRankAck ack,
+                                  gint64 now_ms);
 
-/** cf_map_coordinator_passes_ahead: how many passes after the newest known
- * one should be held, so that all ranks are armed when it comes. */
-int cf_map_coordinator_passes_ahead (const CfMapCoordinator *c);
+/** cf_map_coordinator_choose_passes_ahead: how many passes after the newest
+ * known one should be held, so that all ranks are armed when it comes. */
+int cf_map_coordinator_choose_passes_ahead (const CfMapCoordinator *c);
 
-/** cf_map_coordinator_has_more: whether work was left at the last tick so that
- * others get their turn: a plan that is half made, or orders. */
-gboolean cf_map_coordinator_has_more (const CfMapCoordinator *c);
+/** cf_map_coordinator_has_pending_work: whether work was left at the last tick
+ * so that others get their turn: a plan that is half made, or orders. */
+gboolean cf_map_coordinator_has_pending_work (const CfMapCoordinator *c);
 
-/** cf_map_coordinator_holds_pass: whether the group waits for this leader, as
- * far as it knows: a pass is held, or is about to be. */
-gboolean cf_map_coordinator_holds_pass (const CfMapCoordinator *c);
+/** cf_map_coordinator_is_holding_pass: whether the group waits for this leader,
+ * as far as it knows: a pass is held, or is about to be. */
+gboolean cf_map_coordinator_is_holding_pass (const CfMapCoordinator *c);
 
 /** cf_map_coordinator_tick: does what is to be done now. */
 void cf_map_coordinator_tick (CfMapCoordinator *c, gint64 now_ms);
--- a/gateway/map-gain.c
+++ b/gateway/map-gain.c
@@ -34,24 +34,24 @@
 #define COPY_MS_MAX 60.0
 
 CfPlanLimits
-cf_map_plan_limits (double copy_ms, int sets)
+cf_map_choose_limits (double copy_ms, int sets)
 {
   CfPlanLimits l = { .max_new = MAX_NEW,
                      .max_rank_new = 1,
                      .min_gain = MIN_GAIN,
-                     .move_gain = MOVE_GAIN_MOST };
+                     .min_move_gain = MOVE_GAIN_MOST };
 
   if (copy_ms <= 0)
     return l;
   l.max_rank_new = (int)CLAMP (COPY_MS_MAX / copy_ms, 1, sets * MAX_NEW);
-  l.move_gain
+  l.min_move_gain
       = CLAMP (MOVE_GAIN_A_MS * copy_ms, MOVE_GAIN_LEAST, MOVE_GAIN_MOST);
   return l;
 }
 
 double
-cf_map_gain_asked (double usual, gint64 pass_ms, gint64 pass_aim_ms,
-                   guint windows)
+cf_map_required_gain (double usual, gint64 pass_ms, gint64 pass_aim_ms,
+                      guint windows)
 {
   double gain = usual;
   double part = 0;
--- a/gateway/map-history.c
+++ b/gateway/map-history.c
@@ -26,8 +26,8 @@
 }
 
 CfGroupMap *
-cf_map_history_make (const CfMapHistory *h, const CfGroupShape *shape,
-                     gint64 base, const GArray *rows)
+cf_map_history_build_map (const CfMapHistory *h, const CfGroupShape *shape,
+                          gint64 base, const GArray *rows)
 {
   const CfGroupMap *from = base ? map_of (h, base) : NULL;
   CfGroupMap *m;
@@ -43,7 +43,7 @@
 }
 
 void
-cf_map_history_take (CfMapHistory *h, CfGroupMap *map, gint64 version)
+cf_map_history_add (CfMapHistory *h, CfGroupMap *map, gint64 version)
 {
   cf_group_map_free (h->newest);
   h->newest = map;
@@ -51,7 +51,7 @@
 }
 
 void
-cf_map_history_uses (CfMapHistory *h, gint64 version)
+cf_map_history_set_in_use (CfMapHistory *h, gint64 version)
 {
   if (!h->newest || h->newest_version != version)
     return;
--- a/gateway/map-history.h
+++ b/gateway/map-history.h
@@ -22,18 +22,18 @@
 void cf_map_history_clear (CfMapHistory *h);
 
 /**
- * cf_map_history_make:
+ * cf_map_history_build_map:
  * @base: the version that @rows change; 0: experts in turn, by which a group
  *   begins
  * Returns: (nullable): a new map, or %NULL if @base is not known or @rows do
  *   not fit @shape.
  */
-CfGroupMap *cf_map_history_make (const CfMapHistory *h,
-                                 const CfGroupShape *shape, gint64 base,
-                                 const GArray *rows);
+CfGroupMap *cf_map_history_build_map (const CfMapHistory *h,
+                                      const CfGroupShape *shape, gint64 base,
+                                      const GArray *rows);
 
-/** cf_map_history_take: @map, taken over, is @version. */
-void cf_map_history_take (CfMapHistory *h, CfGroupMap *map, gint64 version);
+/** cf_map_history_add: @map, taken over, is @version. */
+void cf_map_history_add (CfMapHistory *h, CfGroupMap *map, gint64 version);
 
-/** cf_map_history_uses: the rank uses @version from now on. */
-void cf_map_history_uses (CfMapHistory *h, gint64 version);
+/** cf_map_history_set_in_use: the rank uses @version from now on. */
+void cf_map_history_set_in_use (CfMapHistory *h, gint64 version);
--- a/gateway/map-plan.c
+++ b/gateway/map-plan.c
@@ -151,7 +151,7 @@
       p->n_looked++;
       return;
     }
-  set = best_set (p, p->limits.move_gain);
+  set = best_set (p, p->limits.min_move_gain);
   if (set < 0 || p->n_moves++ >= MOVES_MAX * p->n)
     {
       p->done = TRUE;
@@ -183,7 +183,7 @@
 }
 
 CfGroupMap *
-cf_map_plan_end (CfMapPlan *p)
+cf_map_plan_finish (CfMapPlan *p)
 {
   double gain = p->skew_before - cf_map_plan_skew_after (p);
   CfGroupMap *m = NULL;
@@ -202,5 +202,5 @@
 
   while (!cf_map_plan_step (p, G_MAXINT))
     ;
-  return cf_map_plan_end (p);
+  return cf_map_plan_finish (p);
 }
--- a/gateway/map-plan.h
+++ b/gateway/map-plan.h
@@ -18,7 +18,7 @@
   int max_new;      /**< experts a rank copies of a set; at most its spare */
   int max_rank_new; /**< experts a rank copies of all sets; 0: any number */
   double min_gain;  /**< skew that a change must take away to be made */
-  double move_gain; /**< load, of an even part, that a copy must save */
+  double min_move_gain; /**< load, of an even part, that a copy must save */
 } CfPlanLimits;
 
 /**
@@ -51,11 +51,11 @@
 double cf_map_plan_skew_after (const CfMapPlan *p);
 
 /**
- * cf_map_plan_end:
+ * cf_map_plan_finish:
  * Ends and frees the plan.
  * Returns: (nullable): the map, or %NULL if no change is worth it.
  */
-CfGroupMap *cf_map_plan_end (CfMapPlan *p);
+CfGroupMap *cf_map_plan_finish (CfMapPlan *p);
 
 /** cf_group_map_plan: a whole plan at once; (nullable), as above. */
 CfGroupMap *cf_group_map_plan (const CfGroupMap *from, const double *tokens,
--- a/gateway/order-watch.c
+++ b/gateway/order-watch.c
@@ -7,48 +7,49 @@
 #define LOST_MAX 1
 
 void
-cf_order_watch_sent (CfOrderWatch *w, gint64 seq, gint64 now)
+cf_order_watch_note_sent (CfOrderWatch *w, gint64 seq, gint64 now)
 {
   if (w->seq)
-    w->lost++;
+    w->n_lost++;
   w->seq = seq;
   w->sent_ms = now;
 }
 
 gboolean
-cf_order_watch_answered (CfOrderWatch *w, gint64 seq)
+cf_order_watch_note_answer (CfOrderWatch *w, gint64 seq)
 {
   if (w->seq != seq)
     return FALSE;
   w->seq = 0;
-  w->lost = 0;
+  w->n_lost = 0;
   return TRUE;
 }
 
 gboolean
-cf_order_watch_expired (CfOrderWatch *w, gint64 now)
+cf_order_watch_check_expiry (CfOrderWatch *w, gint64 now)
 {
   if (!w->seq || now - w->sent_ms <= LOST_MS)
     return FALSE;
   w->seq = 0;
-  w->lost++;
+  w->n_lost++;
   return TRUE;
 }
 
 void
-cf_order_watch_heard (CfOrderWatch *w)
+cf_order_watch_note_report (CfOrderWatch *w)
 {
-  w->lost = 0;
+  w->n_lost = 0;
 }
 
 gboolean
-cf_order_watch_is_passed_by (const CfOrderWatch *w)
+cf_order_watch_is_agent_bypassed (const CfOrderWatch *w)
 {
-  return w->lost >= LOST_MAX;
+  return w->n_lost >= LOST_MAX;
 }
 
 gboolean
-cf_order_watch_goes_direct (const CfOrderWatch *w, CfRankOrderKind kind)
+cf_order_watch_is_sent_direct (const CfOrderWatch *w, CfRankOrderKind kind)
 {
-  return cf_rank_order_halts_group (kind) || cf_order_watch_is_passed_by (w);
+  return cf_rank_order_halts_group (kind)
+         || cf_order_watch_is_agent_bypassed (w);
 }
--- a/gateway/rank-agent-order.c
+++ b/gateway/rank-agent-order.c
@@ -182,8 +182,8 @@
   char *body;
 
   shape.ranks = a->status.size;
-  map = cf_map_history_make (&a->maps, &shape, m->u.prepare.base,
-                             m->u.prepare.rows);
+  map = cf_map_history_build_map (&a->maps, &shape, m->u.prepare.base,
+                                  m->u.prepare.rows);
   if (!map)
     return NULL;
   order.version = m->u.prepare.version;
@@ -191,7 +191,7 @@
   order.fence = m->u.prepare.fence;
   order.map = map;
   body = cf_platform_rank_order (&order);
-  cf_map_history_take (&a->maps, map, order.version);
+  cf_map_history_add (&a->maps, map, order.version);
   return body;
 }
 
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -146,7 +146,7 @@
     note_new_epoch (a, &s);
   a->status = s;
   a->has_status = TRUE;
-  cf_map_history_uses (&a->maps, s.map);
+  cf_map_history_set_in_use (&a->maps, s.map);
   if (a->awaited
       && (s.map == a->awaited || cf_now_ms () - a->awaited_ms > COPYING_MAX_MS))
     a->awaited = 0;
--- a/gateway/rank-service-lead.c
+++ b/gateway/rank-service-lead.c
@@ -105,7 +105,7 @@
 void
 cf_led_group_renew_lease (CfLedGroup *g)
 {
-  gboolean held = g->leads && cf_map_coordinator_holds_pass (&g->c);
+  gboolean held = g->leads && cf_map_coordinator_is_holding_pass (&g->c);
   gint64 now = cf_gateway_now (g->s->g);
   CfPeerMsg m = { .kind = CF_PEER_HOLD_LEASE };
 
@@ -136,7 +136,7 @@
   /* A gateway that stops ends a hold all the same if nobody else does. */
   lead = lead
          && (!g->s->g->stopping || succeeds
-             || cf_map_coordinator_holds_pass (&g->c));
+             || cf_map_coordinator_is_holding_pass (&g->c));
   /* Whoever fenced this gateway off may well be the one to lead; by then
    * all ranks have said whom they hear. */
   if (g->c.fenced_ms && now - g->c.fenced_ms < LEAD_AGAIN_MS)
@@ -151,9 +151,9 @@
         cf_log (LOG_NOTICE, CF_EV_MAP_SETTLE,
                 "group=%s outcome=lease-expired holder_fence=%" G_GINT64_FORMAT
                 " silent_ms=%" G_GINT64_FORMAT,
-                g->name, g->lease.fence, now - g->lease.heard_ms);
+                g->name, g->lease.fence, now - g->lease.renewed_ms);
       g->lead_ms = now;
-      cf_map_coordinator_lead (&g->c, fence, g_random_int (), now);
+      cf_map_coordinator_start_leading (&g->c, fence, g_random_int (), now);
     }
   /* In the middle of a change the next leader's token ends it better. */
   else if (!lead && g->c.fence && g->c.state == CF_MAP_IDLE)
--- a/gateway/rank-service-order.c
+++ b/gateway/rank-service-order.c
@@ -33,8 +33,8 @@
 
   if (d->is_order)
     {
-      cf_map_coordinator_ack (c, d->rank, cf_platform_rank_ack (d->http_status),
-                              now);
+      cf_map_coordinator_take_ack (c, d->rank,
+                                   cf_platform_rank_ack (d->http_status), now);
       cf_map_coordinator_tick (c, now);
     }
   g_free (d);
@@ -67,7 +67,7 @@
   if (status == 200
       && cf_platform_rank_status (body->str, body->len, &st) == CF_OK
       && strcmp (st.group, d->g->name) == 0)
-    cf_map_coordinator_status_as_of (
+    cf_map_coordinator_take_status_as_of (
         &d->g->c, &st, guard_as_of (d, st.epoch, as_of), as_of, now);
   cf_log (
       LOG_INFO, CF_EV_RANK_ORDER,
@@ -117,8 +117,8 @@
   d->http_status = status;
   note_guard (d, ack);
   if (ack == CF_RANK_ACK_DONE)
-    cf_map_coordinator_held (&d->g->c, d->rank, d->epoch,
-                             d->kind == CF_ORDER_HOLD ? d->step : 0);
+    cf_map_coordinator_take_held (&d->g->c, d->rank, d->epoch,
+                                  d->kind == CF_ORDER_HOLD ? d->step : 0);
   cf_log (LOG_INFO, CF_EV_RANK_ORDER,
           "group=%s rank=%d order=%s step=%" G_GINT64_FORMAT
           " way=direct status=%d",
@@ -274,7 +274,7 @@
   CfRankLink *a = g->agents[rank];
   gboolean reachable = cf_rank_service_target (g->s, g->addrs[rank]) != NULL;
 
-  if (reachable && cf_order_watch_goes_direct (&g->orders[rank], o->kind))
+  if (reachable && cf_order_watch_is_sent_direct (&g->orders[rank], o->kind))
     a = NULL;
   cf_log (LOG_INFO, CF_EV_RANK_ORDER,
           "group=%s rank=%d order=%s version=%" G_GINT64_FORMAT
@@ -287,7 +287,8 @@
       cf_led_group_send_direct (g, rank, o, TRUE);
       return;
     }
-  cf_order_watch_sent (&g->orders[rank], ++g->s->seq, cf_gateway_now (g->s->g));
+  cf_order_watch_note_sent (&g->orders[rank], ++g->s->seq,
+                            cf_gateway_now (g->s->g));
   if (o->kind == CF_ORDER_PREPARE)
     send_prepare (g, a, o);
   else
--- a/gateway/rank-service-parts.h
+++ b/gateway/rank-service-parts.h
@@ -100,7 +100,7 @@
 void cf_led_group_renew_lease (CfLedGroup *g);
 
 /** cf_led_group_on_order: the coordinator's order to a rank goes out, as
- * cf_order_watch_goes_direct() says; @data is the #CfLedGroup. */
+ * cf_order_watch_is_sent_direct() says; @data is the #CfLedGroup. */
 void cf_led_group_on_order (void *data, int rank, const CfRankOrder *o);
 
 /** cf_led_group_send_direct: an order straight to a rank, and then the
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -59,12 +59,12 @@
           " fence=%" G_GINT64_FORMAT " copies=%d skew=%.2f planned=%.2f"
           " pass_ms=%" G_GINT64_FORMAT,
           g->name, cf_map_state_name (from), cf_map_state_name (to), why,
-          c->version, c->step, c->epoch, c->fence, c->last_copies,
-          c->skew_before, c->skew_after, c->pass_ms);
+          c->version, c->step, c->epoch, c->fence, c->n_copies, c->skew_before,
+          c->skew_after, c->pass_ms);
   cf_led_group_renew_lease (g);
 }
 
-static const CfMapCoordinatorCalls coordinator_calls
+static const CfMapCoordinatorCallbacks coordinator_calls
     = { cf_led_group_on_order, on_want_lists, on_moved };
 
 /* Groups */
@@ -106,7 +106,7 @@
 
   if (!e || st->size <= 0)
     return NULL;
-  limits = cf_map_plan_limits (e->copy_ms, e->sets);
+  limits = cf_map_choose_limits (e->copy_ms, e->sets);
   shape.sets = e->sets;
   shape.experts = e->experts;
   shape.places = e->places;
@@ -189,8 +189,8 @@
   gint64 now = cf_gateway_now (g->s->g);
 
   for (int r = 0; r < g->c.shape.ranks; r++)
-    if (cf_order_watch_expired (&g->orders[r], now))
-      cf_map_coordinator_ack (&g->c, r, CF_RANK_ACK_UNKNOWN, now);
+    if (cf_order_watch_check_expiry (&g->orders[r], now))
+      cf_map_coordinator_take_ack (&g->c, r, CF_RANK_ACK_UNKNOWN, now);
 }
 
 static gint64
@@ -214,7 +214,7 @@
 {
   return g && g->leads
          && (g->c.state == CF_MAP_SETTLING
-             || cf_map_coordinator_holds_pass (&g->c));
+             || cf_map_coordinator_is_holding_pass (&g->c));
 }
 
 /* A gateway that stops is silent, so that the next seed takes the lead
@@ -287,7 +287,7 @@
       cf_map_coordinator_tick (&g->c, now);
       cf_led_group_renew_lease (g);
       busy |= is_changing (g);
-      more |= cf_map_coordinator_has_more (&g->c);
+      more |= cf_map_coordinator_has_pending_work (&g->c);
     }
   ev_timer_set (t, 0, more ? MORE_TICK_S : busy ? BUSY_TICK_S : IDLE_TICK_S);
   ev_timer_again (loop, t);
@@ -340,7 +340,7 @@
   note_pace (a, st);
   learn_pass_aim (a);
   a->seen_ms = now;
-  cf_order_watch_heard (&a->group->orders[a->rank]);
+  cf_order_watch_note_report (&a->group->orders[a->rank]);
   a->seeds_up = m->u.rank_status.seeds_up;
   a->led = m->u.rank_status.led;
   /* A version holds its leader's token, so it tells of leaders whose
@@ -351,10 +351,10 @@
       = MAX (a->group->fence_seen, cf_map_version_fence (st->map));
   a->group->fence_seen
       = MAX (a->group->fence_seen, cf_map_version_fence (st->prepared));
-  cf_map_coordinator_status (&a->group->c, st, m->u.rank_status.fence_seen,
-                             now);
+  cf_map_coordinator_take_status (&a->group->c, st, m->u.rank_status.fence_seen,
+                                  now);
   if (drawn && drawn->len)
-    cf_map_coordinator_drawn (
+    cf_map_coordinator_add_demand (
         &a->group->c, (const gint64 *)(gpointer)drawn->data, drawn->len);
   cf_map_coordinator_tick (&a->group->c, now);
 }
@@ -365,13 +365,14 @@
   CfLedGroup *g = a->group;
   gint64 now = cf_gateway_now (a->s->g);
 
-  if (!g || !cf_order_watch_answered (&g->orders[a->rank], m->u.order_ack.seq))
+  if (!g
+      || !cf_order_watch_note_answer (&g->orders[a->rank], m->u.order_ack.seq))
     return;
   a->lacks_base = m->u.order_ack.http_status == CF_PEER_NO_BASE;
   if (m->u.order_ack.status.group[0])
-    cf_map_coordinator_status (&g->c, &m->u.order_ack.status,
-                               m->u.order_ack.fence_seen, now);
-  cf_map_coordinator_ack (
+    cf_map_coordinator_take_status (&g->c, &m->u.order_ack.status,
+                                    m->u.order_ack.fence_seen, now);
+  cf_map_coordinator_take_ack (
       &g->c, a->rank, cf_platform_rank_ack ((int)m->u.order_ack.http_status),
       now);
   cf_map_coordinator_tick (&g->c, now);
@@ -401,7 +402,7 @@
       break;
     case CF_PEER_LISTS:
       if (a->group)
-        cf_map_coordinator_lists (
+        cf_map_coordinator_take_lists (
             &a->group->c, a->rank, m->u.lists.epoch, m->u.lists.version,
             (const gint64 *)(gpointer)m->u.lists.experts->data,
             m->u.lists.experts->len);
--- a/t/t-coordinator.c
+++ b/t/t-coordinator.c
@@ -193,7 +193,7 @@
       d->leader = -1;
       d->due_ms = w.now + g_rand_int_range (w.rand, 2000, 12000);
       w.n_late++;
-      cf_map_coordinator_ack (&l->c, rank, CF_RANK_ACK_UNKNOWN, w.now);
+      cf_map_coordinator_take_ack (&l->c, rank, CF_RANK_ACK_UNKNOWN, w.now);
     }
   else if (chance (0.1))
     d->leader = -1; /* carried out, and the answer is lost */
@@ -222,7 +222,7 @@
           rows[n++] = r->held[s][p];
       rows[n++] = -1;
     }
-  cf_map_coordinator_lists (&l->c, rank, r->s.epoch, r->s.map, rows, n);
+  cf_map_coordinator_take_lists (&l->c, rank, r->s.epoch, r->s.map, rows, n);
 }
 
 static void
@@ -234,7 +234,7 @@
                 cf_map_state_name (to), why);
 }
 
-static const CfMapCoordinatorCalls calls
+static const CfMapCoordinatorCallbacks calls
     = { on_order, on_want_lists, on_moved };
 
 static void
@@ -279,7 +279,7 @@
                                .places = PLACES,
                                .spare = 2 };
   const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 0, .min_gain = 0.05, .move_gain = 0.02
+    .max_new = 1, .max_rank_new = 0, .min_gain = 0.05, .min_move_gain = 0.02
   };
 
   cf_map_coordinator_init (&l->c, &shape, &limits, &calls, l);
@@ -375,12 +375,12 @@
       if (l && l->running)
         {
           if (!cf_rank_order_halts_group (d->o.kind))
-            cf_map_coordinator_status (&l->c, &r->s, token, w.now);
+            cf_map_coordinator_take_status (&l->c, &r->s, token, w.now);
           else if (ack_of (status) == CF_RANK_ACK_DONE)
-            cf_map_coordinator_held (&l->c, d->rank, d->o.epoch,
-                                     d->o.kind == CF_ORDER_HOLD ? d->o.step
-                                                                : 0);
-          cf_map_coordinator_ack (&l->c, d->rank, ack_of (status), w.now);
+            cf_map_coordinator_take_held (&l->c, d->rank, d->o.epoch,
+                                          d->o.kind == CF_ORDER_HOLD ? d->o.step
+                                                                     : 0);
+          cf_map_coordinator_take_ack (&l->c, d->rank, ack_of (status), w.now);
         }
       g_ptr_array_remove_index_fast (w.late, i);
     }
@@ -398,12 +398,12 @@
       /* What the leader's own greeting did to the agent. */
       w.ranks[i].agent_fence = MAX (w.ranks[i].agent_fence, l->c.fence);
       w.fence_seen = MAX (w.fence_seen, w.ranks[i].agent_fence);
-      cf_map_coordinator_status (&l->c, &w.ranks[i].s, w.ranks[i].agent_fence,
-                                 w.now);
+      cf_map_coordinator_take_status (&l->c, &w.ranks[i].s,
+                                      w.ranks[i].agent_fence, w.now);
       /* Demand that shifts every three seconds. */
       for (int e = 0; e < SETS * EXPERTS; e++)
         drawn[e] = 100 * (1 + (e + w.now / 3000) % 5);
-      cf_map_coordinator_drawn (&l->c, drawn, SETS * EXPERTS);
+      cf_map_coordinator_add_demand (&l->c, drawn, SETS * EXPERTS);
     }
 }
 
@@ -414,7 +414,7 @@
   gint64 fence = (w.fence_seen / 8 + 1) * 8 + l->index;
 
   w.fence_seen = fence;
-  cf_map_coordinator_lead (&l->c, fence, g_rand_int (w.rand), w.now);
+  cf_map_coordinator_start_leading (&l->c, fence, g_rand_int (w.rand), w.now);
 }
 
 static void
@@ -459,7 +459,7 @@
 renew_lease (Leader *l)
 {
   Leader *standby = &w.leaders[1 - l->index];
-  gboolean held = cf_map_coordinator_holds_pass (&l->c);
+  gboolean held = cf_map_coordinator_is_holding_pass (&l->c);
 
   if ((!held && !l->lease_told) || chance (0.1))
     return;
@@ -578,24 +578,25 @@
   CfMapCoordinator *c = &l->c;
 
   begin_world (1, TRUE);
-  cf_map_coordinator_lead (c, 8, 1, 1000);
-  cf_map_coordinator_status (c, &s, 8, 1001); /* the epoch */
-  c->state = CF_MAP_BURNING;
+  cf_map_coordinator_start_leading (c, 8, 1, 1000);
+  cf_map_coordinator_take_status (c, &s, 8, 1001); /* the epoch */
+  c->state = CF_MAP_INVALIDATING;
   for (s.rank = 0; s.rank < RANKS; s.rank++)
-    cf_map_coordinator_lists (c, s.rank, 1, 0, (const gint64[]){ -1, -1 }, 2);
+    cf_map_coordinator_take_lists (c, s.rank, 1, 0, (const gint64[]){ -1, -1 },
+                                   2);
   for (int e = 0; e < SETS * RANKS * PLACES; e++)
     c->in_use->held[e] = (gint16)(e % EXPERTS);
   cf_map_coordinator_tick (c, 1002);
   s.prepared = c->version;
   ck_assert_int_ne (s.prepared, 0);
-  cf_map_coordinator_lead (c, 16, 2, 1003);
+  cf_map_coordinator_start_leading (c, 16, 2, 1003);
   for (s.rank = 0; s.rank < RANKS; s.rank++)
     {
       s.held = s.rank == 2 ? 7 : 0;
-      cf_map_coordinator_status (c, &s, 16, 1010);
+      cf_map_coordinator_take_status (c, &s, 16, 1010);
     }
   cf_map_coordinator_tick (c, 1020);
-  ck_assert_int_eq (c->state, CF_MAP_BURNING);
+  ck_assert_int_eq (c->state, CF_MAP_INVALIDATING);
   end_world ();
 }
 END_TEST
@@ -641,14 +642,14 @@
 
   memset (&w, 0, sizeof w);
   new_leader (l);
-  cf_map_coordinator_lead (&l->c, 8, 1, 1000);
-  cf_map_coordinator_status (&l->c, &s, 8, 1010); /* the epoch */
+  cf_map_coordinator_start_leading (&l->c, 8, 1, 1000);
+  cf_map_coordinator_take_status (&l->c, &s, 8, 1010); /* the epoch */
   for (s.rank = 0; s.rank < RANKS; s.rank++)
-    cf_map_coordinator_status (&l->c, &s, 8, 1015);
+    cf_map_coordinator_take_status (&l->c, &s, 8, 1015);
   cf_map_coordinator_tick (&l->c, 1020);
   ck_assert_int_eq (l->c.state, CF_MAP_IDLE);
   s.rank = 2;
-  cf_map_coordinator_status (&l->c, &s, 17, 1030);
+  cf_map_coordinator_take_status (&l->c, &s, 17, 1030);
   ck_assert_int_eq (l->c.fence, 0);
   ck_assert_int_eq (l->c.fenced_ms, 1030);
   cf_map_coordinator_clear (&l->c);
@@ -665,34 +666,34 @@
   CfMapCoordinator *c = &l->c;
 
   begin_world (1, TRUE);
-  cf_map_coordinator_lead (c, 8, 1, 1000);
-  cf_map_coordinator_status (c, &s, 8, 1001); /* the epoch */
+  cf_map_coordinator_start_leading (c, 8, 1, 1000);
+  cf_map_coordinator_take_status (c, &s, 8, 1001); /* the epoch */
   for (s.rank = 0; s.rank < RANKS; s.rank++)
     {
       s.armed = s.prepared = 40;
-      cf_map_coordinator_status (c, &s, 8, 1200);
+      cf_map_coordinator_take_status (c, &s, 8, 1200);
     }
   c->state = CF_MAP_RELEASING;
   c->version = 40;
   c->step = 7;
   c->holder = 2;
-  cf_map_coordinator_held (c, 2, 1, 7);
+  cf_map_coordinator_take_held (c, 2, 1, 7);
   cf_map_coordinator_tick (c, 1210);
-  ck_assert_int_gt (c->ranks[2].asked_ms, 0);
+  ck_assert_int_gt (c->ranks[2].pending_since_ms, 0);
   s.rank = 2;
   s.armed = 0;
-  cf_map_coordinator_status_as_of (c, &s, 8, 1010, 1215);
-  cf_map_coordinator_ack (c, 2, CF_RANK_ACK_UNKNOWN, 1215);
+  cf_map_coordinator_take_status_as_of (c, &s, 8, 1010, 1215);
+  cf_map_coordinator_take_ack (c, 2, CF_RANK_ACK_UNKNOWN, 1215);
   cf_map_coordinator_tick (c, 1220);
   ck_assert_int_eq (c->state, CF_MAP_RELEASING);
   ck_assert_int_eq (c->ranks[2].status.armed, 40);
   /* What the agent read before the hold came in late: it is held after all. */
   s.armed = 40;
-  cf_map_coordinator_status (c, &s, 8, 1225);
+  cf_map_coordinator_take_status (c, &s, 8, 1225);
   cf_map_coordinator_tick (c, 1230);
   ck_assert_int_eq (c->state, CF_MAP_SWITCHING);
   s.held = 7;
-  cf_map_coordinator_status (c, &s, 8, 1265);
+  cf_map_coordinator_take_status (c, &s, 8, 1265);
   cf_map_coordinator_tick (c, 1270);
   ck_assert_int_eq (c->state, CF_MAP_RELEASING);
   end_world ();
@@ -741,7 +742,7 @@
   CfRankStatus s = { .group = "g", .size = RANKS, .epoch = 1, .open = TRUE };
 
   s.step = step;
-  cf_map_coordinator_status (c, &s, 8, now);
+  cf_map_coordinator_take_status (c, &s, 8, now);
 }
 
 /* While passes are long, each one more under the worse map costs more than
@@ -754,18 +755,18 @@
 
   memset (&w, 0, sizeof w);
   new_leader (l);
-  ck_assert_int_eq (cf_map_coordinator_passes_ahead (c), 1);
+  ck_assert_int_eq (cf_map_coordinator_choose_passes_ahead (c), 1);
   for (gint64 step = 1; step < 20; step++)
     report_pass (c, step, now += 45);
-  ck_assert_int_eq (cf_map_coordinator_passes_ahead (c), 2);
+  ck_assert_int_eq (cf_map_coordinator_choose_passes_ahead (c), 2);
   for (gint64 step = 20; step < 40; step += 2)
     report_pass (c, step, now += 240);
-  ck_assert_int_eq (cf_map_coordinator_passes_ahead (c), 1);
+  ck_assert_int_eq (cf_map_coordinator_choose_passes_ahead (c), 1);
   c->arming_ms = 500;
-  ck_assert_int_eq (cf_map_coordinator_passes_ahead (c), 5);
+  ck_assert_int_eq (cf_map_coordinator_choose_passes_ahead (c), 5);
   /* At rest for a while: how long passes take is not known any more. */
   report_pass (c, 40, now += 5000);
-  ck_assert_int_eq (cf_map_coordinator_passes_ahead (c), 1);
+  ck_assert_int_eq (cf_map_coordinator_choose_passes_ahead (c), 1);
   cf_map_coordinator_clear (c);
 }
 END_TEST
@@ -780,7 +781,7 @@
   s.rank = rank;
   s.incarnation = incarnation;
   s.prepared = prepared;
-  cf_map_coordinator_status (c, &s, c->fence, now);
+  cf_map_coordinator_take_status (c, &s, c->fence, now);
 }
 
 /* A rank that started anew holds nothing; what was sent before it crashed says
@@ -793,16 +794,16 @@
 
   memset (&w, 0, sizeof w);
   new_leader (l);
-  cf_map_coordinator_lead (c, 8, 1, now);
+  cf_map_coordinator_start_leading (c, 8, 1, now);
   for (int i = 0; i < 2 * RANKS; i++)
     report_start (c, i % RANKS, 100, 1, 0, ++now);
-  c->ranks[2].lists_map = 0;
+  c->ranks[2].lists_version = 0;
   cf_map_coordinator_tick (c, ++now);
   ck_assert_int_eq (c->state, CF_MAP_IDLE);
   /* It restarts before its group is seen to form anew. */
   report_start (c, 2, 200, 1, 0, ++now);
   ck_assert_int_eq (c->state, CF_MAP_SETTLING);
-  ck_assert_int_eq (c->ranks[2].lists_map, -1);
+  ck_assert_int_eq (c->ranks[2].lists_version, -1);
   /* Sent before the crash, heard after it. */
   report_start (c, 2, 100, 1, 77, ++now);
   ck_assert_int_eq (c->ranks[2].status.prepared, 0);
@@ -848,7 +849,7 @@
           rows[n++] = cf_group_map_at (m, s, rank)[p];
       rows[n++] = -1;
     }
-  cf_map_coordinator_lists (c, rank, 1, 0, rows, n);
+  cf_map_coordinator_take_lists (c, rank, 1, 0, rows, n);
 }
 
 /* A group of 192 ranks of which a few experts draw nearly all. */
@@ -858,9 +859,10 @@
   const CfGroupShape shape = {
     .sets = 2, .experts = 384, .ranks = LARGE_RANKS, .places = 3, .spare = 2
   };
-  const CfPlanLimits limits
-      = { .max_new = 1, .max_rank_new = 1, .min_gain = 0.1, .move_gain = 0.05 };
-  static const CfMapCoordinatorCalls quiet
+  const CfPlanLimits limits = {
+    .max_new = 1, .max_rank_new = 1, .min_gain = 0.1, .min_move_gain = 0.05
+  };
+  static const CfMapCoordinatorCallbacks quiet
       = { count_order, want_nothing, keep_quiet };
   CfGroupMap *m = cf_group_map_in_turn (&shape);
   CfRankStatus st = { .group = "g", .size = LARGE_RANKS, .epoch = 1 };
@@ -868,11 +870,11 @@
 
   st.open = TRUE;
   cf_map_coordinator_init (c, &shape, &limits, &quiet, NULL);
-  cf_map_coordinator_lead (c, 8, 1, *now);
+  cf_map_coordinator_start_leading (c, 8, 1, *now);
   for (int i = 0; i < 2 * LARGE_RANKS; i++)
     {
       st.rank = i % LARGE_RANKS;
-      cf_map_coordinator_status (c, &st, 8, ++*now);
+      cf_map_coordinator_take_status (c, &st, 8, ++*now);
     }
   for (int r = 0; r < LARGE_RANKS; r++)
     tell_experts_in_turn (c, m, r);
@@ -882,7 +884,7 @@
       for (int e = 0; e < 2 * 384; e++)
         drawn[e] = e % 384 < 30 ? 900 : 10;
       for (int r = 0; r < LARGE_RANKS; r++)
-        cf_map_coordinator_drawn (c, drawn, G_N_ELEMENTS (drawn));
+        cf_map_coordinator_add_demand (c, drawn, G_N_ELEMENTS (drawn));
       cf_map_coordinator_tick (c, *now += 100);
     }
 }
@@ -909,7 +911,7 @@
       most = MAX (most, n_ordered - before);
       ticks += n_ordered > 0;
       ck_assert (n_ordered == 0 || n_ordered >= LARGE_RANKS
-                 || cf_map_coordinator_has_more (&c));
+                 || cf_map_coordinator_has_pending_work (&c));
     }
   ck_assert_int_eq (n_ordered, LARGE_RANKS);
   ck_assert_int_le (most, LARGE_RANKS / 3);
--- a/t/t-decode-fuzz.c
+++ b/t/t-decode-fuzz.c
@@ -340,7 +340,8 @@
   CfGroupMap *map;
 
   shape.ranks = 4;
-  map = cf_map_history_make (&h, &shape, m->u.prepare.base, m->u.prepare.rows);
+  map = cf_map_history_build_map (&h, &shape, m->u.prepare.base,
+                                  m->u.prepare.rows);
   for (gint64 i = 0; map && i < (gint64)shape.sets * shape.ranks * shape.places;
        i++)
     ck_assert (map->held[i] >= -1 && map->held[i] < MAX (shape.experts, 1));
--- a/t/t-group-map.c
+++ b/t/t-group-map.c
@@ -45,7 +45,7 @@
 START_TEST (one_change_evens_the_load)
 {
   const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 0, .min_gain = 0.02, .move_gain = 0.01
+    .max_new = 1, .max_rank_new = 0, .min_gain = 0.02, .min_move_gain = 0.01
   };
 
   for (guint32 seed = 1; seed <= 50; seed++)
@@ -69,10 +69,11 @@
 START_TEST (fewer_copies_nearly_as_even)
 {
   const CfPlanLimits all = {
-    .max_new = 1, .max_rank_new = 0, .min_gain = 0.02, .move_gain = 0.01
+    .max_new = 1, .max_rank_new = 0, .min_gain = 0.02, .min_move_gain = 0.01
+  };
+  const CfPlanLimits few = {
+    .max_new = 1, .max_rank_new = 0, .min_gain = 0.2, .min_move_gain = 0.12
   };
-  const CfPlanLimits few
-      = { .max_new = 1, .max_rank_new = 0, .min_gain = 0.2, .move_gain = 0.12 };
   int n_all = 0;
   int n_few = 0;
   double worst = 0;
@@ -101,8 +102,9 @@
  * without it, the group waits for about five even parts. */
 START_TEST (slow_ranks_get_little)
 {
-  const CfPlanLimits limits
-      = { .max_new = 1, .max_rank_new = 0, .min_gain = 0.2, .move_gain = 0.12 };
+  const CfPlanLimits limits = {
+    .max_new = 1, .max_rank_new = 0, .min_gain = 0.2, .min_move_gain = 0.12
+  };
   double pace[16];
 
   for (int r = 0; r < shape.ranks; r++)
@@ -156,7 +158,7 @@
 START_TEST (quick_changes_copy_what_counts_most)
 {
   const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 1, .min_gain = 0.02, .move_gain = 0.01
+    .max_new = 1, .max_rank_new = 1, .min_gain = 0.02, .min_move_gain = 0.01
   };
   double skew[3] = { 0 };
 
@@ -187,7 +189,7 @@
 START_TEST (nothing_is_done_without_gain)
 {
   const CfPlanLimits limits = {
-    .max_new = 2, .max_rank_new = 0, .min_gain = 0.05, .move_gain = 0.01
+    .max_new = 2, .max_rank_new = 0, .min_gain = 0.05, .min_move_gain = 0.01
   };
   CfGroupMap *from = cf_group_map_in_turn (&shape);
   double *t = g_new (double, shape.sets *shape.experts);
@@ -207,7 +209,7 @@
 START_TEST (many_changes_stay_whole)
 {
   const CfPlanLimits limits = {
-    .max_new = 2, .max_rank_new = 0, .min_gain = 0.05, .move_gain = 0.02
+    .max_new = 2, .max_rank_new = 0, .min_gain = 0.05, .min_move_gain = 0.02
   };
   CfGroupMap *m = cf_group_map_in_turn (&shape);
 
@@ -252,8 +254,9 @@
  */
 START_TEST (a_plan_for_a_large_group_is_made_in_parts)
 {
-  const CfPlanLimits limits
-      = { .max_new = 1, .max_rank_new = 1, .min_gain = 0.2, .move_gain = 0.12 };
+  const CfPlanLimits limits = {
+    .max_new = 1, .max_rank_new = 1, .min_gain = 0.2, .min_move_gain = 0.12
+  };
   CfGroupMap *from = cf_group_map_in_turn (&large);
   double whole_ms = G_MAXDOUBLE;
   double part_ms = G_MAXDOUBLE;
@@ -276,7 +279,7 @@
       part_ms = MIN (part_ms, longest);
       ck_assert_double_lt (cf_map_plan_skew_after (p),
                            cf_map_plan_skew_before (p) / 2);
-      m = cf_map_plan_end (p);
+      m = cf_map_plan_finish (p);
       ck_assert_ptr_nonnull (m);
       cf_group_map_free (m);
     }
@@ -307,8 +310,8 @@
  * would. */
 START_TEST (quick_copies_even_the_load_at_once)
 {
-  const CfPlanLimits slow = cf_map_plan_limits (111, large.sets);
-  const CfPlanLimits quick = cf_map_plan_limits (7.6, large.sets);
+  const CfPlanLimits slow = cf_map_choose_limits (111, large.sets);
+  const CfPlanLimits quick = cf_map_choose_limits (7.6, large.sets);
 
   for (guint32 seed = 1; seed <= 5; seed++)
     ck_assert_double_lt (skew_after_one_change (&quick, seed),
@@ -320,8 +323,9 @@
  * the next map comes of the one before, and of what a group begins with. */
 START_TEST (a_map_is_told_by_what_changes)
 {
-  const CfPlanLimits limits
-      = { .max_new = 1, .max_rank_new = 1, .min_gain = 0.2, .move_gain = 0.12 };
+  const CfPlanLimits limits = {
+    .max_new = 1, .max_rank_new = 1, .min_gain = 0.2, .min_move_gain = 0.12
+  };
   CfGroupMap *from = cf_group_map_in_turn (&large);
   double *t = demand (&large, 2);
   CfGroupMap *to = cf_group_map_plan (from, t, NULL, &limits);
--- a/t/t-map-gain.c
+++ b/t/t-map-gain.c
@@ -8,32 +8,32 @@
 
 START_TEST (the_usual_where_nothing_else_is_known)
 {
-  ck_assert_double_eq (cf_map_gain_asked (USUAL, 0, 0, SEEN), USUAL);
-  ck_assert_double_eq (cf_map_gain_asked (USUAL, 40, 0, SEEN), USUAL);
-  ck_assert_double_eq (cf_map_gain_asked (USUAL, 0, AIM_MS, SEEN), USUAL);
-  ck_assert_double_eq (cf_map_gain_asked (USUAL, 75, AIM_MS, SEEN), USUAL);
+  ck_assert_double_eq (cf_map_required_gain (USUAL, 0, 0, SEEN), USUAL);
+  ck_assert_double_eq (cf_map_required_gain (USUAL, 40, 0, SEEN), USUAL);
+  ck_assert_double_eq (cf_map_required_gain (USUAL, 0, AIM_MS, SEEN), USUAL);
+  ck_assert_double_eq (cf_map_required_gain (USUAL, 75, AIM_MS, SEEN), USUAL);
 }
 END_TEST
 
 START_TEST (more_while_passes_are_short)
 {
-  ck_assert_double_gt (cf_map_gain_asked (USUAL, 40, AIM_MS, SEEN),
+  ck_assert_double_gt (cf_map_required_gain (USUAL, 40, AIM_MS, SEEN),
                        USUAL + 0.3);
-  ck_assert_double_eq (cf_map_gain_asked (0.9, 40, AIM_MS, SEEN), 0.9);
+  ck_assert_double_eq (cf_map_required_gain (0.9, 40, AIM_MS, SEEN), 0.9);
 }
 END_TEST
 
 START_TEST (less_while_passes_are_about_too_long)
 {
-  ck_assert_double_lt (cf_map_gain_asked (USUAL, 100, AIM_MS, SEEN), 0.15);
-  ck_assert_double_eq (cf_map_gain_asked (0.05, 100, AIM_MS, SEEN), 0.05);
+  ck_assert_double_lt (cf_map_required_gain (USUAL, 100, AIM_MS, SEEN), 0.15);
+  ck_assert_double_eq (cf_map_required_gain (0.05, 100, AIM_MS, SEEN), 0.05);
 }
 END_TEST
 
 START_TEST (much_while_little_was_seen)
 {
   for (gint64 pass_ms = 0; pass_ms < 200; pass_ms += 20)
-    ck_assert_double_gt (cf_map_gain_asked (USUAL, pass_ms, AIM_MS, 1),
+    ck_assert_double_gt (cf_map_required_gain (USUAL, pass_ms, AIM_MS, 1),
                          USUAL + 0.5);
 }
 END_TEST
@@ -42,17 +42,17 @@
  * much.  As quick as 8 ms: several, and smaller gains count. */
 START_TEST (quick_copies_may_be_several)
 {
-  CfPlanLimits unknown = cf_map_plan_limits (0, 10);
-  CfPlanLimits slow = cf_map_plan_limits (111, 4);
-  CfPlanLimits quick = cf_map_plan_limits (7.6, 10);
-  CfPlanLimits few_sets = cf_map_plan_limits (1, 4);
+  CfPlanLimits unknown = cf_map_choose_limits (0, 10);
+  CfPlanLimits slow = cf_map_choose_limits (111, 4);
+  CfPlanLimits quick = cf_map_choose_limits (7.6, 10);
+  CfPlanLimits few_sets = cf_map_choose_limits (1, 4);
 
   ck_assert_int_eq (unknown.max_rank_new, 1);
   ck_assert_int_eq (slow.max_rank_new, 1);
-  ck_assert_double_eq (slow.move_gain, unknown.move_gain);
+  ck_assert_double_eq (slow.min_move_gain, unknown.min_move_gain);
   ck_assert_int_eq (quick.max_rank_new, 7);
   ck_assert_int_eq (few_sets.max_rank_new, 4);
-  ck_assert_double_lt (quick.move_gain, slow.move_gain);
+  ck_assert_double_lt (quick.min_move_gain, slow.min_move_gain);
 }
 END_TEST
 
--- a/t/t-map-history.c
+++ b/t/t-map-history.c
@@ -20,7 +20,7 @@
 make (const CfMapHistory *h, gint64 base, gint64 expert)
 {
   GArray *rows = row_with (expert);
-  CfGroupMap *m = cf_map_history_make (h, &shape, base, rows);
+  CfGroupMap *m = cf_map_history_build_map (h, &shape, base, rows);
 
   g_array_unref (rows);
   return m;
@@ -44,19 +44,19 @@
   CfMapHistory h = { 0 };
   CfGroupMap *m;
 
-  cf_map_history_take (&h, make (&h, 0, 2), 11);
-  cf_map_history_uses (&h, 11);
+  cf_map_history_add (&h, make (&h, 0, 2), 11);
+  cf_map_history_set_in_use (&h, 11);
   /* Prepared, and never used. */
-  cf_map_history_take (&h, make (&h, 11, 3), 12);
-  cf_map_history_uses (&h, 11);
-  cf_map_history_take (&h, make (&h, 11, 4), 13);
-  cf_map_history_uses (&h, 11);
+  cf_map_history_add (&h, make (&h, 11, 3), 12);
+  cf_map_history_set_in_use (&h, 11);
+  cf_map_history_add (&h, make (&h, 11, 4), 13);
+  cf_map_history_set_in_use (&h, 11);
   ck_assert_ptr_null (make (&h, 12, 0));
   m = make (&h, 11, 6);
   ck_assert (cf_group_map_holds (m, 0, 1, 6));
   ck_assert (!cf_group_map_holds (m, 0, 1, 4));
   cf_group_map_free (m);
-  cf_map_history_uses (&h, 13);
+  cf_map_history_set_in_use (&h, 13);
   m = make (&h, 13, 6);
   ck_assert_ptr_nonnull (m);
   cf_group_map_free (m);
@@ -73,11 +73,11 @@
   GArray *rows = row_with (2);
 
   ck_assert_ptr_null (make (&h, 11, 2));
-  cf_map_history_take (&h, make (&h, 0, 2), 11);
+  cf_map_history_add (&h, make (&h, 0, 2), 11);
   other.ranks = 5;
-  ck_assert_ptr_null (cf_map_history_make (&h, &other, 11, rows));
+  ck_assert_ptr_null (cf_map_history_build_map (&h, &other, 11, rows));
   other.ranks = CF_MAP_PLACES_MAX;
-  ck_assert_ptr_null (cf_map_history_make (&h, &other, 0, rows));
+  ck_assert_ptr_null (cf_map_history_build_map (&h, &other, 0, rows));
   g_array_unref (rows);
   cf_map_history_clear (&h);
 }
--- a/t/t-order-watch.c
+++ b/t/t-order-watch.c
@@ -9,15 +9,15 @@
 {
   CfOrderWatch w = { 0 };
 
-  cf_order_watch_sent (&w, 1, 1000);
-  ck_assert (!cf_order_watch_is_passed_by (&w));
-  cf_order_watch_sent (&w, 2, 1120);
-  ck_assert (cf_order_watch_is_passed_by (&w));
+  cf_order_watch_note_sent (&w, 1, 1000);
+  ck_assert (!cf_order_watch_is_agent_bypassed (&w));
+  cf_order_watch_note_sent (&w, 2, 1120);
+  ck_assert (cf_order_watch_is_agent_bypassed (&w));
   /* An answer to the first is no answer to the second. */
-  ck_assert (!cf_order_watch_answered (&w, 1));
-  ck_assert (cf_order_watch_is_passed_by (&w));
-  ck_assert (cf_order_watch_answered (&w, 2));
-  ck_assert (!cf_order_watch_is_passed_by (&w));
+  ck_assert (!cf_order_watch_note_answer (&w, 1));
+  ck_assert (cf_order_watch_is_agent_bypassed (&w));
+  ck_assert (cf_order_watch_note_answer (&w, 2));
+  ck_assert (!cf_order_watch_is_agent_bypassed (&w));
 }
 END_TEST
 
@@ -25,13 +25,13 @@
 {
   CfOrderWatch w = { 0 };
 
-  cf_order_watch_sent (&w, 1, 1000);
-  ck_assert (!cf_order_watch_expired (&w, 1130));
-  ck_assert (cf_order_watch_expired (&w, 1131));
-  ck_assert (!cf_order_watch_expired (&w, 2000));
-  ck_assert (cf_order_watch_is_passed_by (&w));
-  cf_order_watch_heard (&w);
-  ck_assert (!cf_order_watch_is_passed_by (&w));
+  cf_order_watch_note_sent (&w, 1, 1000);
+  ck_assert (!cf_order_watch_check_expiry (&w, 1130));
+  ck_assert (cf_order_watch_check_expiry (&w, 1131));
+  ck_assert (!cf_order_watch_check_expiry (&w, 2000));
+  ck_assert (cf_order_watch_is_agent_bypassed (&w));
+  cf_order_watch_note_report (&w);
+  ck_assert (!cf_order_watch_is_agent_bypassed (&w));
 }
 END_TEST
 
@@ -39,15 +39,15 @@
 {
   CfOrderWatch w = { 0 };
 
-  ck_assert (cf_order_watch_goes_direct (&w, CF_ORDER_HOLD));
-  ck_assert (cf_order_watch_goes_direct (&w, CF_ORDER_GO));
-  ck_assert (!cf_order_watch_goes_direct (&w, CF_ORDER_PREPARE));
-  ck_assert (!cf_order_watch_goes_direct (&w, CF_ORDER_ARM));
-  ck_assert (!cf_order_watch_goes_direct (&w, CF_ORDER_DISARM));
+  ck_assert (cf_order_watch_is_sent_direct (&w, CF_ORDER_HOLD));
+  ck_assert (cf_order_watch_is_sent_direct (&w, CF_ORDER_GO));
+  ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_PREPARE));
+  ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_ARM));
+  ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_DISARM));
   /* An agent that lost an order is passed by. */
-  cf_order_watch_sent (&w, 1, 1000);
-  ck_assert (cf_order_watch_expired (&w, 1200));
-  ck_assert (cf_order_watch_goes_direct (&w, CF_ORDER_ARM));
+  cf_order_watch_note_sent (&w, 1, 1000);
+  ck_assert (cf_order_watch_check_expiry (&w, 1200));
+  ck_assert (cf_order_watch_is_sent_direct (&w, CF_ORDER_ARM));
 }
 END_TEST
 
