--- a/gateway/hold-lease.c
+++ b/gateway/hold-lease.c
@@ -1,17 +1,17 @@
 #include "hold-lease.h"
 
-/** A leader whose processor is capped may pause for 100 ms and more between
- * two renewals. */
+/** A leader whose processor time is limited may pause for 100 ms or more
+ * between two renewals. */
 #define LEASE_MS 250
-/** A standby takes over, and is heard by those after it, within this. */
-#define TURN_MS 250
-/** Past this age a lease says nothing of what is held now. */
-#define FORGET_MS 10000
+/** Time in which a standby takes over and the standbys after it hear of it. */
+#define TAKEOVER_MS 250
+/** An older lease no longer tells whether a pass is held. */
+#define MAX_AGE_MS 10000
 
 void
 cf_hold_lease_renew (CfHoldLease *l, gint64 fence, gboolean held, gint64 now)
 {
-  if (fence < l->fence && now - l->renewed_ms < FORGET_MS)
+  if (fence < l->fence && now - l->renewed_ms < MAX_AGE_MS)
     return;
   l->fence = fence;
   l->held = held;
@@ -21,12 +21,12 @@
 gboolean
 cf_hold_lease_is_open (const CfHoldLease *l, gint64 now)
 {
-  return l->held && now - l->renewed_ms < FORGET_MS;
+  return l->held && now - l->renewed_ms < MAX_AGE_MS;
 }
 
 gboolean
 cf_hold_lease_has_expired (const CfHoldLease *l, int place, gint64 now)
 {
   return cf_hold_lease_is_open (l, now)
-         && now - l->renewed_ms > LEASE_MS + (gint64)place * TURN_MS;
+         && now - l->renewed_ms > LEASE_MS + (gint64)place * TAKEOVER_MS;
 }
--- a/gateway/map-coordinator-parts.h
+++ b/gateway/map-coordinator-parts.h
@@ -3,86 +3,93 @@
 #include "map-coordinator.h"
 
 /**
- * What the parts of the coordinator share.  Its state machine
- * (map-coordinator.c) has each state's work done: learning what an earlier
- * leader left (map-coordinator-settle.c), planning and preparing a change
- * (map-coordinator-plan.c), holding a pass, arming the ranks and switching
- * (map-coordinator-switch.c).  What ranks say comes in by
- * map-coordinator-reports.c.  All of them stand on map-coordinator-view.c.
+ * Internal interface between the coordinator's source files.  The state
+ * machine (map-coordinator.c) calls one function per state: settling and
+ * invalidating are in map-coordinator-settle.c, planning and preparing a
+ * change in map-coordinator-plan.c, holding a pass, arming the ranks and
+ * switching in map-coordinator-switch.c.  map-coordinator-reports.c takes in
+ * the ranks' reports.  All of them use map-coordinator-view.c.
  */
 
-/** An order without an answer is sent again after so long: an answer takes
- * about 5 ms on the way through the rank's own VM, where it is tried for up
- * to 0.1 s. */
+/** An unanswered order is sent again after this time.  An answer takes about
+ * 5 ms through the agent on the rank's VM, which retries the order for up to
+ * 0.1 s. */
 #define CF_MAP_ORDER_RETRY_MS 120
-/** Copies take a second or so; the order is only repeated in case it was
- * lost, and a rank that has it already answers so. */
+/** Retry time of an order to prepare.  Copies take about a second; the order is
+ * repeated only in case it was lost, and a rank that already has it says so. */
 #define CF_MAP_PREPARE_RETRY_MS 250
-/** No plan for so long after a change that was given up. */
+/** Pause before the next plan after a change was given up. */
 #define CF_MAP_ABORT_PAUSE_MS 500
-/** Passes ahead that one is held, at most. */
+/** Maximum distance from the newest known pass to the one to hold. */
 #define CF_MAP_MAX_PASSES_AHEAD 48
 
-/* The group as a whole. */
+/* The group as a whole */
 
-/** cf_map_count_experts: of all sets; a rank counts each. */
+/** cf_map_count_experts: the number of experts of all sets together. */
 gsize cf_map_count_experts (const CfMapCoordinator *c);
 
-/** cf_map_enter_state: from now on it is in state @s, with no order open. */
+/** cf_map_enter_state: enters state @s, with no plan and no order pending. */
 void cf_map_enter_state (CfMapCoordinator *c, CfMapState s, const char *why,
                          gint64 now);
 
-/** cf_map_allocate_version: one that no leader has used.
- * @is_barrier: no rank is ever armed with it */
+/**
+ * cf_map_allocate_version:
+ * @is_barrier: the version is prepared only so that ranks refuse late orders
+ *   of earlier versions; no rank is ever armed with it
+ * Returns: a version that no leader has used.
+ */
 gint64 cf_map_allocate_version (CfMapCoordinator *c, gboolean is_barrier);
 
 gboolean cf_map_version_is_barrier (gint64 version);
 
-/** cf_map_has_all_reports_since: whether every rank has reported since then, of
- * this epoch and with its group whole. */
+/** cf_map_has_all_reports_since: whether every rank has reported after @since,
+ * in this epoch and while its group makes passes. */
 gboolean cf_map_has_all_reports_since (const CfMapCoordinator *c, gint64 since);
 
 gboolean cf_map_has_armed_rank (const CfMapCoordinator *c);
 gboolean cf_map_has_held_pass (const CfMapCoordinator *c);
 
-/** cf_map_is_in_use_known: whether @in_use is what every rank has in use. */
+/** cf_map_is_in_use_known: whether @in_use is complete and matches the map that
+ * every rank has in use. */
 gboolean cf_map_is_in_use_known (const CfMapCoordinator *c);
 
 /* Orders */
 
-/** cf_map_may_send: whether no order is open, or the last was too long ago. */
-gboolean cf_map_may_send (const CfRankView *v, gint64 now, gint64 again_ms);
+/** cf_map_may_send: whether the rank has no unanswered order, or one that was
+ * sent at least @retry_ms ago. */
+gboolean cf_map_may_send (const CfRankView *v, gint64 now, gint64 retry_ms);
 
-/** cf_map_send_order: sends @o, with the epoch and the fencing token. */
+/** cf_map_send_order: sends @o with the current epoch and fencing token. */
 void cf_map_send_order (CfMapCoordinator *c, int rank, CfRankOrder *o,
                         gint64 now);
 
-/** cf_map_request_lists: asks the ranks whose experts are not known. */
+/** cf_map_request_lists: requests the expert lists that are not known. */
 void cf_map_request_lists (CfMapCoordinator *c, gint64 now);
 
-/* Each state's work at a tick. */
+/* The work of each state at a tick */
 
-/** cf_map_run_settling: settling; learns what is pending, once all have
- * reported. */
+/** cf_map_run_settling: once all ranks have reported, finds out which change
+ * is pending. */
 void cf_map_run_settling (CfMapCoordinator *c, gint64 now);
 
-/** cf_map_run_invalidating: burning; makes void what may still come. */
+/** cf_map_run_invalidating: disarms every rank and has it prepare a barrier
+ * version, so that it refuses late orders; then ends all holds. */
 void cf_map_run_invalidating (CfMapCoordinator *c, gint64 now);
 
-/** cf_map_run_idle: idle; looks for a better map, and begins the change. */
+/** cf_map_run_idle: looks for a better map, and begins the change to it. */
 void cf_map_run_idle (CfMapCoordinator *c, gint64 now);
 
-/** cf_map_run_preparing: preparing; has every rank copy what it lacks. */
+/** cf_map_run_preparing: has every rank copy the experts that it lacks. */
 void cf_map_run_preparing (CfMapCoordinator *c, gint64 now);
 
-/** cf_map_run_holding: holding; has one rank hold a pass to come. */
+/** cf_map_run_holding: has one rank hold a future pass. */
 void cf_map_run_holding (CfMapCoordinator *c, gint64 now);
 
-/** cf_map_run_arming: arming; has every rank switch at the pass held. */
+/** cf_map_run_arming: orders every rank to switch at the held pass. */
 void cf_map_run_arming (CfMapCoordinator *c, gint64 now);
 
-/** cf_map_run_releasing: releasing; ends the hold. */
+/** cf_map_run_releasing: ends the hold. */
 void cf_map_run_releasing (CfMapCoordinator *c, gint64 now);
 
-/** cf_map_run_switching: switching; waits until all have begun the pass. */
+/** cf_map_run_switching: waits until every rank has begun the pass. */
 void cf_map_run_switching (CfMapCoordinator *c, gint64 now);
--- a/gateway/map-coordinator-plan.c
+++ b/gateway/map-coordinator-plan.c
@@ -3,19 +3,20 @@
 #include "ablation.h"
 #include "map-gain.h"
 
-/** A copy of all that one change may bring takes under a second; past this
- * the change is given up, which costs nothing since no rank is armed. */
-#define PREPARE_MAX_MS 4000
-/** Moves looked for in a tick: about 1 ms of processor, in which no caller's
- * event is passed on. */
-#define LOOKS_A_TICK 24
-/** Orders to prepare that are sent in a tick: they hold what changes of the
- * whole map, and no caller's event is passed on meanwhile. */
-#define ORDERS_A_TICK 64
-/** Between two plans. */
+/** The copies of one change take under a second.  A change that takes longer
+ * than this is given up, which costs nothing since no rank is armed yet. */
+#define PREPARE_TIMEOUT_MS 4000
+/** Searches for a move per tick.  They take about 1 ms of processor time,
+ * during which the gateway forwards no caller's events. */
+#define MAX_SEARCHES_PER_TICK 24
+/** Orders to prepare sent per tick.  They contain the changes to the whole map,
+ * and the gateway forwards no caller's events while it sends them. */
+#define MAX_ORDERS_PER_TICK 64
+/** Pause between two plans. */
 #define PLAN_PAUSE_MS 100
 
-/* Whether all that a plan stands on is known. */
+/* Whether everything that a plan is based on is known; requests the expert
+ * lists if they are not. */
 static gboolean
 may_plan (CfMapCoordinator *c, gint64 now)
 {
@@ -31,7 +32,7 @@
 }
 
 static void
-begin_plan (CfMapCoordinator *c)
+start_plan (CfMapCoordinator *c)
 {
   CfPlanLimits limits = c->limits;
 
@@ -44,7 +45,7 @@
 }
 
 static void
-end_plan (CfMapCoordinator *c, gint64 now)
+finish_plan (CfMapCoordinator *c, gint64 now)
 {
   double before = cf_map_plan_skew_before (c->plan);
   double after = cf_map_plan_skew_after (c->plan);
@@ -70,38 +71,38 @@
     }
   if (!may_plan (c, now))
     {
-      /* Its demand has shifted, or a rank is away. */
+      /* The demand has shifted, or a rank does not report. */
       g_clear_pointer (&c->plan, cf_map_plan_free);
       return;
     }
   if (!c->plan)
-    begin_plan (c);
-  if (cf_map_plan_step (c->plan, LOOKS_A_TICK))
-    end_plan (c, now);
+    start_plan (c);
+  if (cf_map_plan_step (c->plan, MAX_SEARCHES_PER_TICK))
+    finish_plan (c, now);
 }
 
 void
 cf_map_run_preparing (CfMapCoordinator *c, gint64 now)
 {
-  gboolean ready = TRUE;
-  int orders = 0;
+  gboolean all_prepared = TRUE;
+  int n_orders = 0;
 
-  for (int r = 0; r < c->shape.ranks && orders < ORDERS_A_TICK; r++)
+  for (int r = 0; r < c->shape.ranks && n_orders < MAX_ORDERS_PER_TICK; r++)
     {
       CfRankView *v = &c->ranks[r];
       CfRankOrder o = { .kind = CF_ORDER_PREPARE, .version = c->version };
 
       if (v->status.prepared == c->version)
         continue;
-      ready = FALSE;
+      all_prepared = FALSE;
       o.map = c->next;
       if (!cf_map_may_send (v, now, CF_MAP_PREPARE_RETRY_MS))
         continue;
       cf_map_send_order (c, r, &o, now);
-      orders++;
+      n_orders++;
     }
-  c->has_unsent_orders = orders == ORDERS_A_TICK;
-  if (ready)
+  c->has_unsent_orders = n_orders == MAX_ORDERS_PER_TICK;
+  if (all_prepared)
     {
       c->passes_ahead = cf_map_coordinator_choose_passes_ahead (c);
       c->step = 0;
@@ -109,7 +110,7 @@
       c->hold_start_ms = now;
       cf_map_enter_state (c, CF_MAP_HOLDING, "all-prepared", now);
     }
-  else if (now - c->state_ms > PREPARE_MAX_MS)
+  else if (now - c->state_ms > PREPARE_TIMEOUT_MS)
     {
       c->idle_until_ms = now + CF_MAP_ABORT_PAUSE_MS;
       cf_map_enter_state (c, CF_MAP_IDLE, "copies-too-slow", now);
--- a/gateway/map-coordinator-reports.c
+++ b/gateway/map-coordinator-reports.c
@@ -1,11 +1,11 @@
 #include "map-coordinator-parts.h"
 
-/** Passes this long apart, or more, show a group at rest. */
-#define PASS_MOST_MS 1000
+/** A longer time between two passes means that the group was idle. */
+#define MAX_PASS_MS 1000
 
-/* The group formed anew: all that was pending is void. */
+/* The group formed anew: all pending changes are void. */
 static void
-new_epoch (CfMapCoordinator *c, gint64 epoch, gint64 now)
+start_epoch (CfMapCoordinator *c, gint64 epoch, gint64 now)
 {
   c->epoch = epoch;
   c->newest_pass = 0;
@@ -16,9 +16,9 @@
   cf_map_enter_state (c, CF_MAP_SETTLING, "new-epoch", now);
 }
 
-/* How long passes take, from the newest that ranks report. */
+/* Updates the duration of passes from the newest pass that ranks report. */
 static void
-note_pass (CfMapCoordinator *c, gint64 step, gint64 now)
+update_pass_time (CfMapCoordinator *c, gint64 step, gint64 now)
 {
   gint64 ms;
 
@@ -27,34 +27,36 @@
   ms = (now - c->newest_pass_ms) / (step - c->newest_pass);
   c->newest_pass = step;
   c->newest_pass_ms = now;
-  if (ms > PASS_MOST_MS)
+  if (ms > MAX_PASS_MS)
     c->pass_ms = 0;
   else
     c->pass_ms = c->pass_ms ? (c->pass_ms + ms) / 2 : ms;
 }
 
-/* Another leader's token guards a rank: this one orders nothing more. */
+/* Gives up the lead, as a rank is guarded by a higher token: this leader sends
+ * no more orders. */
 static void
-lose_lead (CfMapCoordinator *c, gint64 now)
+stop_leading (CfMapCoordinator *c, gint64 now)
 {
   c->fence = 0;
   c->fenced_ms = now;
   cf_map_enter_state (c, CF_MAP_SETTLING, "fenced", now);
 }
 
-/* Whether @s is of a start of the rank before the one known. */
+/* Whether @s is from an earlier incarnation of the rank than the known one. */
 static gboolean
-is_former (const CfRankView *v, const CfRankStatus *s)
+is_of_earlier_incarnation (const CfRankView *v, const CfRankStatus *s)
 {
   return s->incarnation && s->incarnation < v->status.incarnation
          && s->epoch <= v->status.epoch;
 }
 
-/* The rank started anew: it holds and knows nothing of what was ordered; its
- * status says by which token it guards itself.  Its group forms anew, as the
- * next reports will say; until then nothing that is under way can go on. */
+/* The rank restarted: no order that it got before is in effect or known to it,
+ * and its status names the token that guards it now.  The next reports will
+ * show that its group formed anew; until then no pending change can
+ * continue. */
 static void
-restarted (CfMapCoordinator *c, int rank, gint64 now)
+handle_restart (CfMapCoordinator *c, int rank, gint64 now)
 {
   CfRankView *v = &c->ranks[rank];
 
@@ -72,16 +74,16 @@
   if (s->rank < 0 || s->rank >= c->shape.ranks || s->epoch < c->epoch)
     return;
   if (s->epoch > c->epoch)
-    new_epoch (c, s->epoch, now);
+    start_epoch (c, s->epoch, now);
   v = &c->ranks[s->rank];
-  if (is_former (v, s))
+  if (is_of_earlier_incarnation (v, s))
     return;
   if (s->incarnation > v->status.incarnation && v->status.incarnation)
-    restarted (c, s->rank, now);
+    handle_restart (c, s->rank, now);
   v->status = *s;
-  note_pass (c, s->step, now);
+  update_pass_time (c, s->step, now);
   if (c->fence && token > c->fence)
-    lose_lead (c, now);
+    stop_leading (c, now);
   v->token = token;
   v->seen_ms = as_of;
   if (!s->open && c->state != CF_MAP_SETTLING)
@@ -100,9 +102,9 @@
                                       const CfRankStatus *s, gint64 token,
                                       gint64 as_of, gint64 now)
 {
-  gboolean is_ours = s->rank >= 0 && s->rank < c->shape.ranks;
+  gboolean is_valid_rank = s->rank >= 0 && s->rank < c->shape.ranks;
 
-  if (is_ours && as_of > c->ranks[s->rank].seen_ms)
+  if (is_valid_rank && as_of > c->ranks[s->rank].seen_ms)
     take_status (c, s, token, as_of, now);
 }
 
@@ -122,9 +124,9 @@
     cf_expert_demand_add (&c->demand, drawn);
 }
 
-/* Writes one rank's row of every set; FALSE if it does not fit the shape. */
+/* Writes the rank's rows of all sets; FALSE if they don't fit the shape. */
 static gboolean
-take_rows (CfMapCoordinator *c, int rank, const gint64 *experts, guint n)
+set_rows (CfMapCoordinator *c, int rank, const gint64 *experts, guint n)
 {
   int set = 0;
   int place = 0;
@@ -155,12 +157,12 @@
   if (rank < 0 || rank >= c->shape.ranks || epoch != c->epoch)
     return;
   c->ranks[rank].pending_since_ms = 0;
-  if (take_rows (c, rank, experts, n))
+  if (set_rows (c, rank, experts, n))
     c->ranks[rank].lists_version = version;
 }
 
 static void
-refused (CfMapCoordinator *c, int rank, gint64 now)
+handle_refusal (CfMapCoordinator *c, int rank, gint64 now)
 {
   switch (c->state)
     {
@@ -171,7 +173,7 @@
     case CF_MAP_HOLDING:
       if (rank != c->holder || c->ranks[rank].status.held == c->step)
         break;
-      /* The pass has begun: one further ahead. */
+      /* The pass has already begun: hold one further ahead. */
       c->step = 0;
       c->passes_ahead = MIN (c->passes_ahead * 2, CF_MAP_MAX_PASSES_AHEAD);
       break;
@@ -191,14 +193,15 @@
     case CF_RANK_ACK_DONE:
       break;
     case CF_RANK_ACK_UNKNOWN:
-      /* Given again at once: it may be carried out late, or never. */
+      /* Send it again at the next tick: it may be carried out late, or
+       * never. */
       c->ranks[rank].pending_since_ms = 0;
       break;
     case CF_RANK_ACK_REFUSED:
-      refused (c, rank, now);
+      handle_refusal (c, rank, now);
       break;
     case CF_RANK_ACK_FENCED:
-      lose_lead (c, now);
+      stop_leading (c, now);
       break;
     }
 }
--- a/gateway/map-coordinator-settle.c
+++ b/gateway/map-coordinator-settle.c
@@ -1,7 +1,8 @@
 #include "map-coordinator-parts.h"
 
+/* Whether this leader's token, or a higher one, guards every rank. */
 static gboolean
-guards_all (const CfMapCoordinator *c)
+is_guarding_all_ranks (const CfMapCoordinator *c)
 {
   for (int r = 0; r < c->shape.ranks; r++)
     if (c->ranks[r].token < c->fence)
@@ -9,9 +10,10 @@
   return TRUE;
 }
 
-/* The only pass held, with the rank that holds it; 0 if none or several. */
+/* Returns the only held pass and a rank that holds it; 0 if no pass is held,
+ * or different ones are. */
 static gint64
-only_hold (const CfMapCoordinator *c, int *holder)
+find_only_hold (const CfMapCoordinator *c, int *holder)
 {
   gint64 step = 0;
 
@@ -30,10 +32,10 @@
   return step;
 }
 
-/* The version that every rank has armed, prepared or in use; 0 if they
- * differ. */
+/* Returns the version that every rank has armed, prepared or in use; 0 if the
+ * ranks differ. */
 static gint64
-common_version (const CfMapCoordinator *c)
+find_common_version (const CfMapCoordinator *c)
 {
   gint64 common = 0;
 
@@ -56,20 +58,22 @@
   int holder = 0;
   gint64 step;
 
-  if (!cf_map_has_all_reports_since (c, c->state_ms) || !guards_all (c))
+  if (!cf_map_has_all_reports_since (c, c->state_ms)
+      || !is_guarding_all_ranks (c))
     return;
   held = cf_map_has_held_pass (c);
-  step = only_hold (c, &holder);
+  step = find_only_hold (c, &holder);
   if (!held && !cf_map_has_armed_rank (c))
     {
       cf_map_enter_state (c, CF_MAP_IDLE, "nothing-pending", now);
       return;
     }
   g_clear_pointer (&c->next, cf_group_map_free);
-  c->version = common_version (c);
+  c->version = find_common_version (c);
   if (c->version && !held)
     cf_map_enter_state (c, CF_MAP_SWITCHING, "all-armed", now);
-  /* Under a void version the leader before may be about to end the hold. */
+  /* With a barrier version, the leader before may be about to end the hold;
+   * ranks armed for that pass could then begin it with different maps. */
   else if (c->version && step && !cf_map_version_is_barrier (c->version))
     {
       c->step = step;
@@ -84,7 +88,7 @@
 void
 cf_map_run_invalidating (CfMapCoordinator *c, gint64 now)
 {
-  gboolean clear = TRUE;
+  gboolean all_prepared = TRUE;
 
   if (!cf_map_is_in_use_known (c))
     {
@@ -103,7 +107,7 @@
 
       if (!v->status.armed && v->status.prepared == c->version)
         continue;
-      clear = FALSE;
+      all_prepared = FALSE;
       if (!cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
         continue;
       o.map = c->next;
@@ -114,7 +118,7 @@
         }
       cf_map_send_order (c, r, &o, now);
     }
-  for (int r = 0; clear && r < c->shape.ranks; r++)
+  for (int r = 0; all_prepared && r < c->shape.ranks; r++)
     {
       CfRankView *v = &c->ranks[r];
       CfRankOrder o = { .kind = CF_ORDER_GO, .step = v->status.held };
@@ -122,6 +126,6 @@
       if (v->status.held && cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
         cf_map_send_order (c, r, &o, now);
     }
-  if (clear && !cf_map_has_held_pass (c))
+  if (all_prepared && !cf_map_has_held_pass (c))
     cf_map_enter_state (c, CF_MAP_IDLE, "burnt", now);
 }
--- a/gateway/map-coordinator-switch.c
+++ b/gateway/map-coordinator-switch.c
@@ -1,13 +1,14 @@
 #include "map-coordinator-parts.h"
 
-/** A hold that is not confirmed, or an arm refused for so long, is looked
- * into afresh. */
-#define STEP_MAX_MS 1500
-/** Of the last time, what is still reckoned with after a quicker change. */
-#define ARMING_KEEP 0.7
+/** If the hold is not confirmed, or not all ranks are armed, within this time,
+ * the coordinator settles again. */
+#define STAGE_TIMEOUT_MS 1500
+/** After a quicker change, the estimated arming time falls to no less than this
+ * fraction of itself. */
+#define ARMING_DECAY 0.7
 
 static gint64
-newest_step (const CfMapCoordinator *c)
+find_newest_pass (const CfMapCoordinator *c)
 {
   gint64 step = 0;
 
@@ -57,14 +58,14 @@
       cf_map_enter_state (c, CF_MAP_ARMING, "held", now);
       return;
     }
-  if (v->status.held || now - c->state_ms > STEP_MAX_MS)
+  if (v->status.held || now - c->state_ms > STAGE_TIMEOUT_MS)
     {
       cf_map_enter_state (c, CF_MAP_SETTLING, "hold-not-confirmed", now);
       return;
     }
   if (c->step == 0)
     {
-      c->step = newest_step (c) + c->passes_ahead;
+      c->step = find_newest_pass (c) + c->passes_ahead;
       v->pending_since_ms = 0;
     }
   o.step = c->step;
@@ -72,17 +73,18 @@
     cf_map_send_order (c, c->holder, &o, now);
 }
 
-/* Where orders get lost, arming all ranks takes longer. */
+/* Updates the estimated time to arm all ranks, which is longer while orders get
+ * lost. */
 static void
-learn_arming (CfMapCoordinator *c, gint64 ms)
+update_arming_time (CfMapCoordinator *c, gint64 ms)
 {
-  c->arming_ms = MAX (ms, (gint64)((double)c->arming_ms * ARMING_KEEP));
+  c->arming_ms = MAX (ms, (gint64)((double)c->arming_ms * ARMING_DECAY));
 }
 
 void
 cf_map_run_arming (CfMapCoordinator *c, gint64 now)
 {
-  gboolean ready = TRUE;
+  gboolean all_armed = TRUE;
 
   for (int r = 0; r < c->shape.ranks; r++)
     {
@@ -91,17 +93,17 @@
 
       if (v->status.armed == c->version || v->status.map == c->version)
         continue;
-      ready = FALSE;
+      all_armed = FALSE;
       o.step = c->step;
       if (cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
         cf_map_send_order (c, r, &o, now);
     }
-  if (ready)
+  if (all_armed)
     {
-      learn_arming (c, now - c->hold_start_ms);
+      update_arming_time (c, now - c->hold_start_ms);
       cf_map_enter_state (c, CF_MAP_RELEASING, "all-armed", now);
     }
-  else if (now - c->state_ms > STEP_MAX_MS)
+  else if (now - c->state_ms > STAGE_TIMEOUT_MS)
     cf_map_enter_state (c, CF_MAP_SETTLING, "arming-too-slow", now);
 }
 
@@ -111,7 +113,8 @@
   CfRankView *v = &c->ranks[c->holder];
   CfRankOrder o = { .kind = CF_ORDER_GO, .step = c->step };
 
-  /* What an agent read before the hold may come in after it was confirmed. */
+  /* A status that the agent read before the hold may arrive after the hold was
+   * confirmed, so an order to release has to be sent first. */
   if (v->status.held != c->step && v->pending_since_ms != 0)
     cf_map_enter_state (c, CF_MAP_SWITCHING, "released", now);
   else if (cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
@@ -119,7 +122,7 @@
 }
 
 static gboolean
-all_on_version (const CfMapCoordinator *c)
+has_all_switched (const CfMapCoordinator *c)
 {
   for (int r = 0; r < c->shape.ranks; r++)
     if (c->ranks[r].status.map != c->version)
@@ -141,7 +144,7 @@
 void
 cf_map_run_switching (CfMapCoordinator *c, gint64 now)
 {
-  if (all_on_version (c))
+  if (has_all_switched (c))
     {
       adopt_next (c);
       c->n_changes++;
--- a/gateway/map-coordinator-view.c
+++ b/gateway/map-coordinator-view.c
@@ -1,11 +1,14 @@
 #include "map-coordinator-parts.h"
 
-/** Versions one leader may use under one token. */
-#define VERSION_BITS 10
+/* A version consists of the leader's fencing token, its salt, a counter and the
+ * barrier flag, from the highest bits to the lowest. */
+
+/** Bits of the counter of versions that a leader uses under one token. */
+#define COUNTER_BITS 10
 #define SALT_BITS 14
 #define SALT_MASK ((1U << SALT_BITS) - 1)
-/** Set if a version is only there to make orders of earlier ones void. */
-#define VOID_BITS 1
+/** Bits of the barrier flag. */
+#define BARRIER_BITS 1
 
 gsize
 cf_map_count_experts (const CfMapCoordinator *c)
@@ -32,9 +35,9 @@
 cf_map_allocate_version (CfMapCoordinator *c, gboolean is_barrier)
 {
   gint64 salt = c->salt & SALT_MASK;
-  gint64 n = ((c->fence << SALT_BITS | salt) << VERSION_BITS) + ++c->n_versions;
+  gint64 n = ((c->fence << SALT_BITS | salt) << COUNTER_BITS) + ++c->n_versions;
 
-  return n << VOID_BITS | (is_barrier ? 1 : 0);
+  return n << BARRIER_BITS | (is_barrier ? 1 : 0);
 }
 
 gboolean
@@ -46,7 +49,7 @@
 gint64
 cf_map_version_fence (gint64 version)
 {
-  return version >> (SALT_BITS + VERSION_BITS + VOID_BITS);
+  return version >> (SALT_BITS + COUNTER_BITS + BARRIER_BITS);
 }
 
 gboolean
@@ -90,9 +93,9 @@
 }
 
 gboolean
-cf_map_may_send (const CfRankView *v, gint64 now, gint64 again_ms)
+cf_map_may_send (const CfRankView *v, gint64 now, gint64 retry_ms)
 {
-  return v->pending_since_ms == 0 || now - v->pending_since_ms >= again_ms;
+  return v->pending_since_ms == 0 || now - v->pending_since_ms >= retry_ms;
 }
 
 void
--- a/gateway/map-coordinator.c
+++ b/gateway/map-coordinator.c
@@ -2,15 +2,16 @@
 
 #include <string.h>
 
-/** Without a tick for so long others may have acted, and what this leader
- * believes is learned anew.  No other leads before agents have heard nothing of
- * this one for 1,300 ms, of which 400 may have passed before the gap: less is
- * a process that was busy, or had little of its processor. */
-#define GAP_MS 800
-/** How long holding a pass and arming 16 ranks takes, until it is known.
- * So many passes ahead one is held: a group that stands still makes its
- * callers wait, one that is warned too early runs on with a worse map. */
-#define ARMING_FIRST_MS 60
+/** After a longer gap between ticks another gateway may have led meanwhile, so
+ * the coordinator settles again.  No other gateway takes the lead before agents
+ * have heard nothing from this one for 1,300 ms, of which 400 ms may have
+ * passed before the gap; a shorter gap is that of a process that was busy or
+ * got little processor time. */
+#define MAX_TICK_GAP_MS 800
+/** Time to hold a pass and arm 16 ranks, until the real time is known.  It sets
+ * how many passes ahead a pass is held: with too few, the group stops and its
+ * callers wait; with too many, it runs longer with the worse map. */
+#define INITIAL_ARMING_MS 60
 
 const char *
 cf_map_state_name (CfMapState s)
@@ -32,7 +33,7 @@
     case CF_MAP_SWITCHING:
       return "switching";
     case CF_MAP_INVALIDATING:
-      return "burning";
+      return "burning"; /* its name in the log */
     }
   return "unknown";
 }
@@ -53,7 +54,7 @@
   cf_expert_demand_init (&c->demand, shape->ranks, cf_map_count_experts (c));
   c->pace = g_new0 (double, shape->ranks);
   c->in_use = cf_group_map_new (shape);
-  c->arming_ms = ARMING_FIRST_MS;
+  c->arming_ms = INITIAL_ARMING_MS;
 }
 
 void
@@ -87,13 +88,13 @@
 void
 cf_map_coordinator_tick (CfMapCoordinator *c, gint64 now)
 {
-  gboolean stood_still = now - c->last_tick_ms > GAP_MS;
+  gboolean was_stalled = now - c->last_tick_ms > MAX_TICK_GAP_MS;
 
   c->last_tick_ms = now;
   cf_expert_demand_tick (&c->demand, now);
   if (c->fence == 0)
     return;
-  if (stood_still && c->state != CF_MAP_SETTLING)
+  if (was_stalled && c->state != CF_MAP_SETTLING)
     cf_map_enter_state (c, CF_MAP_SETTLING, "stood-still", now);
   switch (c->state)
     {
--- a/gateway/map-coordinator.h
+++ b/gateway/map-coordinator.h
@@ -5,62 +5,65 @@
 #include "rank.h"
 
 /**
- * Changing a rank group's expert maps at one pass, on every rank or none.
+ * Changes a rank group's expert maps at one pass, on every rank or on none.
  *
- * The coordinator moves forward from what the ranks report, never from what
- * it remembers having sent: an order may be lost, carried out seconds late
- * or twice.  It keeps these rules, which docs/MAP-CHANGE.md argues for:
+ * The coordinator advances only on what the ranks report, never on what it
+ * has sent: an order may be lost, carried out seconds late, or carried out
+ * twice.  It keeps these rules, which docs/MAP-CHANGE.md explains:
  *
- *  - A leader acts on what ranks report once its token guards them all, so
- *    that no earlier leader changes them behind its back.
+ *  - A leader acts on the ranks' reports only once its fencing token guards
+ *    all of them, so that no earlier leader can change them meanwhile.
  *  - A rank is armed only while a pass is known to be held, and after every
- *    rank is known to have the version prepared.
+ *    rank is known to have prepared the version.
  *  - The hold is ended only once every rank is known to be armed.
- *  - From the first order to arm there is no way back: whoever leads next
- *    arms the rest and ends the hold.
- *  - A version is never used twice: it holds its leader's fencing token.
+ *  - Once the first order to arm is sent, the change can't be undone: the
+ *    next leader arms the remaining ranks and ends the hold.
+ *  - A version is never used twice: it contains its leader's fencing token.
  *
- * It has no clock and no network: statuses, acknowledgements and the time
- * come in, orders go out through a call, so that tests drive it alone.
+ * The coordinator has no clock and no network.  Its caller passes in
+ * statuses, acknowledgements and the time, and sends the orders that a
+ * callback hands out; tests can therefore drive it on its own.
  */
 
 /** CfMapState: what the coordinator is doing. */
 typedef enum
 {
-  CF_MAP_SETTLING,     /**< learns what an earlier leader left */
-  CF_MAP_IDLE,         /**< nothing is pending; a plan may be made */
-  CF_MAP_PREPARING,    /**< the ranks copy experts */
-  CF_MAP_HOLDING,      /**< a pass is being held */
-  CF_MAP_ARMING,       /**< the ranks are told to switch at that pass */
+  CF_MAP_SETTLING,     /**< learns which changes earlier leaders left pending */
+  CF_MAP_IDLE,         /**< nothing is pending; looks for a better map */
+  CF_MAP_PREPARING,    /**< the ranks copy experts for the next map */
+  CF_MAP_HOLDING,      /**< one rank is ordered to hold a pass */
+  CF_MAP_ARMING,       /**< the ranks are ordered to switch at the held pass */
   CF_MAP_RELEASING,    /**< the hold is being ended */
-  CF_MAP_SWITCHING,    /**< the pass has not been begun everywhere yet */
-  CF_MAP_INVALIDATING, /**< orders that may still come are made void */
+  CF_MAP_SWITCHING,    /**< waits until every rank has begun the pass */
+  CF_MAP_INVALIDATING, /**< makes orders void that may still be delivered */
 } CfMapState;
 
+/** cf_map_state_name: the state's name in the log. */
 const char *cf_map_state_name (CfMapState s);
 
 /** CfRankView: what the coordinator knows of one rank. */
 typedef struct
 {
   CfRankStatus status;
-  gint64 token;            /**< that guards it, as of @status */
-  gint64 seen_ms;          /**< when @status came in; 0 if never */
-  gint64 pending_since_ms; /**< when the last order was sent; 0: none is open */
-  gint64 lists_version; /**< version that its row of @in_use is of; -1: none */
+  gint64 token;            /**< fencing token that guards it, as of @status */
+  gint64 seen_ms;          /**< time that @status is as of; 0: none yet */
+  gint64 pending_since_ms; /**< when the unanswered order or list request was
+                                sent; 0: none is unanswered */
+  gint64 lists_version;    /**< version of its row in @in_use; -1: unknown */
 } CfRankView;
 
-/** CfMapCoordinatorCallbacks: how orders get out. */
+/** CfMapCoordinatorCallbacks: how orders and requests reach the ranks. */
 typedef struct
 {
   void (*send_order) (void *data, int rank, const CfRankOrder *o);
-  /** Asks which experts a rank holds. */
+  /** Requests the list of experts that a rank holds. */
   void (*request_lists) (void *data, int rank);
-  /** A state was left; for the log. */
+  /** The coordinator entered state @to; for the log. */
   void (*state_changed) (void *data, CfMapState from, CfMapState to,
                          const char *why);
 } CfMapCoordinatorCallbacks;
 
-/** CfMapCoordinator: the changes of one group's maps. */
+/** CfMapCoordinator: coordinates the map changes of one rank group. */
 typedef struct
 {
   const CfMapCoordinatorCallbacks *callbacks;
@@ -69,35 +72,35 @@
   CfPlanLimits limits;
   CfMapState state;
   gint64 state_ms;  /**< when @state was entered */
-  gint64 fence;     /**< token of this leader; 0: it does not lead */
-  gint64 fenced_ms; /**< when another leader\'s token was last met; 0: never */
+  gint64 fence;     /**< fencing token of this leader; 0: it does not lead */
+  gint64 fenced_ms; /**< when a higher token was last met; 0: never */
   gint64 epoch;
   gint64 last_tick_ms;
-  gint64 idle_until_ms; /**< no plan before */
+  gint64 idle_until_ms; /**< no plan is made before this time */
   CfRankView *ranks;
   CfExpertDemand demand;
-  double *pace; /**< by rank, as the last plan took it */
+  double *pace; /**< by rank: the pace used for the last plan */
   CfGroupMap *in_use;
   CfGroupMap *next;
-  CfMapPlan *plan;            /**< (nullable): being made, of @in_use */
-  gboolean has_unsent_orders; /**< orders that the last tick did not send */
-  gint64 version;             /**< of @next */
-  guint n_versions;           /**< used by this leader */
-  guint salt;           /**< differs from one life of a leader to the next */
-  gint64 step;          /**< the pass held */
-  int holder;           /**< the rank that holds it */
-  int passes_ahead;     /**< passes between the newest known and @step */
-  gint64 hold_start_ms; /**< when that pass was first to be held */
-  gint64 arming_ms;   /**< how long it takes to hold a pass and arm all ranks */
-  gint64 pass_ms;     /**< how long a pass takes lately; 0: not known */
-  gint64 pass_aim_ms; /**< callers are served late if it takes longer; 0: any
-                           length will do */
-  gint64 newest_pass; /**< the newest pass known... */
-  gint64 newest_pass_ms; /**< ...and since when */
+  CfMapPlan *plan; /**< (nullable): unfinished plan, based on @in_use */
+  gboolean has_unsent_orders; /**< the last tick left orders unsent */
+  gint64 version;             /**< version of @next */
+  guint n_versions;           /**< versions used under the present token */
+  guint salt;            /**< random; differs each time the lead is taken */
+  gint64 step;           /**< number of the held pass */
+  int holder;            /**< rank that holds it */
+  int passes_ahead;      /**< from the newest known pass to the one to hold */
+  gint64 hold_start_ms;  /**< when the coordinator began to hold the pass */
+  gint64 arming_ms;      /**< estimated time to hold a pass and arm all ranks */
+  gint64 pass_ms;        /**< recent duration of a pass; 0: unknown */
+  gint64 pass_aim_ms;    /**< longest pass that serves callers in time; 0: no
+                              limit */
+  gint64 newest_pass;    /**< newest pass that a rank has reported */
+  gint64 newest_pass_ms; /**< when it was first reported */
   guint64 n_changes;
-  int n_copies;       /**< experts that the last change copied */
-  double skew_before; /**< as planned */
-  double skew_after;
+  int n_copies;       /**< experts copied by the last planned change */
+  double skew_before; /**< skew of the map in use at the last planned change */
+  double skew_after;  /**< planned skew after that change */
 } CfMapCoordinator;
 
 void cf_map_coordinator_init (CfMapCoordinator *c, const CfGroupShape *shape,
@@ -106,69 +109,80 @@
                               void *data);
 void cf_map_coordinator_clear (CfMapCoordinator *c);
 
-/** cf_map_version_fence: the token of the leader that made @version. */
+/** cf_map_version_fence: the fencing token of the leader that made @version. */
 gint64 cf_map_version_fence (gint64 version);
 
 /**
  * cf_map_coordinator_start_leading:
- * Takes the lead with @fence, which has to be higher than any seen.
- * @salt: random, so that a leader that forgot its past uses other versions
+ * @fence: fencing token; has to be higher than any seen before
+ * @salt: random, so that a leader that restarts and uses the same token
+ *   again still makes other versions
  */
 void cf_map_coordinator_start_leading (CfMapCoordinator *c, gint64 fence,
                                        guint salt, gint64 now_ms);
 
 /**
  * cf_map_coordinator_take_status:
- * @token: the highest fencing token that guards the rank: no order with a
- *   lower one reaches it any more
+ * @token: the highest fencing token that guards the rank; orders with a lower
+ *   one no longer reach it
  *
- * A rank's status came in.  One of an earlier epoch, or of an earlier
- * incarnation of its target, is dropped.
+ * Takes in a rank's status that is as of now.  A status of an earlier epoch,
+ * or of an earlier incarnation of the rank's target, is dropped.
  */
 void cf_map_coordinator_take_status (CfMapCoordinator *c, const CfRankStatus *s,
                                      gint64 token, gint64 now_ms);
 
 /**
  * cf_map_coordinator_take_status_as_of:
- * The same for a status that is as of @as_of_ms, as a rank's report is that
- * another VM asks for; dropped if a newer one is known.
+ * The same for a status that is as of @as_of_ms, such as the report that a
+ * rank gives to another VM.  Dropped if a newer status is known.
  */
 void cf_map_coordinator_take_status_as_of (CfMapCoordinator *c,
                                            const CfRankStatus *s, gint64 token,
                                            gint64 as_of_ms, gint64 now_ms);
 
-/** cf_map_coordinator_take_held: the rank itself has confirmed that it holds
- * pass
- * @step, or none if that is 0. */
+/**
+ * cf_map_coordinator_take_held:
+ * Takes in the rank's own confirmation that it holds a pass, or none.
+ * @step: the held pass; 0: none
+ */
 void cf_map_coordinator_take_held (CfMapCoordinator *c, int rank, gint64 epoch,
                                    gint64 step);
 
-/** cf_map_coordinator_add_demand: what a rank drew of each expert since it last
- * said so, sets x experts numbers. */
+/**
+ * cf_map_coordinator_add_demand:
+ * @drawn: by set and expert: a rank's demand since its previous report
+ * @n: must be sets x experts, or the report is ignored
+ */
 void cf_map_coordinator_add_demand (CfMapCoordinator *c, const gint64 *drawn,
                                     guint n);
 
-/** cf_map_coordinator_take_lists: the experts it holds, sets ended by -1. */
+/**
+ * cf_map_coordinator_take_lists:
+ * @version: the map that the rank has in use
+ * @experts: the experts that the rank holds, set by set; each set ends with -1
+ */
 void cf_map_coordinator_take_lists (CfMapCoordinator *c, int rank, gint64 epoch,
                                     gint64 version, const gint64 *experts,
                                     guint n);
 
-/** cf_map_coordinator_take_ack: what is known of the order last sent to @rank.
- */
+/** cf_map_coordinator_take_ack: takes in the result of the order last sent to
+ * @rank. */
 void cf_map_coordinator_take_ack (CfMapCoordinator *c, int rank, CfRankAck ack,
                                   gint64 now_ms);
 
 /** cf_map_coordinator_choose_passes_ahead: how many passes after the newest
- * known one should be held, so that all ranks are armed when it comes. */
+ * known one to hold, so that all ranks are armed when that pass comes. */
 int cf_map_coordinator_choose_passes_ahead (const CfMapCoordinator *c);
 
-/** cf_map_coordinator_has_pending_work: whether work was left at the last tick
- * so that others get their turn: a plan that is half made, or orders. */
+/** cf_map_coordinator_has_pending_work: whether the last tick left work
+ * undone, so that the event loop could serve others: an unfinished plan, or
+ * unsent orders. */
 gboolean cf_map_coordinator_has_pending_work (const CfMapCoordinator *c);
 
-/** cf_map_coordinator_is_holding_pass: whether the group waits for this leader,
- * as far as it knows: a pass is held, or is about to be. */
+/** cf_map_coordinator_is_holding_pass: whether the group waits for this
+ * leader, as far as it knows: a pass is held, or is about to be. */
 gboolean cf_map_coordinator_is_holding_pass (const CfMapCoordinator *c);
 
-/** cf_map_coordinator_tick: does what is to be done now. */
+/** cf_map_coordinator_tick: does the work that is due in the present state. */
 void cf_map_coordinator_tick (CfMapCoordinator *c, gint64 now_ms);
--- a/gateway/map-gain.c
+++ b/gateway/map-gain.c
@@ -2,69 +2,70 @@
 
 #include "ablation.h"
 
-/** Of what callers accept, the part under which passes count as short, and
- * the skew that a change must then take away: fewer copies, and
- * as many streams in time. */
-#define CALM_PART 0.5
-#define CALM_GAIN 0.6
-/** Of what callers accept, the part above which passes are about too long,
- * and the skew that a change must then take away: a little may bring
- * them back under what callers accept. */
-#define TIGHT_PART 0.7
-#define TIGHT_GAIN 0.12
-/** A leader that has counted demand for fewer windows of 100 ms knows a few
- * prompts alone, and makes only changes that take away so much skew: a plan for
- * these few would slow the passes that a backlog is served in. */
-#define YOUNG_WINDOWS 4
-#define YOUNG_GAIN 0.8
+/** Passes shorter than this fraction of what callers accept are short, and a
+ * change must then remove at least this much skew: there are fewer copies, and
+ * as many streams stay in time. */
+#define SHORT_PASS_FRACTION 0.5
+#define SHORT_PASS_MIN_GAIN 0.6
+/** Passes longer than this fraction of what callers accept are almost too long,
+ * and a change then needs to remove no more than this much skew: a small gain
+ * may bring them back to what callers accept. */
+#define LONG_PASS_FRACTION 0.7
+#define LONG_PASS_MIN_GAIN 0.12
+/** A leader that has counted demand for fewer windows of 100 ms has seen only a
+ * few prompts, and makes only changes that remove at least this much skew: a
+ * plan for those few would slow the passes that serve a backlog. */
+#define FEW_WINDOWS 4
+#define FEW_WINDOWS_MIN_GAIN 0.8
 
-/** Skew that a change must take away: below this the copies slow the passes
- * for longer than the gain lasts. */
-#define MIN_GAIN 0.2
-/** Load, of an even part, that a copy must save: for each ms that it takes,
- * and at least and at most. */
-#define MOVE_GAIN_A_MS 0.0024
-#define MOVE_GAIN_LEAST 0.06
-#define MOVE_GAIN_MOST 0.12
-/** Experts that a rank copies of a set in one change. */
-#define MAX_NEW 1
-/** For which a rank may copy experts of all sets in one change, but one at
- * least: what one rank copies sets the time until all can switch, and passes
- * take longer meanwhile. */
-#define COPY_MS_MAX 60.0
+/** Skew that a change must remove by default: below this, the copies slow the
+ * passes for longer than the gain lasts. */
+#define DEFAULT_MIN_GAIN 0.2
+/** Load that a copy must remove, as a fraction of an even load: per millisecond
+ * that the copy takes, and the bounds of the result. */
+#define MOVE_GAIN_PER_MS 0.0024
+#define LOWEST_MOVE_GAIN 0.06
+#define HIGHEST_MOVE_GAIN 0.12
+/** Experts that a rank may copy of one set in one change. */
+#define MAX_SET_COPIES 1
+/** Time that a rank may spend on copying experts of all sets in one change; one
+ * copy is always allowed.  The rank that copies longest decides when all can
+ * switch, and passes take longer meanwhile. */
+#define MAX_RANK_COPY_MS 60.0
 
 CfPlanLimits
 cf_map_choose_limits (double copy_ms, int sets)
 {
-  CfPlanLimits l = { .max_new = MAX_NEW,
+  CfPlanLimits l = { .max_new = MAX_SET_COPIES,
                      .max_rank_new = 1,
-                     .min_gain = MIN_GAIN,
-                     .min_move_gain = MOVE_GAIN_MOST };
+                     .min_gain = DEFAULT_MIN_GAIN,
+                     .min_move_gain = HIGHEST_MOVE_GAIN };
 
   if (copy_ms <= 0)
     return l;
-  l.max_rank_new = (int)CLAMP (COPY_MS_MAX / copy_ms, 1, sets * MAX_NEW);
+  l.max_rank_new
+      = (int)CLAMP (MAX_RANK_COPY_MS / copy_ms, 1, sets * MAX_SET_COPIES);
   l.min_move_gain
-      = CLAMP (MOVE_GAIN_A_MS * copy_ms, MOVE_GAIN_LEAST, MOVE_GAIN_MOST);
+      = CLAMP (MOVE_GAIN_PER_MS * copy_ms, LOWEST_MOVE_GAIN, HIGHEST_MOVE_GAIN);
   return l;
 }
 
 double
-cf_map_required_gain (double usual, gint64 pass_ms, gint64 pass_aim_ms,
+cf_map_required_gain (double default_gain, gint64 pass_ms, gint64 pass_aim_ms,
                       guint windows)
 {
-  double gain = usual;
-  double part = 0;
+  double gain = default_gain;
+  double fraction = 0;
 
   if (CF_WITHOUT_PRICED_COPIES)
-    return usual;
+    return default_gain;
   if (pass_ms > 0 && pass_aim_ms > 0)
-    part = (double)pass_ms / (double)pass_aim_ms;
-  if (part > TIGHT_PART)
-    gain = MIN (gain, TIGHT_GAIN);
-  else if (part > 0 && part < CALM_PART)
-    gain = MAX (gain, CALM_GAIN);
-  if (windows < YOUNG_WINDOWS)
-    gain = MAX (gain, YOUNG_GAIN);
+    fraction = (double)pass_ms / (double)pass_aim_ms;
+  if (fraction > LONG_PASS_FRACTION)
+    gain = MIN (gain, LONG_PASS_MIN_GAIN);
+  else if (fraction > 0 && fraction < SHORT_PASS_FRACTION)
+    gain = MAX (gain, SHORT_PASS_MIN_GAIN);
+  if (windows < FEW_WINDOWS)
+    gain = MAX (gain, FEW_WINDOWS_MIN_GAIN);
   return gain;
 }
--- a/gateway/map-history.c
+++ b/gateway/map-history.c
@@ -11,7 +11,7 @@
 }
 
 static const CfGroupMap *
-map_of (const CfMapHistory *h, gint64 version)
+find_map (const CfMapHistory *h, gint64 version)
 {
   if (h->newest && h->newest_version == version)
     return h->newest;
@@ -19,7 +19,7 @@
 }
 
 static gboolean
-is_of_shape (const CfGroupMap *m, const CfGroupShape *shape)
+has_shape (const CfGroupMap *m, const CfGroupShape *shape)
 {
   return m->shape.sets == shape->sets && m->shape.experts == shape->experts
          && m->shape.ranks == shape->ranks && m->shape.places == shape->places;
@@ -29,12 +29,12 @@
 cf_map_history_build_map (const CfMapHistory *h, const CfGroupShape *shape,
                           gint64 base, const GArray *rows)
 {
-  const CfGroupMap *from = base ? map_of (h, base) : NULL;
+  const CfGroupMap *from = base ? find_map (h, base) : NULL;
   CfGroupMap *m;
 
   if ((gint64)shape->sets * shape->ranks * shape->places > CF_MAP_PLACES_MAX)
     return NULL;
-  if (base && (!from || !is_of_shape (from, shape)))
+  if (base && (!from || !has_shape (from, shape)))
     return NULL;
   m = from ? cf_group_map_copy (from) : cf_group_map_in_turn (shape);
   if (!cf_group_map_apply (m, rows))
--- a/gateway/map-plan.c
+++ b/gateway/map-plan.c
@@ -2,36 +2,36 @@
 
 #include "set-plan.h"
 
-/** Moves looked for in a set at most: each copies an expert or two. */
-#define MOVES_MAX 64
+/** Maximum number of moves per set; each copies one or two experts. */
+#define MAX_MOVES_PER_SET 64
 
-/* The plans of all sets stand side by side: the copies that a rank may make
- * are shared over the sets, so the best move of all is made first. */
+/* Plans all sets together: they share the copies that a rank may make, so the
+ * best move of all sets is made first. */
 struct CfMapPlan
 {
   const CfGroupMap *from;
   CfGroupMap *m;
   CfPlanLimits limits;
-  int n;
+  int n_sets;
   CfSetPlan *sets;
   CfMove *best;   /* by set */
-  double *relief; /* by set: of its best move; 0 if it has none */
-  int *added;     /* by rank: what it copies of all sets */
-  double *pace;   /* by rank; NULL: all as usual */
+  double *relief; /* by set: load that its best move removes; 0: no move */
+  int *added;     /* by rank: experts that it copies, of all sets */
+  double *pace;   /* by rank; NULL: all at the usual pace */
   double skew_before;
-  int n_looked; /* sets whose first move has been looked for */
-  int n_moves;  /* looked at after that */
+  int n_searched; /* sets whose first move has been searched for */
+  int n_moves;    /* moves tried after that */
   gboolean done;
 };
 
 static double
-skew_of (const CfSetPlan *sets, int n)
+mean_skew (const CfSetPlan *sets, int n_sets)
 {
   double sum = 0;
 
-  for (int i = 0; i < n; i++)
+  for (int i = 0; i < n_sets; i++)
     sum += cf_set_plan_slowest (&sets[i]);
-  return sum / n;
+  return sum / n_sets;
 }
 
 double
@@ -62,7 +62,7 @@
   p->from = from;
   p->m = cf_group_map_copy (from);
   p->limits = *limits;
-  p->n = sh->sets;
+  p->n_sets = sh->sets;
   p->sets = g_new0 (CfSetPlan, sh->sets);
   p->best = g_new0 (CfMove, sh->sets);
   p->relief = g_new0 (double, sh->sets);
@@ -79,7 +79,7 @@
       s->added = p->added;
       s->max_rank_new = limits->max_rank_new ? limits->max_rank_new : G_MAXINT;
     }
-  p->skew_before = skew_of (p->sets, p->n);
+  p->skew_before = mean_skew (p->sets, p->n_sets);
   return p;
 }
 
@@ -88,7 +88,7 @@
 {
   if (!p)
     return;
-  for (int set = 0; set < p->n; set++)
+  for (int set = 0; set < p->n_sets; set++)
     cf_set_plan_clear (&p->sets[set]);
   cf_group_map_free (p->m);
   g_free (p->sets);
@@ -100,7 +100,7 @@
 }
 
 static void
-look_for_move (CfMapPlan *p, int set)
+search_move (CfMapPlan *p, int set)
 {
   CfSetPlan *s = &p->sets[set];
 
@@ -108,21 +108,22 @@
   p->relief[set] = cf_set_plan_relief (s, &p->best[set]);
 }
 
-/* The set whose best move saves most, at least @least; -1 if none does. */
+/* Returns the set whose best move removes the most load, @min_relief or more;
+ * -1 if there is none. */
 static int
-best_set (const CfMapPlan *p, double least)
+find_best_set (const CfMapPlan *p, double min_relief)
 {
   int best = -1;
 
-  for (int set = 0; set < p->n; set++)
-    if (p->relief[set] > 0 && p->relief[set] >= least
+  for (int set = 0; set < p->n_sets; set++)
+    if (p->relief[set] > 0 && p->relief[set] >= min_relief
         && (best < 0 || p->relief[set] > p->relief[best]))
       best = set;
   return best;
 }
 
 static void
-make_move (CfMapPlan *p, int set)
+apply_move (CfMapPlan *p, int set)
 {
   CfSetPlan *s = &p->sets[set];
   const CfMove mv = p->best[set];
@@ -137,36 +138,37 @@
         += cf_group_map_rank_added (s->from, s->m, set, ranks[i]);
 }
 
-/* One look for a move: the first of each set, then the best of all sets is
- * made, until none saves enough. */
+/* Runs one search for a move.  The first searches find one move for each set;
+ * each later one applies the best move of all sets and searches that set again,
+ * until no move removes enough load. */
 static void
-step (CfMapPlan *p)
+run_search (CfMapPlan *p)
 {
   int set;
 
-  if (p->n_looked < p->n)
+  if (p->n_searched < p->n_sets)
     {
-      if (p->sets[p->n_looked].is_drawn)
-        look_for_move (p, p->n_looked);
-      p->n_looked++;
+      if (p->sets[p->n_searched].is_drawn)
+        search_move (p, p->n_searched);
+      p->n_searched++;
       return;
     }
-  set = best_set (p, p->limits.min_move_gain);
-  if (set < 0 || p->n_moves++ >= MOVES_MAX * p->n)
+  set = find_best_set (p, p->limits.min_move_gain);
+  if (set < 0 || p->n_moves++ >= MAX_MOVES_PER_SET * p->n_sets)
     {
       p->done = TRUE;
       return;
     }
   if (cf_set_plan_may_make (&p->sets[set], &p->best[set]))
-    make_move (p, set);
-  look_for_move (p, set);
+    apply_move (p, set);
+  search_move (p, set);
 }
 
 gboolean
-cf_map_plan_step (CfMapPlan *p, int looks)
+cf_map_plan_step (CfMapPlan *p, int searches)
 {
-  for (int i = 0; i < looks && !p->done; i++)
-    step (p);
+  for (int i = 0; i < searches && !p->done; i++)
+    run_search (p);
   return p->done;
 }
 
@@ -179,7 +181,7 @@
 double
 cf_map_plan_skew_after (const CfMapPlan *p)
 {
-  return skew_of (p->sets, p->n);
+  return mean_skew (p->sets, p->n_sets);
 }
 
 CfGroupMap *
--- a/gateway/map-plan.h
+++ b/gateway/map-plan.h
@@ -4,48 +4,54 @@
 
 /**
  * cf_group_map_skew:
- * @tokens: sets x experts: what each expert draws
- * @pace: (nullable): by rank, how many times as long as usual its work takes
- * Returns: the mean over the sets of the slowest rank's part against an
- *   even part at the usual pace; 1 is even.
+ * @tokens: by set and expert: each expert's demand
+ * @pace: (nullable): by rank: how many times its usual duration a rank's work
+ *   takes
+ * Returns: the slowest rank's load relative to an even load at the usual pace,
+ *   as a mean over the sets; 1 is even.
  */
 double cf_group_map_skew (const CfGroupMap *m, const double *tokens,
                           const double *pace);
 
-/** CfPlanLimits: how far one change may go, and when it is worth it. */
+/** CfPlanLimits: how far one change may go, and what it must gain. */
 typedef struct
 {
-  int max_new;      /**< experts a rank copies of a set; at most its spare */
-  int max_rank_new; /**< experts a rank copies of all sets; 0: any number */
-  double min_gain;  /**< skew that a change must take away to be made */
-  double min_move_gain; /**< load, of an even part, that a copy must save */
+  int max_new;      /**< experts that a rank copies of a set; at most its
+                         spare */
+  int max_rank_new; /**< experts that a rank copies of all sets; 0: any number
+                     */
+  double min_gain;  /**< skew that a change must remove */
+  double min_move_gain; /**< load that a copy must remove from the slowest rank,
+                             as a fraction of an even load */
 } CfPlanLimits;
 
 /**
  * CfMapPlan:
- * A map that evens the load, a bounded number of copies away from the one in
- * use: popular experts of the slowest rank are copied or moved to light
- * ranks, in place of copies that other ranks have too, or change places with
- * less popular ones; copies that a slow rank need not hold are dropped.
+ * A search for a map that evens out the load with a limited number of copies.
+ * Popular experts of the slowest rank are copied or moved to lightly loaded
+ * ranks, where they replace experts that other ranks hold as well, or are
+ * swapped for less popular ones.  Copies that a slow rank need not hold are
+ * dropped.
  *
- * It is made in steps, so that whoever leads a large group goes on serving
- * its callers meanwhile.
+ * The search runs in steps, so that the leader of a large group can serve its
+ * callers in between.
  */
 typedef struct CfMapPlan CfMapPlan;
 
-/** cf_map_plan_new: begins a plan from @from, which has to last as long. */
+/** cf_map_plan_new: begins a plan that changes @from, which must stay valid
+ * until the plan is freed. */
 CfMapPlan *cf_map_plan_new (const CfGroupMap *from, const double *tokens,
                             const double *pace, const CfPlanLimits *limits);
 
-/** cf_map_plan_free: drops a plan. */
 void cf_map_plan_free (CfMapPlan *p);
 
 /**
  * cf_map_plan_step:
- * Looks for up to @looks moves; one takes 20 to 60 us at any group's size.
- * Returns: whether the plan is whole.
+ * @searches: how many searches for a move to run at most; one takes 20 to 60 us
+ *   at any group size
+ * Returns: whether the plan is complete.
  */
-gboolean cf_map_plan_step (CfMapPlan *p, int looks);
+gboolean cf_map_plan_step (CfMapPlan *p, int searches);
 
 double cf_map_plan_skew_before (const CfMapPlan *p);
 double cf_map_plan_skew_after (const CfMapPlan *p);
@@ -53,10 +59,11 @@
 /**
  * cf_map_plan_finish:
  * Ends and frees the plan.
- * Returns: (nullable): the map, or %NULL if no change is worth it.
+ * Returns: (nullable): the map, or %NULL if it does not gain enough.
  */
 CfGroupMap *cf_map_plan_finish (CfMapPlan *p);
 
-/** cf_group_map_plan: a whole plan at once; (nullable), as above. */
+/** cf_group_map_plan: (nullable): runs a whole plan at once, with the result of
+ * cf_map_plan_finish(). */
 CfGroupMap *cf_group_map_plan (const CfGroupMap *from, const double *tokens,
                                const double *pace, const CfPlanLimits *limits);
--- a/gateway/order-watch.c
+++ b/gateway/order-watch.c
@@ -1,10 +1,10 @@
 #include "order-watch.h"
 
-/** An order whose agent has not answered by then counts as unanswered: it
- * tries for up to 0.1 s. */
-#define LOST_MS 130
-/** An agent that lost so many orders in a row is passed by. */
-#define LOST_MAX 1
+/** An order that the agent has not answered within this time is lost; the
+ * agent tries to deliver it for up to 0.1 s. */
+#define ANSWER_TIMEOUT_MS 130
+/** Orders lost in a row after which the agent is bypassed. */
+#define BYPASS_AFTER_LOST 1
 
 void
 cf_order_watch_note_sent (CfOrderWatch *w, gint64 seq, gint64 now)
@@ -28,7 +28,7 @@
 gboolean
 cf_order_watch_check_expiry (CfOrderWatch *w, gint64 now)
 {
-  if (!w->seq || now - w->sent_ms <= LOST_MS)
+  if (!w->seq || now - w->sent_ms <= ANSWER_TIMEOUT_MS)
     return FALSE;
   w->seq = 0;
   w->n_lost++;
@@ -44,7 +44,7 @@
 gboolean
 cf_order_watch_is_agent_bypassed (const CfOrderWatch *w)
 {
-  return w->n_lost >= LOST_MAX;
+  return w->n_lost >= BYPASS_AFTER_LOST;
 }
 
 gboolean
--- a/gateway/pass-record.c
+++ b/gateway/pass-record.c
@@ -2,19 +2,20 @@
 
 #include <string.h>
 
-/** Events of one pass come within this time, also from another data centre;
- * passes take 50 ms and more. */
+/** Events of one pass arrive within this time, also from another data centre;
+ * passes take 50 ms or more. */
 #define SAME_PASS_MS 20
 
 gboolean
 cf_pass_record_add (CfPassRecord *p, const CfPassEvent *e, CfPassRecord *done)
 {
-  gboolean begins = p->began_ms == 0 || e->now_ms - p->began_ms > SAME_PASS_MS;
-  gboolean has_done = begins && p->began_ms != 0;
+  gboolean is_new_pass
+      = p->began_ms == 0 || e->now_ms - p->began_ms > SAME_PASS_MS;
+  gboolean is_previous_done = is_new_pass && p->began_ms != 0;
 
-  if (has_done)
+  if (is_previous_done)
     *done = *p;
-  if (begins)
+  if (is_new_pass)
     {
       memset (p, 0, sizeof *p);
       p->began_ms = e->now_ms;
@@ -27,5 +28,5 @@
       p->begun++;
       p->begun_tokens += e->prompt_tokens;
     }
-  return has_done;
+  return is_previous_done;
 }
