--- a/t/t-coordinator.c
+++ b/t/t-coordinator.c
@@ -1,9 +1,9 @@
 /*
- * Map changes under faults, against a model of a rank group: orders that
- * get lost, answered late or not, or are carried out seconds later; ranks
- * that crash; leaders that stand still, die and wake; two at once.  The
- * oracle: no pass begins while two ranks have different maps, and once all
- * is calm the group runs and its maps can be changed.
+ * Tests map changes under faults against a model of a rank group.  Orders are
+ * lost, answered late or never, or carried out seconds later; ranks crash;
+ * leaders freeze, die and resume, and two lead at once.  Checks that no pass
+ * begins while two ranks use different maps, and that the group runs and its
+ * maps can be changed once the faults are over.
  */
 #include "gateway/hold-lease.h"
 #include "gateway/map-plan.h"
@@ -20,21 +20,21 @@
 #define LEADERS 2
 #define PASS_MS 40
 #define TICK_MS 10
-#define STORM_MS 60000
-#define CALM_MS 30000
+#define FAULTS_MS 60000
+#define NO_FAULTS_MS 30000
 #define SEEDS 150
 
 typedef struct
 {
   CfRankStatus s;
   gint64 armed_step;
-  gint64 had;       /* highest version it was ever told to prepare */
-  gint64 copying;   /* version being copied; 0: none */
-  gint64 copied_ms; /* when that is done */
+  gint64 highest_version; /* that it was ever ordered to prepare */
+  gint64 copying;         /* version being copied; 0: none */
+  gint64 copied_ms;       /* when that copy is complete */
   gint64 fence;
   gint64 agent_fence;
-  guint content;      /* of the map in use */
-  guint copy_content; /* of the version prepared or being copied */
+  guint map_hash;  /* of the map in use */
+  guint next_hash; /* of the version prepared or being copied */
   gint16 held[SETS][PLACES];
   gint16 next[SETS][PLACES];
 } Rank;
@@ -42,21 +42,21 @@
 typedef struct
 {
   gint64 due_ms;
-  int leader; /* who gets the answer; -1: none */
+  int leader; /* the one that gets the answer; -1: none */
   int rank;
   CfRankOrder o;
-  CfGroupMap *map; /* owned, of a prepare */
-} Late;
+  CfGroupMap *map; /* owned; of an order to prepare */
+} DelayedOrder;
 
 typedef struct
 {
   CfMapCoordinator c;
   int index;
-  gboolean running; /* FALSE while it stands still or is dead */
-  gboolean leads;   /* may take the lead when it has none */
+  gboolean running;  /* FALSE while it is frozen or dead */
+  gboolean may_lead; /* takes the lead when it does not have it */
   gint64 resume_ms;
   CfHoldLease lease; /* of the other leader */
-  gboolean lease_told;
+  gboolean lease_sent;
 } Leader;
 
 typedef struct
@@ -64,18 +64,18 @@
   GRand *rand;
   gint64 now;
   gint64 next_pass_ms;
-  gboolean storm;
+  gboolean has_faults;
   gboolean ranks_check_fence;
   Rank ranks[RANKS];
-  gint64 broken_until;
+  gint64 broken_until_ms;
   Leader leaders[LEADERS];
-  gint64 fence_seen;
-  GPtrArray *late;
+  gint64 highest_fence;
+  GPtrArray *orders; /* of #DelayedOrder */
   guint64 n_passes;
   guint64 n_orders;
-  guint64 n_late;
-  gint64 blocked_ms; /* since when a hold keeps the group from its pass */
-  gint64 longest_ms; /* that one did so */
+  guint64 n_delayed;
+  gint64 blocked_since_ms; /* when a hold began to block the next pass */
+  gint64 longest_block_ms; /* longest time that a hold blocked a pass */
 } World;
 
 static World w;
@@ -83,11 +83,11 @@
 static gboolean
 chance (double p)
 {
-  return w.storm && g_rand_double (w.rand) < p;
+  return w.has_faults && g_rand_double (w.rand) < p;
 }
 
 static guint
-content_of (const CfGroupMap *m)
+hash_map (const CfGroupMap *m)
 {
   guint h = 17;
 
@@ -96,7 +96,7 @@
   return h;
 }
 
-/* What a rank does with an order; an HTTP-like status. */
+/* Carries out an order at its rank; returns a status as in HTTP. */
 static int
 carry_out (Rank *r, const CfRankOrder *o)
 {
@@ -111,16 +111,16 @@
   switch (o->kind)
     {
     case CF_ORDER_PREPARE:
-      if (o->version == r->had
+      if (o->version == r->highest_version
           && (r->copying == o->version || r->s.prepared == o->version))
         return 200;
-      if (o->version <= r->had || r->s.armed)
+      if (o->version <= r->highest_version || r->s.armed)
         return 409;
-      r->had = o->version;
+      r->highest_version = o->version;
       r->s.prepared = 0;
       r->copying = o->version;
       r->copied_ms = w.now + g_rand_int_range (w.rand, 5, 400);
-      r->copy_content = content_of (o->map);
+      r->next_hash = hash_map (o->map);
       for (int s = 0; s < SETS; s++)
         memcpy (r->next[s], cf_group_map_at (o->map, s, r->s.rank),
                 sizeof r->next[s]);
@@ -163,9 +163,9 @@
 }
 
 static void
-late_free (gpointer p)
+delayed_order_free (gpointer p)
 {
-  Late *l = p;
+  DelayedOrder *l = p;
 
   cf_group_map_free (l->map);
   g_free (l);
@@ -175,7 +175,7 @@
 on_order (void *data, int rank, const CfRankOrder *o)
 {
   Leader *l = data;
-  Late *d = g_new0 (Late, 1);
+  DelayedOrder *d = g_new0 (DelayedOrder, 1);
 
   w.n_orders++;
   d->leader = l->index;
@@ -189,24 +189,24 @@
   d->due_ms = w.now + g_rand_int_range (w.rand, 1, 12);
   if (chance (0.25))
     {
-      /* No answer, and carried out seconds later, after newer orders. */
+      /* Not answered, and carried out seconds later, after newer orders. */
       d->leader = -1;
       d->due_ms = w.now + g_rand_int_range (w.rand, 2000, 12000);
-      w.n_late++;
+      w.n_delayed++;
       cf_map_coordinator_take_ack (&l->c, rank, CF_RANK_ACK_UNKNOWN, w.now);
     }
   else if (chance (0.1))
-    d->leader = -1; /* carried out, and the answer is lost */
+    d->leader = -1; /* carried out, but the answer is lost */
   else if (chance (0.05))
     {
-      late_free (d); /* lost on the way there */
+      delayed_order_free (d); /* lost on its way to the rank */
       return;
     }
-  g_ptr_array_add (w.late, d);
+  g_ptr_array_add (w.orders, d);
 }
 
 static void
-on_want_lists (void *data, int rank)
+on_request_lists (void *data, int rank)
 {
   Leader *l = data;
   Rank *r = &w.ranks[rank];
@@ -226,7 +226,7 @@
 }
 
 static void
-on_moved (void *data, CfMapState from, CfMapState to, const char *why)
+on_state_changed (void *data, CfMapState from, CfMapState to, const char *why)
 {
   if (g_getenv ("T_TRACE"))
     g_printerr ("%6" G_GINT64_FORMAT " leader %d %s -> %s (%s)\n", w.now,
@@ -234,27 +234,27 @@
                 cf_map_state_name (to), why);
 }
 
-static const CfMapCoordinatorCallbacks calls
-    = { on_order, on_want_lists, on_moved };
+static const CfMapCoordinatorCallbacks callbacks
+    = { on_order, on_request_lists, on_state_changed };
 
 static void
-first_map (Rank *r)
+set_initial_map (Rank *r)
 {
   memset (r->held, -1, sizeof r->held);
   for (int s = 0; s < SETS; s++)
     for (int e = 0; e < EXPERTS; e++)
       if (e % RANKS == r->s.rank)
         r->held[s][e / RANKS] = (gint16)e;
-  r->content = 0;
+  r->map_hash = 0;
 }
 
 static void
-form (gint64 epoch)
+form_group (gint64 epoch)
 {
   for (int i = 0; i < RANKS; i++)
     {
       Rank *r = &w.ranks[i];
-      gint64 had = r->had;
+      gint64 highest_version = r->highest_version;
       gint64 step = r->s.step;
 
       memset (&r->s, 0, sizeof r->s);
@@ -264,9 +264,9 @@
       r->s.epoch = epoch;
       r->s.step = step;
       r->s.open = TRUE;
-      r->had = had;
+      r->highest_version = highest_version;
       r->copying = 0;
-      first_map (r);
+      set_initial_map (r);
     }
 }
 
@@ -282,11 +282,11 @@
     .max_new = 1, .max_rank_new = 0, .min_gain = 0.05, .min_move_gain = 0.02
   };
 
-  cf_map_coordinator_init (&l->c, &shape, &limits, &calls, l);
+  cf_map_coordinator_init (&l->c, &shape, &limits, &callbacks, l);
 }
 
 static void
-copies_done (void)
+finish_copies (void)
 {
   for (int i = 0; i < RANKS; i++)
     {
@@ -300,7 +300,8 @@
     }
 }
 
-/* One pass of all ranks, if none holds it: the point the oracle watches. */
+/* Begins one pass on all ranks unless one of them holds it, and checks that all
+ * ranks then use the same map. */
 static void
 begin_pass (void)
 {
@@ -309,13 +310,13 @@
   for (int i = 0; i < RANKS; i++)
     if (!w.ranks[i].s.open || w.ranks[i].s.held == step)
       {
-        if (w.ranks[i].s.open && !w.blocked_ms)
-          w.blocked_ms = w.now;
+        if (w.ranks[i].s.open && !w.blocked_since_ms)
+          w.blocked_since_ms = w.now;
         return;
       }
-  if (w.blocked_ms)
-    w.longest_ms = MAX (w.longest_ms, w.now - w.blocked_ms);
-  w.blocked_ms = 0;
+  if (w.blocked_since_ms)
+    w.longest_block_ms = MAX (w.longest_block_ms, w.now - w.blocked_since_ms);
+  w.blocked_since_ms = 0;
   for (int i = 0; i < RANKS; i++)
     {
       Rank *r = &w.ranks[i];
@@ -324,7 +325,7 @@
       if (r->s.armed && r->armed_step == step)
         {
           r->s.map = r->s.armed;
-          r->content = r->copy_content;
+          r->map_hash = r->next_hash;
           memcpy (r->held, r->next, sizeof r->held);
           r->s.armed = 0;
         }
@@ -333,12 +334,13 @@
   for (int i = 1; i < RANKS; i++)
     {
       ck_assert_int_eq (w.ranks[i].s.map, w.ranks[0].s.map);
-      ck_assert_uint_eq (w.ranks[i].content, w.ranks[0].content);
+      ck_assert_uint_eq (w.ranks[i].map_hash, w.ranks[0].map_hash);
     }
 }
 
-/* Carries out an order that its leader waits for; a status like HTTP's.  What
- * halts the group goes past the agents and what they know of tokens. */
+/* Carries out an order whose answer its leader waits for; returns a status as
+ * in HTTP.  Orders that halt the group bypass the agents and the agents' check
+ * of fencing tokens. */
 static int
 deliver (Rank *r, const CfRankOrder *o, gint64 *token)
 {
@@ -352,11 +354,11 @@
 }
 
 static void
-deliver_late (void)
+deliver_due_orders (void)
 {
-  for (guint i = 0; i < w.late->len;)
+  for (guint i = 0; i < w.orders->len;)
     {
-      Late *d = w.late->pdata[i];
+      DelayedOrder *d = w.orders->pdata[i];
       Rank *r = &w.ranks[d->rank];
       Leader *l = d->leader >= 0 ? &w.leaders[d->leader] : NULL;
       gint64 token = 0;
@@ -367,7 +369,8 @@
           i++;
           continue;
         }
-      /* The rank's agent refuses old tokens; what is late passed it before. */
+      /* The rank's agent refuses old tokens, but an order without an answer has
+       * already passed the agent. */
       if (l)
         status = deliver (r, &d->o, &token);
       else
@@ -382,7 +385,7 @@
                                                                      : 0);
           cf_map_coordinator_take_ack (&l->c, d->rank, ack_of (status), w.now);
         }
-      g_ptr_array_remove_index_fast (w.late, i);
+      g_ptr_array_remove_index_fast (w.orders, i);
     }
 }
 
@@ -395,30 +398,30 @@
     {
       if (chance (0.1))
         continue;
-      /* What the leader's own greeting did to the agent. */
+      /* The agent learned the leader's token when the leader greeted it. */
       w.ranks[i].agent_fence = MAX (w.ranks[i].agent_fence, l->c.fence);
-      w.fence_seen = MAX (w.fence_seen, w.ranks[i].agent_fence);
+      w.highest_fence = MAX (w.highest_fence, w.ranks[i].agent_fence);
       cf_map_coordinator_take_status (&l->c, &w.ranks[i].s,
                                       w.ranks[i].agent_fence, w.now);
-      /* Demand that shifts every three seconds. */
+      /* The demand shifts every three seconds. */
       for (int e = 0; e < SETS * EXPERTS; e++)
         drawn[e] = 100 * (1 + (e + w.now / 3000) % 5);
       cf_map_coordinator_add_demand (&l->c, drawn, SETS * EXPERTS);
     }
 }
 
-/* Each leader in turn believes that it should lead. */
+/* Makes @l lead with a token that is higher than all seen before. */
 static void
 take_lead (Leader *l)
 {
-  gint64 fence = (w.fence_seen / 8 + 1) * 8 + l->index;
+  gint64 fence = (w.highest_fence / 8 + 1) * 8 + l->index;
 
-  w.fence_seen = fence;
+  w.highest_fence = fence;
   cf_map_coordinator_start_leading (&l->c, fence, g_rand_int (w.rand), w.now);
 }
 
 static void
-disturb (void)
+inject_faults (void)
 {
   Leader *l = &w.leaders[g_rand_int_range (w.rand, 0, LEADERS)];
 
@@ -426,7 +429,7 @@
     {
       l->running = FALSE;
       l->resume_ms = w.now + g_rand_int_range (w.rand, 50, 4000);
-      /* Half of them die and forget, the others only stand still. */
+      /* Half of them die and lose their state, the others only freeze. */
       if (chance (0.5))
         {
           cf_map_coordinator_clear (&l->c);
@@ -434,42 +437,43 @@
         }
     }
   if (chance (0.02))
-    l->leads = !l->leads;
+    l->may_lead = !l->may_lead;
   if (chance (0.01))
     w.ranks[g_rand_int_range (w.rand, 0, RANKS)].agent_fence = 0;
-  if (chance (0.002) && w.broken_until == 0)
+  if (chance (0.002) && w.broken_until_ms == 0)
     {
       for (int i = 0; i < RANKS; i++)
         w.ranks[i].s.open = FALSE;
-      w.broken_until = w.now + g_rand_int_range (w.rand, 300, 3000);
+      w.broken_until_ms = w.now + g_rand_int_range (w.rand, 300, 3000);
     }
 }
 
 static void
-mend_group (void)
+reform_group (void)
 {
-  if (w.broken_until == 0 || w.now < w.broken_until)
+  if (w.broken_until_ms == 0 || w.now < w.broken_until_ms)
     return;
-  w.broken_until = 0;
-  form (w.ranks[0].s.epoch + 1);
+  w.broken_until_ms = 0;
+  form_group (w.ranks[0].s.epoch + 1);
 }
 
-/* The standby hears of a hold before the order to hold goes out. */
+/* Sends the lease, so that the standby knows of a hold before the order to hold
+ * is sent. */
 static void
 renew_lease (Leader *l)
 {
   Leader *standby = &w.leaders[1 - l->index];
   gboolean held = cf_map_coordinator_is_holding_pass (&l->c);
 
-  if ((!held && !l->lease_told) || chance (0.1))
+  if ((!held && !l->lease_sent) || chance (0.1))
     return;
-  l->lease_told = held;
+  l->lease_sent = held;
   if (standby->running && l->c.fence)
     cf_hold_lease_renew (&standby->lease, l->c.fence, held, w.now);
 }
 
 static void
-succeed (Leader *l)
+take_over_if_expired (Leader *l)
 {
   if (l->c.fence != 0 || !cf_hold_lease_has_expired (&l->lease, 0, w.now))
     return;
@@ -487,11 +491,11 @@
     return;
   if (w.now % 100 == 0)
     report_all (l);
-  if (l->leads && l->c.fence == 0 && w.now % 400 == 0)
+  if (l->may_lead && l->c.fence == 0 && w.now % 400 == 0)
     take_lead (l);
-  if (!l->leads && l->c.state == CF_MAP_IDLE)
+  if (!l->may_lead && l->c.state == CF_MAP_IDLE)
     l->c.fence = 0;
-  succeed (l);
+  take_over_if_expired (l);
   cf_map_coordinator_tick (&l->c, w.now);
   renew_lease (l);
 }
@@ -501,83 +505,83 @@
 {
   for (gint64 end = w.now + ms; w.now < end; w.now += TICK_MS)
     {
-      copies_done ();
-      deliver_late ();
-      mend_group ();
+      finish_copies ();
+      deliver_due_orders ();
+      reform_group ();
       if (w.now >= w.next_pass_ms)
         {
           begin_pass ();
           w.next_pass_ms = w.now + PASS_MS;
         }
-      disturb ();
+      inject_faults ();
       for (int i = 0; i < LEADERS; i++)
         run_leader (&w.leaders[i]);
     }
 }
 
 static void
-begin_world (guint32 seed, gboolean ranks_check_fence)
+init_world (guint32 seed, gboolean ranks_check_fence)
 {
   memset (&w, 0, sizeof w);
   w.rand = g_rand_new_with_seed (seed);
-  w.late = g_ptr_array_new_with_free_func (late_free);
+  w.orders = g_ptr_array_new_with_free_func (delayed_order_free);
   w.ranks_check_fence = ranks_check_fence;
   w.now = 1000;
-  form (1);
+  form_group (1);
   for (int i = 0; i < LEADERS; i++)
     {
       w.leaders[i].index = i;
       w.leaders[i].running = TRUE;
-      w.leaders[i].leads = i == 0;
+      w.leaders[i].may_lead = i == 0;
       new_leader (&w.leaders[i]);
     }
 }
 
 static void
-end_world (void)
+clear_world (void)
 {
   for (int i = 0; i < LEADERS; i++)
     cf_map_coordinator_clear (&w.leaders[i].c);
-  g_ptr_array_free (w.late, TRUE);
+  g_ptr_array_free (w.orders, TRUE);
   g_rand_free (w.rand);
 }
 
 static void
-play (guint32 seed, gboolean ranks_check_fence)
+run_seed (guint32 seed, gboolean ranks_check_fence)
 {
   guint64 changes = 0;
   guint64 passes;
 
-  begin_world (seed, ranks_check_fence);
-  w.storm = TRUE;
-  run_for (STORM_MS);
+  init_world (seed, ranks_check_fence);
+  w.has_faults = TRUE;
+  run_for (FAULTS_MS);
 
-  /* Calm: one leader; what is still late comes in. */
-  w.storm = FALSE;
-  w.leaders[0].leads = TRUE;
-  w.leaders[1].leads = FALSE;
-  run_for (CALM_MS / 2);
+  /* No more faults, and one leader; delayed orders still arrive. */
+  w.has_faults = FALSE;
+  w.leaders[0].may_lead = TRUE;
+  w.leaders[1].may_lead = FALSE;
+  run_for (NO_FAULTS_MS / 2);
   passes = w.n_passes;
   changes = w.leaders[0].c.n_changes;
-  run_for (CALM_MS / 2);
-  ck_assert_msg (w.n_passes > passes + CALM_MS / 2 / PASS_MS / 2,
-                 "seed %u: the group stands still", seed);
+  run_for (NO_FAULTS_MS / 2);
+  ck_assert_msg (w.n_passes > passes + NO_FAULTS_MS / 2 / PASS_MS / 2,
+                 "seed %u: the group makes too few passes", seed);
   ck_assert_msg (w.leaders[0].c.n_changes > changes,
-                 "seed %u: no change of map in %d calm seconds", seed,
-                 CALM_MS / 2000);
-  end_world ();
+                 "seed %u: no map change in %d seconds without faults", seed,
+                 NO_FAULTS_MS / 2000);
+  clear_world ();
 }
 
-/* A leader that burnt an earlier one's versions ends the hold last.  Its
- * successor, which found the void version prepared everywhere, armed all ranks
- * for that pass meanwhile: two maps in seed 1263. */
-START_TEST (a_void_version_is_never_armed)
+/* A leader that invalidates an earlier one's versions ends the hold last.  Its
+ * successor found the barrier version prepared on all ranks and armed them for
+ * the held pass meanwhile, so that a pass ran with two maps (seed 1263). */
+START_TEST (a_barrier_version_is_never_armed)
 {
   CfRankStatus s = { .group = "g", .size = RANKS, .epoch = 1, .open = TRUE };
   Leader *l = &w.leaders[0];
   CfMapCoordinator *c = &l->c;
 
-  begin_world (1, TRUE);
+  init_world (1, TRUE);
   cf_map_coordinator_start_leading (c, 8, 1, 1000);
   cf_map_coordinator_take_status (c, &s, 8, 1001); /* the epoch */
   c->state = CF_MAP_INVALIDATING;
@@ -597,13 +601,14 @@
     }
   cf_map_coordinator_tick (c, 1020);
   ck_assert_int_eq (c->state, CF_MAP_INVALIDATING);
-  end_world ();
+  clear_world ();
 }
 END_TEST
 
-/* T_SEED and T_SEEDS choose other seeds by hand. */
+/* The environment variables T_SEED (first seed) and T_SEEDS (number of seeds)
+ * override the defaults. */
 static void
-play_seeds (guint32 from, gboolean ranks_check_fence)
+run_seeds (guint32 from, gboolean ranks_check_fence)
 {
   const char *first = g_getenv ("T_SEED");
   const char *count = g_getenv ("T_SEEDS");
@@ -614,28 +619,28 @@
   if (count)
     n = (guint32)atoi (count);
   for (guint32 seed = from; seed < from + n; seed++)
-    play (seed, ranks_check_fence);
+    run_seed (seed, ranks_check_fence);
 }
 
-START_TEST (one_map_a_pass)
+START_TEST (all_ranks_use_one_map_per_pass)
 {
-  play_seeds (1, TRUE);
-  play (1263, TRUE);
+  run_seeds (1, TRUE);
+  run_seed (1263, TRUE);
 }
 END_TEST
 
-/* Seed 1119 had two leaders arm two versions at once, while a leader acted
- * on reports from before its token guarded the ranks. */
-START_TEST (one_map_a_pass_without_fences)
+/* A leader that acted on reports from before its token guarded the ranks let
+ * two leaders arm two versions at once (seed 1119). */
+START_TEST (all_ranks_use_one_map_per_pass_without_fences)
 {
-  play_seeds (1001, FALSE);
-  play (1263, FALSE);
+  run_seeds (1001, FALSE);
+  run_seed (1263, FALSE);
 }
 END_TEST
 
-/* A leader that meets a higher token gives up the lead, also while it has
- * no order out that could be refused. */
-START_TEST (a_higher_token_ends_the_lead)
+/* A leader that meets a higher token gives up the lead, even while it has no
+ * pending order that could be refused. */
+START_TEST (a_leader_that_meets_a_higher_token_steps_down)
 {
   CfRankStatus s = { .group = "g", .size = RANKS, .epoch = 1, .open = TRUE };
   Leader *l = &w.leaders[0];
@@ -656,16 +661,16 @@
 }
 END_TEST
 
-/* A report that a rank gives another VM is some 100 ms old.  The end of a hold
- * was lost, the report was of before the hold, and the group stayed held for
- * 5 s. */
+/* A report that a rank gives to another VM is some 100 ms old.  If the order to
+ * end a hold was lost and such a report dated from before the hold, the group
+ * stayed held for 5 s. */
 START_TEST (an_old_report_does_not_end_a_hold)
 {
   CfRankStatus s = { .group = "g", .size = RANKS, .epoch = 1, .open = TRUE };
   Leader *l = &w.leaders[0];
   CfMapCoordinator *c = &l->c;
 
-  begin_world (1, TRUE);
+  init_world (1, TRUE);
   cf_map_coordinator_start_leading (c, 8, 1, 1000);
   cf_map_coordinator_take_status (c, &s, 8, 1001); /* the epoch */
   for (s.rank = 0; s.rank < RANKS; s.rank++)
@@ -687,7 +692,8 @@
   cf_map_coordinator_tick (c, 1220);
   ck_assert_int_eq (c->state, CF_MAP_RELEASING);
   ck_assert_int_eq (c->ranks[2].status.armed, 40);
-  /* What the agent read before the hold came in late: it is held after all. */
+  /* A status that the agent read before the hold arrives late; the next one
+   * shows that the pass is still held. */
   s.armed = 40;
   cf_map_coordinator_take_status (c, &s, 8, 1225);
   cf_map_coordinator_tick (c, 1230);
@@ -696,42 +702,43 @@
   cf_map_coordinator_take_status (c, &s, 8, 1265);
   cf_map_coordinator_tick (c, 1270);
   ck_assert_int_eq (c->state, CF_MAP_RELEASING);
-  end_world ();
+  clear_world ();
 }
 END_TEST
 
-/** Longest that a group may be held since its leader stands still. */
-#define HELD_MOST_MS 900
+/** Longest time that a group may be held after its leader froze. */
+#define MAX_HELD_MS 900
 
-/* The leader stands still for 4 s, 0 to 20 ms after it entered @state. */
+/* Freezes the leader for 4 s, 0 to 20 ms after it entered @state. */
 static void
-stand_still_in (CfMapState state, guint32 seed)
+freeze_leader_in (CfMapState state, guint32 seed)
 {
   Leader *l = &w.leaders[0];
-  gint64 until;
+  gint64 deadline_ms;
 
-  begin_world (seed, TRUE);
+  init_world (seed, TRUE);
   run_for (4000 + (gint64)seed * 370);
-  until = w.now + 10000;
-  while (l->c.state != state && w.now < until)
+  deadline_ms = w.now + 10000;
+  while (l->c.state != state && w.now < deadline_ms)
     run_for (TICK_MS);
   ck_assert_int_eq (l->c.state, state);
   run_for ((gint64)(seed % 3) * TICK_MS);
   l->running = FALSE;
   l->resume_ms = w.now + 4000;
   run_for (10000);
-  ck_assert_msg (w.longest_ms <= HELD_MOST_MS, "%s, seed %u: held for %d ms",
-                 cf_map_state_name (state), seed, (int)w.longest_ms);
-  end_world ();
+  ck_assert_msg (w.longest_block_ms <= MAX_HELD_MS,
+                 "%s, seed %u: held for %d ms", cf_map_state_name (state), seed,
+                 (int)w.longest_block_ms);
+  clear_world ();
 }
 
-START_TEST (a_leader_that_stands_still_holds_its_group_no_longer)
+START_TEST (the_hold_of_a_frozen_leader_ends_soon)
 {
   for (guint32 seed = 1; seed <= 10; seed++)
     {
-      stand_still_in (CF_MAP_HOLDING, seed);
-      stand_still_in (CF_MAP_ARMING, seed);
-      stand_still_in (CF_MAP_RELEASING, seed);
+      freeze_leader_in (CF_MAP_HOLDING, seed);
+      freeze_leader_in (CF_MAP_ARMING, seed);
+      freeze_leader_in (CF_MAP_RELEASING, seed);
     }
 }
 END_TEST
@@ -745,9 +752,9 @@
   cf_map_coordinator_take_status (c, &s, 8, now);
 }
 
-/* While passes are long, each one more under the worse map costs more than
- * a short stop; while orders get lost, arming takes several passes. */
-START_TEST (the_held_pass_is_as_near_as_arming_allows)
+/* While passes are long, each further pass with the worse map costs more than a
+ * short stop; while orders get lost, arming takes several passes. */
+START_TEST (the_held_pass_depends_on_the_arming_time)
 {
   Leader *l = &w.leaders[0];
   CfMapCoordinator *c = &l->c;
@@ -764,7 +771,7 @@
   ck_assert_int_eq (cf_map_coordinator_choose_passes_ahead (c), 1);
   c->arming_ms = 500;
   ck_assert_int_eq (cf_map_coordinator_choose_passes_ahead (c), 5);
-  /* At rest for a while: how long passes take is not known any more. */
+  /* After an idle time the duration of passes is unknown. */
   report_pass (c, 40, now += 5000);
   ck_assert_int_eq (cf_map_coordinator_choose_passes_ahead (c), 1);
   cf_map_coordinator_clear (c);
@@ -784,9 +791,9 @@
   cf_map_coordinator_take_status (c, &s, c->fence, now);
 }
 
-/* A rank that started anew holds nothing; what was sent before it crashed says
- * nothing any more. */
-START_TEST (a_restarted_rank_is_learned_anew)
+/* What was known of a rank is void once it restarts, and statuses from before
+ * the crash are ignored. */
+START_TEST (what_was_known_of_a_restarted_rank_is_void)
 {
   Leader *l = &w.leaders[0];
   CfMapCoordinator *c = &l->c;
@@ -800,15 +807,15 @@
   c->ranks[2].lists_version = 0;
   cf_map_coordinator_tick (c, ++now);
   ck_assert_int_eq (c->state, CF_MAP_IDLE);
-  /* It restarts before its group is seen to form anew. */
+  /* The rank restarts before its group is known to have formed anew. */
   report_start (c, 2, 200, 1, 0, ++now);
   ck_assert_int_eq (c->state, CF_MAP_SETTLING);
   ck_assert_int_eq (c->ranks[2].lists_version, -1);
-  /* Sent before the crash, heard after it. */
+  /* Sent before the crash, received after it. */
   report_start (c, 2, 100, 1, 77, ++now);
   ck_assert_int_eq (c->ranks[2].status.prepared, 0);
   ck_assert_int_eq (c->ranks[2].status.incarnation, 200);
-  /* The clock went back, but the epoch says which is later. */
+  /* The clock went back, but the epoch shows that this one is newer. */
   report_start (c, 2, 150, 2, 0, ++now);
   ck_assert_int_eq (c->ranks[2].status.incarnation, 150);
   ck_assert_int_eq (c->epoch, 2);
@@ -827,17 +834,18 @@
 }
 
 static void
-want_nothing (void *data, int rank)
+ignore_list_request (void *data, int rank)
 {
 }
 
 static void
-keep_quiet (void *data, CfMapState from, CfMapState to, const char *why)
+ignore_state_change (void *data, CfMapState from, CfMapState to,
+                     const char *why)
 {
 }
 
 static void
-tell_experts_in_turn (CfMapCoordinator *c, const CfGroupMap *m, int rank)
+take_lists_of (CfMapCoordinator *c, const CfGroupMap *m, int rank)
 {
   gint64 rows[16];
   guint n = 0;
@@ -852,9 +860,9 @@
   cf_map_coordinator_take_lists (c, rank, 1, 0, rows, n);
 }
 
-/* A group of 192 ranks of which a few experts draw nearly all. */
+/* A group of 192 ranks in which a few experts get nearly all of the demand. */
 static void
-begin_large (CfMapCoordinator *c, gint64 *now)
+init_large_group (CfMapCoordinator *c, gint64 *now)
 {
   const CfGroupShape shape = {
     .sets = 2, .experts = 384, .ranks = LARGE_RANKS, .places = 3, .spare = 2
@@ -863,7 +871,7 @@
     .max_new = 1, .max_rank_new = 1, .min_gain = 0.1, .min_move_gain = 0.05
   };
   static const CfMapCoordinatorCallbacks quiet
-      = { count_order, want_nothing, keep_quiet };
+      = { count_order, ignore_list_request, ignore_state_change };
   CfGroupMap *m = cf_group_map_in_turn (&shape);
   CfRankStatus st = { .group = "g", .size = LARGE_RANKS, .epoch = 1 };
   gint64 drawn[2 * 384];
@@ -877,7 +885,7 @@
       cf_map_coordinator_take_status (c, &st, 8, ++*now);
     }
   for (int r = 0; r < LARGE_RANKS; r++)
-    tell_experts_in_turn (c, m, r);
+    take_lists_of (c, m, r);
   cf_group_map_free (m);
   for (int w = 0; w < 4; w++)
     {
@@ -890,9 +898,9 @@
 }
 
 /*
- * A leader of 192 ranks held up callers' events for 10 to 20 ms with the
- * orders of one change, all sent in one turn of its loop.  A tick sends some
- * of them and says that there are more, and all are out after a few.
+ * A leader of 192 ranks that sent all orders of one change in one event loop
+ * iteration delayed callers' events by 10 to 20 ms.  A tick therefore sends
+ * only some of the orders and reports pending work, and a few ticks send all.
  */
 START_TEST (the_orders_of_a_large_group_are_spread_over_ticks)
 {
@@ -902,7 +910,7 @@
   int most = 0;
 
   n_ordered = 0;
-  begin_large (&c, &now);
+  init_large_group (&c, &now);
   while (n_ordered < LARGE_RANKS && ticks < 1000)
     {
       int before = n_ordered;
@@ -920,14 +928,14 @@
 }
 END_TEST
 
-/* A busy leader goes on with its change; one that was away for so long that
- * another may have led in between learns anew what the ranks hold. */
-START_TEST (a_busy_leader_is_none_that_stood_still)
+/* A busy leader continues its change.  After a gap that is long enough for
+ * another one to have led, it settles again. */
+START_TEST (only_a_long_gap_makes_a_leader_settle_again)
 {
   CfMapCoordinator c;
   gint64 now = 1000;
 
-  begin_large (&c, &now);
+  init_large_group (&c, &now);
   while (c.state != CF_MAP_PREPARING)
     cf_map_coordinator_tick (&c, now += 2);
   cf_map_coordinator_tick (&c, now += 700);
@@ -947,16 +955,16 @@
 
   tcase_set_timeout (t, 600);
   tcase_set_timeout (u, 600);
-  tcase_add_test (t, one_map_a_pass);
-  tcase_add_test (t, a_higher_token_ends_the_lead);
-  tcase_add_test (t, a_void_version_is_never_armed);
+  tcase_add_test (t, all_ranks_use_one_map_per_pass);
+  tcase_add_test (t, a_leader_that_meets_a_higher_token_steps_down);
+  tcase_add_test (t, a_barrier_version_is_never_armed);
   tcase_add_test (t, an_old_report_does_not_end_a_hold);
-  tcase_add_test (t, a_leader_that_stands_still_holds_its_group_no_longer);
-  tcase_add_test (t, the_held_pass_is_as_near_as_arming_allows);
-  tcase_add_test (t, a_restarted_rank_is_learned_anew);
-  tcase_add_test (t, a_busy_leader_is_none_that_stood_still);
+  tcase_add_test (t, the_hold_of_a_frozen_leader_ends_soon);
+  tcase_add_test (t, the_held_pass_depends_on_the_arming_time);
+  tcase_add_test (t, what_was_known_of_a_restarted_rank_is_void);
+  tcase_add_test (t, only_a_long_gap_makes_a_leader_settle_again);
   tcase_add_test (t, the_orders_of_a_large_group_are_spread_over_ticks);
-  tcase_add_test (u, one_map_a_pass_without_fences);
+  tcase_add_test (u, all_ranks_use_one_map_per_pass_without_fences);
   suite_add_tcase (s, t);
   suite_add_tcase (s, u);
   return t_run (s);
--- a/t/t-hold-lease.c
+++ b/t/t-hold-lease.c
@@ -1,4 +1,4 @@
-/* Who ends the hold of a leader that went silent, and when. */
+/* When a standby takes over from a silent leader that holds a pass. */
 #include "gateway/hold-lease.h"
 #include "harness.h"
 
@@ -11,7 +11,7 @@
   ck_assert (!cf_hold_lease_has_expired (&l, 0, 1000 + CF_HOLD_LEASE_RENEW_MS));
   ck_assert (!cf_hold_lease_has_expired (&l, 0, 1200));
   ck_assert (cf_hold_lease_has_expired (&l, 0, 1300));
-  /* The next in line waits for the first. */
+  /* The second in line waits for the first one to take over. */
   ck_assert (!cf_hold_lease_has_expired (&l, 1, 1300));
   ck_assert (cf_hold_lease_has_expired (&l, 1, 1600));
   cf_hold_lease_renew (&l, 16, TRUE, 1300);
@@ -35,7 +35,7 @@
 
   cf_hold_lease_renew (&l, 16, TRUE, 1000);
   cf_hold_lease_renew (&l, 25, TRUE, 1300);
-  /* Written before it stood still, read after its successor's. */
+  /* Sent before the leader froze, received after its successor's lease. */
   cf_hold_lease_renew (&l, 16, FALSE, 1310);
   ck_assert (cf_hold_lease_has_expired (&l, 0, 1600));
   cf_hold_lease_renew (&l, 25, FALSE, 1600);
@@ -44,8 +44,9 @@
 }
 END_TEST
 
-/* All processes were killed, and tokens begin at the first again. */
-START_TEST (a_token_of_long_ago_does_not_hide_a_new_leader)
+/* After all gateways were killed, fencing tokens start from the lowest again.
+ */
+START_TEST (an_old_higher_token_does_not_hide_a_new_leader)
 {
   CfHoldLease l = { 0 };
 
@@ -53,7 +54,7 @@
   cf_hold_lease_renew (&l, 8, TRUE, 60000);
   ck_assert (cf_hold_lease_has_expired (&l, 0, 60400));
   ck_assert (cf_hold_lease_is_open (&l, 60400));
-  /* Nobody took over for long: nothing is known of the hold any more. */
+  /* An old lease no longer tells whether a pass is held. */
   ck_assert (!cf_hold_lease_has_expired (&l, 0, 600000));
   ck_assert (!cf_hold_lease_is_open (&l, 600000));
 }
@@ -68,7 +69,7 @@
   tcase_add_test (t, a_lease_expires_once_its_leader_is_silent);
   tcase_add_test (t, a_hold_that_ended_needs_no_successor);
   tcase_add_test (t, a_leader_that_was_succeeded_is_ignored);
-  tcase_add_test (t, a_token_of_long_ago_does_not_hide_a_new_leader);
+  tcase_add_test (t, an_old_higher_token_does_not_hide_a_new_leader);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-map-gain.c
+++ b/t/t-map-gain.c
@@ -1,46 +1,53 @@
-/* What a change of expert maps must bring to be made. */
+/* The skew that a change of expert maps must remove, and its limits. */
 #include "gateway/map-gain.h"
 #include "harness.h"
 
-#define USUAL 0.2
+#define DEFAULT_GAIN 0.2
 #define AIM_MS 120
-#define SEEN 100
+#define WINDOWS 100
 
-START_TEST (the_usual_where_nothing_else_is_known)
+START_TEST (default_gain_where_nothing_else_is_known)
 {
-  ck_assert_double_eq (cf_map_required_gain (USUAL, 0, 0, SEEN), USUAL);
-  ck_assert_double_eq (cf_map_required_gain (USUAL, 40, 0, SEEN), USUAL);
-  ck_assert_double_eq (cf_map_required_gain (USUAL, 0, AIM_MS, SEEN), USUAL);
-  ck_assert_double_eq (cf_map_required_gain (USUAL, 75, AIM_MS, SEEN), USUAL);
+  ck_assert_double_eq (cf_map_required_gain (DEFAULT_GAIN, 0, 0, WINDOWS),
+                       DEFAULT_GAIN);
+  ck_assert_double_eq (cf_map_required_gain (DEFAULT_GAIN, 40, 0, WINDOWS),
+                       DEFAULT_GAIN);
+  ck_assert_double_eq (cf_map_required_gain (DEFAULT_GAIN, 0, AIM_MS, WINDOWS),
+                       DEFAULT_GAIN);
+  ck_assert_double_eq (cf_map_required_gain (DEFAULT_GAIN, 75, AIM_MS, WINDOWS),
+                       DEFAULT_GAIN);
 }
 END_TEST
 
-START_TEST (more_while_passes_are_short)
+START_TEST (higher_gain_while_passes_are_short)
 {
-  ck_assert_double_gt (cf_map_required_gain (USUAL, 40, AIM_MS, SEEN),
-                       USUAL + 0.3);
-  ck_assert_double_eq (cf_map_required_gain (0.9, 40, AIM_MS, SEEN), 0.9);
+  ck_assert_double_gt (cf_map_required_gain (DEFAULT_GAIN, 40, AIM_MS, WINDOWS),
+                       DEFAULT_GAIN + 0.3);
+  ck_assert_double_eq (cf_map_required_gain (0.9, 40, AIM_MS, WINDOWS), 0.9);
 }
 END_TEST
 
-START_TEST (less_while_passes_are_about_too_long)
+START_TEST (lower_gain_while_passes_are_almost_too_long)
 {
-  ck_assert_double_lt (cf_map_required_gain (USUAL, 100, AIM_MS, SEEN), 0.15);
-  ck_assert_double_eq (cf_map_required_gain (0.05, 100, AIM_MS, SEEN), 0.05);
+  ck_assert_double_lt (
+      cf_map_required_gain (DEFAULT_GAIN, 100, AIM_MS, WINDOWS), 0.15);
+  ck_assert_double_eq (cf_map_required_gain (0.05, 100, AIM_MS, WINDOWS), 0.05);
 }
 END_TEST
 
-START_TEST (much_while_little_was_seen)
+START_TEST (high_gain_while_few_windows_were_counted)
 {
   for (gint64 pass_ms = 0; pass_ms < 200; pass_ms += 20)
-    ck_assert_double_gt (cf_map_required_gain (USUAL, pass_ms, AIM_MS, 1),
-                         USUAL + 0.5);
+    ck_assert_double_gt (
+        cf_map_required_gain (DEFAULT_GAIN, pass_ms, AIM_MS, 1),
+        DEFAULT_GAIN + 0.5);
 }
 END_TEST
 
-/* As slow as 0.11 s a copy: one a rank and change, and only where it saves
- * much.  As quick as 8 ms: several, and smaller gains count. */
-START_TEST (quick_copies_may_be_several)
+/* With slow copies (0.11 s each) a rank makes one per change, and only for a
+ * large gain; with quick ones (8 ms) it makes several, also for smaller
+ * gains. */
+START_TEST (a_rank_may_make_several_quick_copies)
 {
   CfPlanLimits unknown = cf_map_choose_limits (0, 10);
   CfPlanLimits slow = cf_map_choose_limits (111, 4);
@@ -62,11 +69,11 @@
   Suite *s = suite_create ("map-gain");
   TCase *t = tcase_create ("map-gain");
 
-  tcase_add_test (t, the_usual_where_nothing_else_is_known);
-  tcase_add_test (t, more_while_passes_are_short);
-  tcase_add_test (t, less_while_passes_are_about_too_long);
-  tcase_add_test (t, much_while_little_was_seen);
-  tcase_add_test (t, quick_copies_may_be_several);
+  tcase_add_test (t, default_gain_where_nothing_else_is_known);
+  tcase_add_test (t, higher_gain_while_passes_are_short);
+  tcase_add_test (t, lower_gain_while_passes_are_almost_too_long);
+  tcase_add_test (t, high_gain_while_few_windows_were_counted);
+  tcase_add_test (t, a_rank_may_make_several_quick_copies);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-order-watch.c
+++ b/t/t-order-watch.c
@@ -1,11 +1,11 @@
-/* Agents that lose orders, and when orders go past them. */
+/* When an agent has lost an order, and when orders bypass it. */
 #include "gateway/order-watch.h"
 #include "harness.h"
 
-/* The leader gives an order again before the first counts as lost; with only
- * the newest watched, none ever did, and a hold whose agent stood still was
- * asked for eleven times through that agent. */
-START_TEST (an_order_given_again_is_lost)
+/* The leader sends an order again before the first one times out.  While only
+ * the newest was watched, none ever counted as lost, and an order to hold was
+ * sent eleven times through an agent that was frozen. */
+START_TEST (an_order_that_is_sent_again_counts_as_lost)
 {
   CfOrderWatch w = { 0 };
 
@@ -21,7 +21,7 @@
 }
 END_TEST
 
-START_TEST (an_order_expires_once)
+START_TEST (an_order_times_out_once)
 {
   CfOrderWatch w = { 0 };
 
@@ -35,7 +35,7 @@
 }
 END_TEST
 
-START_TEST (a_hold_and_its_end_do_not_wait_for_an_agent)
+START_TEST (a_hold_and_its_release_bypass_the_agent)
 {
   CfOrderWatch w = { 0 };
 
@@ -44,7 +44,7 @@
   ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_PREPARE));
   ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_ARM));
   ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_DISARM));
-  /* An agent that lost an order is passed by. */
+  /* An agent that lost an order is bypassed. */
   cf_order_watch_note_sent (&w, 1, 1000);
   ck_assert (cf_order_watch_check_expiry (&w, 1200));
   ck_assert (cf_order_watch_is_sent_direct (&w, CF_ORDER_ARM));
@@ -57,9 +57,9 @@
   Suite *s = suite_create ("order-watch");
   TCase *t = tcase_create ("order-watch");
 
-  tcase_add_test (t, an_order_given_again_is_lost);
-  tcase_add_test (t, an_order_expires_once);
-  tcase_add_test (t, a_hold_and_its_end_do_not_wait_for_an_agent);
+  tcase_add_test (t, an_order_that_is_sent_again_counts_as_lost);
+  tcase_add_test (t, an_order_times_out_once);
+  tcase_add_test (t, a_hold_and_its_release_bypass_the_agent);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-pass-record.c
+++ b/t/t-pass-record.c
@@ -1,8 +1,8 @@
-/* What a pass was made of. */
+/* Grouping the events of streams into passes. */
 #include "gateway/pass-record.h"
 #include "harness.h"
 
-START_TEST (events_close_together_are_of_one_pass)
+START_TEST (events_close_together_belong_to_one_pass)
 {
   const CfPassEvent events[] = {
     { 1000, 90, 120, 500 },  { 1003, 130, 120, 500 }, { 1004, 0, 120, 700 },
@@ -30,7 +30,7 @@
   Suite *s = suite_create ("pass-record");
   TCase *t = tcase_create ("pass-record");
 
-  tcase_add_test (t, events_close_together_are_of_one_pass);
+  tcase_add_test (t, events_close_together_belong_to_one_pass);
   suite_add_tcase (s, t);
   return t_run (s);
 }
