--- a/gateway/map-coordinator.h
+++ b/gateway/map-coordinator.h
@@ -35,7 +35,7 @@
   CF_MAP_ARMING,       /**< the ranks are ordered to switch at the held pass */
   CF_MAP_RELEASING,    /**< the hold is being ended */
   CF_MAP_SWITCHING,    /**< waits until every rank has begun the pass */
-  CF_MAP_INVALIDATING, /**< makes orders void that may still be delivered */
+  CF_MAP_INVALIDATING, /**< has the ranks refuse late orders */
 } CfMapState;
 
 /** cf_map_state_name: the state's name in the log. */
--- a/gateway/map-plan.h
+++ b/gateway/map-plan.h
@@ -16,11 +16,10 @@
 /** CfPlanLimits: how far one change may go, and what it must gain. */
 typedef struct
 {
-  int max_new;      /**< experts that a rank copies of a set; at most its
-                         spare */
-  int max_rank_new; /**< experts that a rank copies of all sets; 0: any number
-                     */
-  double min_gain;  /**< skew that a change must remove */
+  int max_new;          /**< experts that a rank copies of a set; at most its
+                             spare */
+  int max_rank_new;     /**< the same, of all sets together; 0: any number */
+  double min_gain;      /**< skew that a change must remove */
   double min_move_gain; /**< load that a copy must remove from the slowest rank,
                              as a fraction of an even load */
 } CfPlanLimits;
--- a/t/t-coordinator.c
+++ b/t/t-coordinator.c
@@ -661,9 +661,9 @@
 }
 END_TEST
 
-/* A report that a rank gives to another VM is some 100 ms old.  If the order to
- * end a hold was lost and such a report dated from before the hold, the group
- * stayed held for 5 s. */
+/* A report that a rank gives to another VM is some 100 ms old.  When the order
+ * to end a hold was lost and such a report, from before the hold, was taken as
+ * newer, the group stayed held for 5 s. */
 START_TEST (an_old_report_does_not_end_a_hold)
 {
   CfRankStatus s = { .group = "g", .size = RANKS, .epoch = 1, .open = TRUE };
@@ -825,12 +825,12 @@
 
 #define LARGE_RANKS 192
 
-static int n_ordered;
+static int n_prepare_orders;
 
 static void
 count_order (void *data, int rank, const CfRankOrder *o)
 {
-  n_ordered += o->kind == CF_ORDER_PREPARE;
+  n_prepare_orders += o->kind == CF_ORDER_PREPARE;
 }
 
 static void
@@ -907,22 +907,22 @@
   CfMapCoordinator c;
   gint64 now = 1000;
   int ticks = 0;
-  int most = 0;
+  int max_per_tick = 0;
 
-  n_ordered = 0;
+  n_prepare_orders = 0;
   init_large_group (&c, &now);
-  while (n_ordered < LARGE_RANKS && ticks < 1000)
+  while (n_prepare_orders < LARGE_RANKS && ticks < 1000)
     {
-      int before = n_ordered;
+      int before = n_prepare_orders;
 
       cf_map_coordinator_tick (&c, now += 2);
-      most = MAX (most, n_ordered - before);
-      ticks += n_ordered > 0;
-      ck_assert (n_ordered == 0 || n_ordered >= LARGE_RANKS
+      max_per_tick = MAX (max_per_tick, n_prepare_orders - before);
+      ticks += n_prepare_orders > 0;
+      ck_assert (n_prepare_orders == 0 || n_prepare_orders >= LARGE_RANKS
                  || cf_map_coordinator_has_pending_work (&c));
     }
-  ck_assert_int_eq (n_ordered, LARGE_RANKS);
-  ck_assert_int_le (most, LARGE_RANKS / 3);
+  ck_assert_int_eq (n_prepare_orders, LARGE_RANKS);
+  ck_assert_int_le (max_per_tick, LARGE_RANKS / 3);
   ck_assert_int_le (ticks, 4);
   cf_map_coordinator_clear (&c);
 }
