--- a/gateway/map-coordinator.c
+++ b/gateway/map-coordinator.c
@@ -2,15 +2,16 @@
 
 #include <string.h>
 
-/** Without a tick for so long others may have acted, and what this leader
- * believes is learned anew.  No other leads before agents have heard nothing of
- * this one for 1,300 ms, of which 400 may have passed before the gap: less is
- * a process that was busy, or had little of its processor. */
-#define GAP_MS 800
-/** How long holding a pass and arming 16 ranks takes, until it is known.
- * So many passes ahead one is held: a group that stands still makes its
- * callers wait, one that is warned too early runs on with a worse map. */
-#define ARMING_FIRST_MS 60
+/** After a longer gap between ticks another gateway may have led meanwhile, so
+ * the coordinator settles again.  No other gateway takes the lead before agents
+ * have heard nothing from this one for 1,300 ms, of which 400 ms may have
+ * passed before the gap; a shorter gap is that of a process that was busy or
+ * got little processor time. */
+#define MAX_TICK_GAP_MS 800
+/** Time to hold a pass and arm 16 ranks, until the real time is known.  It sets
+ * how many passes ahead a pass is held: with too few, the group stops and its
+ * callers wait; with too many, it runs longer with the worse map. */
+#define INITIAL_ARMING_MS 60
 
 const char *
 cf_map_state_name (CfMapState s)
@@ -31,8 +32,8 @@
       return "releasing";
     case CF_MAP_SWITCHING:
       return "switching";
-    case CF_MAP_BURNING:
-      return "burning";
+    case CF_MAP_INVALIDATING:
+      return "burning"; /* its name in the log */
     }
   return "unknown";
 }
@@ -40,20 +41,20 @@
 void
 cf_map_coordinator_init (CfMapCoordinator *c, const CfGroupShape *shape,
                          const CfPlanLimits *limits,
-                         const CfMapCoordinatorCalls *calls, void *data)
+                         const CfMapCoordinatorCallbacks *callbacks, void *data)
 {
   memset (c, 0, sizeof *c);
   c->shape = *shape;
   c->limits = *limits;
-  c->calls = calls;
+  c->callbacks = callbacks;
   c->data = data;
   c->ranks = g_new0 (CfRankView, shape->ranks);
   for (int r = 0; r < shape->ranks; r++)
-    c->ranks[r].lists_map = -1;
-  cf_expert_demand_init (&c->demand, shape->ranks, cf_map_n_experts (c));
+    c->ranks[r].lists_version = -1;
+  cf_expert_demand_init (&c->demand, shape->ranks, cf_map_count_experts (c));
   c->pace = g_new0 (double, shape->ranks);
   c->in_use = cf_group_map_new (shape);
-  c->arming_ms = ARMING_FIRST_MS;
+  c->arming_ms = INITIAL_ARMING_MS;
 }
 
 void
@@ -68,58 +69,58 @@
 }
 
 gboolean
-cf_map_coordinator_has_more (const CfMapCoordinator *c)
+cf_map_coordinator_has_pending_work (const CfMapCoordinator *c)
 {
-  return c->plan != NULL || c->has_more;
+  return c->plan != NULL || c->has_unsent_orders;
 }
 
 void
-cf_map_coordinator_lead (CfMapCoordinator *c, gint64 fence, guint salt,
-                         gint64 now)
+cf_map_coordinator_start_leading (CfMapCoordinator *c, gint64 fence, guint salt,
+                                  gint64 now)
 {
   c->fence = fence;
   c->salt = salt;
   c->n_versions = 0;
   c->last_tick_ms = now;
-  cf_map_enter (c, CF_MAP_SETTLING, "took-the-lead", now);
+  cf_map_enter_state (c, CF_MAP_SETTLING, "took-the-lead", now);
 }
 
 void
 cf_map_coordinator_tick (CfMapCoordinator *c, gint64 now)
 {
-  gboolean stood_still = now - c->last_tick_ms > GAP_MS;
+  gboolean was_stalled = now - c->last_tick_ms > MAX_TICK_GAP_MS;
 
   c->last_tick_ms = now;
   cf_expert_demand_tick (&c->demand, now);
   if (c->fence == 0)
     return;
-  if (stood_still && c->state != CF_MAP_SETTLING)
-    cf_map_enter (c, CF_MAP_SETTLING, "stood-still", now);
+  if (was_stalled && c->state != CF_MAP_SETTLING)
+    cf_map_enter_state (c, CF_MAP_SETTLING, "stood-still", now);
   switch (c->state)
     {
     case CF_MAP_SETTLING:
-      cf_map_settle (c, now);
+      cf_map_run_settling (c, now);
       break;
     case CF_MAP_IDLE:
-      cf_map_plan_next (c, now);
+      cf_map_run_idle (c, now);
       break;
     case CF_MAP_PREPARING:
-      cf_map_prepare (c, now);
+      cf_map_run_preparing (c, now);
       break;
     case CF_MAP_HOLDING:
-      cf_map_hold (c, now);
+      cf_map_run_holding (c, now);
       break;
     case CF_MAP_ARMING:
-      cf_map_arm (c, now);
+      cf_map_run_arming (c, now);
       break;
     case CF_MAP_RELEASING:
-      cf_map_release (c, now);
+      cf_map_run_releasing (c, now);
       break;
     case CF_MAP_SWITCHING:
-      cf_map_await_switch (c, now);
+      cf_map_run_switching (c, now);
       break;
-    case CF_MAP_BURNING:
-      cf_map_burn (c, now);
+    case CF_MAP_INVALIDATING:
+      cf_map_run_invalidating (c, now);
       break;
     }
 }
