--- a/Makefile
+++ b/Makefile
@@ -43,7 +43,7 @@
 	target/comfrey-fault-proxy
 
 # Tests of the gateway's modules link what runs on the platform, too.
-GW_TESTS = t/t-platform t/t-http-reader t/t-event-stream t/t-balancer t/t-map-gain t/t-standstill t/t-order-watch t/t-hold-lease t/t-wait-queue t/t-target t/t-outage t/t-concurrency-limit t/t-membership t/t-overload t/t-pace t/t-expert-demand t/t-expert-counts \
+GW_TESTS = t/t-platform t/t-http-reader t/t-event-stream t/t-balancer t/t-map-gain t/t-standstill t/t-order-watch t/t-hold-lease t/t-wait-queue t/t-target t/t-outage t/t-concurrency-limit t/t-membership t/t-overload t/t-stream-latency t/t-expert-demand t/t-expert-counts \
 	t/t-group-map t/t-watch-batcher t/t-pass-record t/t-loop-watch t/t-map-history t/t-peer-msg t/t-log-writer t/t-coordinator t/t-fleet \
 	t/t-gateway t/t-network t/t-rank-groups t/t-planned-stop t/t-quarantine t/t-rate-limit
 GW_TEST_LDLIBS = target/libcomfrey-gateway.a -lev -lhttp_parser
--- a/agent-link.c
+++ b/agent-link.c
@@ -319,7 +319,7 @@
 
   pthread_mutex_lock (&l->lock);
   v.up = l->fd >= 0 && l->ready;
-  v.ejected = cf_outlier_ejected (&l->outlier, now);
+  v.ejected = cf_outlier_is_ejected (&l->outlier, now);
   v.load = l->load;
   /* The heartbeat may be seconds old; the time it names has gone on. */
   v.load.quiet_ms = MAX (l->quiet_until_ms - now, 0);
@@ -336,9 +336,9 @@
 
   pthread_mutex_lock (&l->lock);
   if (healthy)
-    cf_outlier_success (&l->outlier);
+    cf_outlier_record_success (&l->outlier);
   else
-    ms = cf_outlier_failure (&l->outlier, cf_now_ms ());
+    ms = cf_outlier_record_failure (&l->outlier, cf_now_ms ());
   pthread_mutex_unlock (&l->lock);
   if (ms > 0)
     cf_log (LOG_WARNING, CF_EV_OUTLIER, "target=%s ms=%" G_GINT64_FORMAT,
--- a/entry-route.c
+++ b/entry-route.c
@@ -432,7 +432,7 @@
 {
   g_autoptr (GHashTable) tried = g_hash_table_new (g_str_hash, g_str_equal);
 
-  cf_retry_budget_request (&e->retry_budget);
+  cf_retry_budget_add_request (&e->retry_budget);
   for (guint i = 0; i < r->intent->groups->len; i++)
     {
       r->group = cf_config_group (r->config,
--- a/gateway/balancer.c
+++ b/gateway/balancer.c
@@ -27,11 +27,11 @@
 } Use;
 
 guint
-cf_balancer_share (gint64 slots, gint64 max_conns, guint fleet)
+cf_balancer_max_in_flight (gint64 slots, gint64 max_conns, guint n_gateways)
 {
-  guint sharers = CF_WITHOUT_FLEET_SHARES ? 1 : MAX (fleet, 1);
+  guint sharers = CF_WITHOUT_FLEET_SHARES ? 1 : MAX (n_gateways, 1);
   double part = (double)slots * SHARE_MORE / sharers;
-  double conns = floor ((double)max_conns / MAX (fleet, 1));
+  double conns = floor ((double)max_conns / MAX (n_gateways, 1));
 
   if (max_conns > 0)
     part = MIN (part, conns);
@@ -47,7 +47,8 @@
 static guint
 room_for (const CfTarget *t, const CfPickInput *in)
 {
-  guint share = cf_balancer_share (t->record.slots, in->max_conns, in->fleet);
+  guint share = cf_balancer_max_in_flight (t->record.slots, in->max_conns,
+                                           in->n_gateways);
 
   return in->yields ? (guint)MAX (share * YIELD_PART, 1) : share;
 }
@@ -55,14 +56,15 @@
 static gboolean
 stands_still (const CfTarget *t, const CfPickInput *in)
 {
-  return in->stall_ms > 0 && !CF_WITHOUT_STALL_CHECK
-         && cf_target_quiet_ms (t, in->now_ms) > in->stall_ms;
+  return in->stall_timeout_ms > 0 && !CF_WITHOUT_STALL_CHECK
+         && cf_target_silence_ms (t, in->now_ms) > in->stall_timeout_ms;
 }
 
 static gboolean
 is_doubtful (const CfTarget *t, const CfPickInput *in)
 {
-  return t->pace >= SLOW_PACE || cf_outlier_ejected (&t->outlier, in->now_ms)
+  return t->slowdown >= SLOW_PACE
+         || cf_outlier_is_ejected (&t->outlier, in->now_ms)
          || stands_still (t, in);
 }
 
@@ -80,12 +82,12 @@
   return is_doubtful (t, in) ? USE_GUESS : USE_YES;
 }
 
-/* Load with the request, in 1/1024 slots of a target at its usual pace; one
+/* Load with the request, in 1/1024 slots of a target at its usual slowdown; one
  * less in our own data centre to break ties. */
 static guint
 load_of (const CfTarget *t, const CfPickInput *in)
 {
-  double share = (t->in_flight + 1) * t->pace / (double)t->record.slots;
+  double share = (t->in_flight + 1) * t->slowdown / (double)t->record.slots;
   guint load = (guint)(share * 1024) * 2 + 1;
 
   if (in->data_centre && t->record.data_centre
@@ -135,7 +137,7 @@
 static gboolean
 exceeds_total (const Choice *c, const CfPickInput *in)
 {
-  double share = (double)c->slots / MAX (in->fleet, 1);
+  double share = (double)c->slots / MAX (in->n_gateways, 1);
   double most = G_MAXUINT;
 
   if (in->limit > 0)
@@ -150,10 +152,10 @@
 {
   if (in->ring_start && !CF_WITHOUT_TARGET_RING)
     return (guint)(*in->ring_start * n);
-  return t->turn++;
+  return t->next_start++;
 }
 
-CfPickWhy
+CfPickResult
 cf_balancer_pick (CfTargetTable *t, const CfPickInput *in, CfTarget **out)
 {
   const GPtrArray *a = cf_target_table_service (t, in->service);
@@ -174,12 +176,12 @@
     return CF_PICK_OK;
   if (c.any_full || c.guess)
     return CF_PICK_FULL;
-  return c.any_limited ? CF_PICK_LIMITED : CF_PICK_NO_TARGET;
+  return c.any_limited ? CF_PICK_RATE_LIMITED : CF_PICK_NO_TARGET;
 }
 
 double
-cf_balancer_limited_per_s (const CfTargetTable *t, const char *service,
-                           CfFleetPlace place)
+cf_balancer_rate_limit_per_s (const CfTargetTable *t, const char *service,
+                              CfFleetPlace place)
 {
   const GPtrArray *a = cf_target_table_service (t, service);
   double sum = 0;
@@ -189,7 +191,7 @@
       const CfTarget *one = a->pdata[i];
 
       if (one->limit.per_s > 0 && !one->record.leaving && !one->replaced)
-        sum += cf_rate_limit_part (&one->limit, one->record.id, place);
+        sum += cf_rate_limit_share (&one->limit, one->record.id, place);
     }
   return sum;
 }
--- a/gateway/balancer.h
+++ b/gateway/balancer.h
@@ -2,14 +2,14 @@
 
 #include "target.h"
 
-/** CfPickWhy: why a request got a target, or none. */
+/** CfPickResult: why a request got a target, or none. */
 typedef enum
 {
   CF_PICK_OK,
-  CF_PICK_NO_TARGET, /**< the service has none that takes new work */
-  CF_PICK_FULL,      /**< each has as much as it may have from us */
-  CF_PICK_LIMITED,   /**< only the rates that targets named are in the way */
-} CfPickWhy;
+  CF_PICK_NO_TARGET,    /**< the service has none that takes new work */
+  CF_PICK_FULL,         /**< each has as much as it may have from us */
+  CF_PICK_RATE_LIMITED, /**< only the rates that targets named are in the way */
+} CfPickResult;
 
 /** CfPickInput: what the choice of a target is made from. */
 typedef struct
@@ -18,7 +18,7 @@
   const char *data_centre;  /**< (nullable): ours; wins among equals */
   const GPtrArray *tried;   /**< (nullable): targets that had it already */
   gint64 now_ms;            /**< of the monotonic clock */
-  guint fleet;              /**< gateways that send to these targets */
+  guint n_gateways;         /**< gateways that send to these targets */
   CfFleetPlace place;       /**< ours among them */
   guint in_flight;          /**< requests of ours that all of them have */
   guint limit;              /**< of @in_flight; 0: none */
@@ -26,28 +26,29 @@
   const double *ring_start; /**< (nullable): where a search for the least
                                  loaded begins, from 0 to below 1; by turns */
   gboolean yields;          /**< leaves room for requests that can be in time */
-  gint64 stall_ms; /**< a target that has work of ours and is quiet for longer
-                        stands still; 0: quiet targets are not known */
+  gint64 stall_timeout_ms;  /**< a target that has work of ours and is quiet for
+                         longer  stands still; 0: quiet targets are not known */
 } CfPickInput;
 
 /**
- * cf_balancer_share:
+ * cf_balancer_max_in_flight:
  * @max_conns: connections a target takes from all callers; 0: any number
- * Returns: how many requests one of @fleet gateways gives a target of
+ * Returns: how many requests one of @n_gateways gateways gives a target of
  *   @slots at once: an even part and a quarter more, since callers are not
  *   spread evenly, but no more than its even part of the connections.  What
  *   is more than the slots would wait at the target, where the order cannot
  *   be chosen any more; what is more than the connections would be reset.
  */
-guint cf_balancer_share (gint64 slots, gint64 max_conns, guint fleet);
+guint cf_balancer_max_in_flight (gint64 slots, gint64 max_conns,
+                                 guint n_gateways);
 
 /**
- * cf_balancer_limited_per_s:
+ * cf_balancer_rate_limit_per_s:
  * Returns: requests a second that this gateway may send to the targets of
  *   @service which have named a limit.
  */
-double cf_balancer_limited_per_s (const CfTargetTable *t, const char *service,
-                                  CfFleetPlace place);
+double cf_balancer_rate_limit_per_s (const CfTargetTable *t,
+                                     const char *service, CfFleetPlace place);
 
 /**
  * cf_balancer_pick:
@@ -60,5 +61,5 @@
  *
  * @out: (out): the target, not referenced
  */
-CfPickWhy cf_balancer_pick (CfTargetTable *t, const CfPickInput *in,
-                            CfTarget **out);
+CfPickResult cf_balancer_pick (CfTargetTable *t, const CfPickInput *in,
+                               CfTarget **out);
--- a/gateway/concurrency-limit.c
+++ b/gateway/concurrency-limit.c
@@ -20,27 +20,27 @@
 #define MOST_SHARES 2.0
 
 static double
-accepted_ms (const CfFirstEvent *e)
+accepted_ms (const CfFirstEventSample *e)
 {
   return MAX ((double)e->aim_ms * ACCEPTED_PART_OF_AIM,
               e->unqueued_ms * ACCEPTED_TIMES_UNQUEUED);
 }
 
 static double
-least (const CfFirstEvent *e)
+least (const CfFirstEventSample *e)
 {
   return MAX (e->fair_share * LEAST_SHARES, 1);
 }
 
 /* True if a lower limit would change anything. */
 static gboolean
-is_binding (const CfConcurrencyLimit *l, const CfFirstEvent *e)
+is_binding (const CfConcurrencyLimit *l, const CfFirstEventSample *e)
 {
   return e->in_flight >= (l->limit > 0 ? l->limit * BINDING_PART : least (e));
 }
 
 static void
-decide (CfConcurrencyLimit *l, const CfFirstEvent *e)
+decide (CfConcurrencyLimit *l, const CfFirstEventSample *e)
 {
   double most = MAX (e->fair_share * MOST_SHARES, 1);
   double gradient = CLAMP (accepted_ms (e) / l->mean_ms, DECREASE, INCREASE);
@@ -59,7 +59,8 @@
 }
 
 gboolean
-cf_concurrency_limit_sample (CfConcurrencyLimit *l, const CfFirstEvent *e)
+cf_concurrency_limit_add_sample (CfConcurrencyLimit *l,
+                                 const CfFirstEventSample *e)
 {
   gboolean was_limited = l->limit > 0;
 
--- a/gateway/concurrency-limit.h
+++ b/gateway/concurrency-limit.h
@@ -19,7 +19,7 @@
   double mean_ms;    /**< of the samples of the last decision */
 } CfConcurrencyLimit;
 
-/** CfFirstEvent: the first event of a stream, as the limit samples it. */
+/** CfFirstEventSample: the first event of a stream, as the limit samples it. */
 typedef struct
 {
   gint64 now_ms;
@@ -29,14 +29,14 @@
   gint64 aim_ms;      /**< objective for the first event */
   guint in_flight;    /**< of ours at the service */
   double fair_share;  /**< the service's slots, divided by the gateways */
-} CfFirstEvent;
+} CfFirstEventSample;
 
 /**
- * cf_concurrency_limit_sample:
+ * cf_concurrency_limit_add_sample:
  * Returns: %TRUE if the limit came into force or was lifted.
  */
-gboolean cf_concurrency_limit_sample (CfConcurrencyLimit *l,
-                                      const CfFirstEvent *e);
+gboolean cf_concurrency_limit_add_sample (CfConcurrencyLimit *l,
+                                          const CfFirstEventSample *e);
 
 /** cf_concurrency_limit_get: requests in flight; 0: unlimited. */
 guint cf_concurrency_limit_get (const CfConcurrencyLimit *l);
--- a/gateway/crash-probe.c
+++ b/gateway/crash-probe.c
@@ -31,13 +31,13 @@
 
   while ((w = TAILQ_FIRST (&p->waiters)))
     {
-      cf_crash_waiter_leave (w);
+      cf_crash_waiter_cancel (w);
       w->done (w, crashed);
     }
 }
 
 void
-cf_crash_waiter_leave (CfCrashWaiter *w)
+cf_crash_waiter_cancel (CfCrashWaiter *w)
 {
   if (w->probe)
     TAILQ_REMOVE (&w->probe->waiters, w, link);
@@ -66,7 +66,7 @@
   c.target = g_strdup_printf ("%s/%" G_GINT64_FORMAT, r->id, r->incarnation);
   if (cf_quarantine_merge (q, &l->digest, &c, 1, l->lost_ms))
     {
-      char text[CF_REQUEST_DIGEST_TEXT];
+      char text[CF_REQUEST_DIGEST_TEXT_SIZE];
 
       cf_request_digest_print (&l->digest, text);
       cf_log (LOG_WARNING, CF_EV_QUARANTINE,
--- a/gateway/crash-probe.h
+++ b/gateway/crash-probe.h
@@ -28,14 +28,14 @@
  *
  * Requests that @t is lost with while a probe of it is under way share its
  * result.
- * @w: (nullable): called back later, unless cf_crash_waiter_leave() is called
+ * @w: (nullable): called back later, unless cf_crash_waiter_cancel() is called
  * Returns: %FALSE if it cannot be found out; @w is not called back.
  */
 gboolean cf_crash_probe_start (CfGateway *g, CfTarget *t,
                                const CfLostRequest *l, CfCrashWaiter *w);
 
-/** cf_crash_waiter_leave: @w does not wait any more. */
-void cf_crash_waiter_leave (CfCrashWaiter *w);
+/** cf_crash_waiter_cancel: @w does not wait any more. */
+void cf_crash_waiter_cancel (CfCrashWaiter *w);
 
 /** cf_crash_probe_stop_all: drops those under way. */
 void cf_crash_probe_stop_all (CfGateway *g);
--- a/gateway/exchange-answer.c
+++ b/gateway/exchange-answer.c
@@ -44,8 +44,9 @@
 cf_exchange_blame (CfExchange *x, CfTarget *t, const char *reason)
 {
   if (!CF_WITHOUT_EJECTION)
-    note_ejection (x, t, reason,
-                   cf_outlier_failure (&t->outlier, cf_gateway_now (x->g)));
+    note_ejection (
+        x, t, reason,
+        cf_outlier_record_failure (&t->outlier, cf_gateway_now (x->g)));
 }
 
 /* A refusal that names who is at fault, while nothing of the service does
@@ -56,7 +57,8 @@
   CfLane *l = x->lane;
   gint64 now = cf_gateway_now (x->g);
 
-  if (now - l->last_event_ms < QUIET_MS || !cf_outage_refused (&l->outage, now))
+  if (now - l->last_event_ms < QUIET_MS
+      || !cf_outage_record_refusal (&l->outage, now))
     return;
   cf_log (LOG_WARNING, CF_EV_OUTAGE,
           "service=%s outcome=begins quiet_ms=%" G_GINT64_FORMAT
@@ -80,8 +82,9 @@
 learn_from_refusal (CfExchange *x)
 {
   gint64 now = cf_gateway_now (x->g);
-  CfTarget *t
-      = x->faulty ? cf_target_table_at (&x->g->targets, x->faulty) : NULL;
+  CfTarget *t = x->faulty
+                    ? cf_target_table_lookup_addr (&x->g->targets, x->faulty)
+                    : NULL;
 
   cf_log (LOG_NOTICE, CF_EV_TARGET_FAIL,
           "id=%s target=%s outcome=not-run status=%d faulty=%s", x->id,
@@ -105,7 +108,7 @@
 note_work (CfExchange *x)
 {
   gint64 now = cf_gateway_now (x->g);
-  gint64 ms = cf_outage_answered (&x->lane->outage, now);
+  gint64 ms = cf_outage_record_answer (&x->lane->outage, now);
 
   x->lane->last_event_ms = now;
   if (ms)
@@ -140,17 +143,17 @@
 sample_limit (CfExchange *x)
 {
   CfLane *l = x->lane;
-  CfFirstEvent e = { 0 };
+  CfFirstEventSample e = { 0 };
 
   e.now_ms = cf_gateway_now (x->g);
   e.sent_ms = x->sent_ms;
-  e.unqueued_ms
-      = cf_pace_unqueued_ms (&l->pace, cf_exchange_engine (x), &x->size);
+  e.unqueued_ms = cf_stream_latency_unqueued_ms (
+      &l->pace, cf_exchange_engine (x), &x->size);
   e.aim_ms = x->route->aim_ms;
   e.in_flight = l->in_flight;
   e.fair_share = (double)cf_target_table_slots (&x->g->targets, x->service)
                  / MAX (x->g->fleet_size, 1);
-  if (cf_concurrency_limit_sample (&l->limit, &e))
+  if (cf_concurrency_limit_add_sample (&l->limit, &e))
     log_overload (x);
 }
 
@@ -180,7 +183,7 @@
   if (x->last_event_ms == 0)
     {
       x->first_ms = now - x->start_ms;
-      cf_pace_first (&x->lane->pace, now - x->sent_ms);
+      cf_stream_latency_add_first_event (&x->lane->pace, now - x->sent_ms);
       sample_limit (x);
       cf_histogram_add (&x->g->stats.first_ms, x->first_ms);
     }
@@ -189,7 +192,7 @@
       gint64 pause = now - x->last_event_ms;
 
       x->longest_pause_ms = MAX (x->longest_pause_ms, pause);
-      cf_pace_event (&x->lane->pace, now, pause);
+      cf_stream_latency_add_event (&x->lane->pace, now, pause);
       cf_histogram_add (&x->g->stats.pause_ms, pause);
     }
   x->last_event_ms = now;
@@ -240,7 +243,7 @@
     cf_log (LOG_NOTICE, CF_EV_RATE_LIMIT,
             "target=%s per_s=%.3f source=answer id=%s", t->record.id, limit,
             x->id);
-  if (cf_rate_limit_hear (&t->limit, limit, cf_gateway_now (x->g)))
+  if (cf_rate_limit_update (&t->limit, limit, cf_gateway_now (x->g)))
     x->g->limits_changed = TRUE;
 }
 
@@ -251,7 +254,7 @@
   gboolean sized = (r->parser.flags & F_CONTENTLENGTH) != 0;
 
   x->has_head = TRUE;
-  cf_target_sign (x->target, cf_gateway_now (x->g));
+  cf_target_record_progress (x->target, cf_gateway_now (x->g));
   x->kind = cf_answer_kind (r);
   learn_rate_limit (x, r);
   if (!x->begun)
@@ -270,7 +273,7 @@
 {
   CfExchange *x = owner;
 
-  cf_target_sign (x->target, cf_gateway_now (x->g));
+  cf_target_record_progress (x->target, cf_gateway_now (x->g));
   if (x->kind != CF_ANSWER_GOOD)
     {
       if (x->held->len + n <= HOLD_MAX)
@@ -304,7 +307,7 @@
 static void
 good_answer_whole (CfExchange *x)
 {
-  cf_outlier_success (&x->target->outlier);
+  cf_outlier_record_success (&x->target->outlier);
   cf_exchange_note_answered (x);
   if (!x->route->stream)
     {
--- a/gateway/exchange-crash.c
+++ b/gateway/exchange-crash.c
@@ -6,7 +6,7 @@
 #include <stddef.h>
 
 /** When callers of a quarantined request may come back. */
-#define QUARANTINE_BUSY_MS CF_QUARANTINE_KEEP_MS
+#define QUARANTINE_BUSY_MS CF_QUARANTINE_RETENTION_MS
 
 static const CfRequestDigest *
 digest_of (CfExchange *x)
@@ -23,7 +23,7 @@
 static gint64
 quiet_ms (const CfExchange *x)
 {
-  return cf_gateway_now (x->g) - MAX (x->sent_ms, x->target->last_sign_ms);
+  return cf_gateway_now (x->g) - MAX (x->sent_ms, x->target->last_progress_ms);
 }
 
 static gboolean
@@ -36,7 +36,7 @@
 static void
 log_lost (CfExchange *x)
 {
-  char text[CF_REQUEST_DIGEST_TEXT];
+  char text[CF_REQUEST_DIGEST_TEXT_SIZE];
 
   cf_request_digest_print (digest_of (x), text);
   cf_log (LOG_NOTICE, CF_EV_TARGET_FAIL,
@@ -89,7 +89,7 @@
 static void
 log_quarantine (CfExchange *x, const char *outcome)
 {
-  char text[CF_REQUEST_DIGEST_TEXT];
+  char text[CF_REQUEST_DIGEST_TEXT_SIZE];
 
   cf_request_digest_print (digest_of (x), text);
   cf_log (LOG_NOTICE, CF_EV_QUARANTINE, "request=%s outcome=%s id=%s", text,
--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -18,12 +18,12 @@
   const CfLane *l = x->lane;
 
   if (cf_outage_is_long (&l->outage, cf_gateway_now (x->g)))
-    return cf_wait_busy_ms (CF_NO_ROOM_LONG_OUTAGE);
+    return cf_wait_queue_backoff_ms (CF_NO_CAPACITY_LONG_OUTAGE);
   if (l->outage.since_ms != 0)
-    return cf_wait_busy_ms (CF_NO_ROOM_OUTAGE);
-  return cf_wait_busy_ms (cf_concurrency_limit_get (&l->limit) != 0
-                              ? CF_NO_ROOM_OVERLOAD
-                              : CF_NO_ROOM_FULL);
+    return cf_wait_queue_backoff_ms (CF_NO_CAPACITY_OUTAGE);
+  return cf_wait_queue_backoff_ms (cf_concurrency_limit_get (&l->limit) != 0
+                                       ? CF_NO_CAPACITY_OVERLOAD
+                                       : CF_NO_CAPACITY_FULL);
 }
 
 gboolean
@@ -74,18 +74,18 @@
               "id=%s target=%s after_event=%" G_GINT64_FORMAT, x->id,
               t->record.id, ours.last_event);
     }
-  cf_outage_sent (&x->lane->outage, cf_gateway_now (x->g));
+  cf_outage_record_send (&x->lane->outage, cf_gateway_now (x->g));
   x->target = cf_target_ref (t);
-  cf_target_work_begun (t, cf_gateway_now (x->g));
-  cf_rate_limit_sent (&t->limit);
+  cf_target_request_started (t, cf_gateway_now (x->g));
+  cf_rate_limit_consume (&t->limit);
   if (x->lane->in_flight++ == 0)
     x->lane->busy_since_ms = cf_gateway_now (x->g);
   x->sends++;
   x->events_at_send = x->events.n_events;
   x->sent_ms = cf_gateway_now (x->g);
   if (x->route->stream)
-    x->expected_first_ms
-        = cf_pace_first_ms (&x->lane->pace, cf_exchange_engine (x), &x->size);
+    x->expected_first_ms = cf_stream_latency_first_event_ms (
+        &x->lane->pace, cf_exchange_engine (x), &x->size);
   x->g->stats.sends++;
   g_ptr_array_add (x->tried, cf_target_ref (t));
   x->up = cf_upstream_send (x->g->loop, t, req, x->id, head_only,
@@ -114,20 +114,21 @@
   gint64 first = 0;
 
   if (x->route->stream)
-    first = cf_pace_first_ms (&x->lane->pace, cf_exchange_engine (x), &x->size);
-  return cf_waiter_in_time_ms (x->start_ms, x->route->aim_ms, first);
+    first = cf_stream_latency_first_event_ms (&x->lane->pace,
+                                              cf_exchange_engine (x), &x->size);
+  return cf_waiter_objective_send_by_ms (x->start_ms, x->route->aim_ms, first);
 }
 
 /* When it has to be sent, at the latest, for its answer to be whole before
  * its deadline, if it is of usual length. */
 static gint64
-whole_by_ms (const CfExchange *x)
+deadline_send_by_ms (const CfExchange *x)
 {
   if (!x->route->stream)
     return x->deadline_ms;
   return x->deadline_ms
-         - cf_pace_usual_whole_ms (&x->lane->pace, cf_exchange_engine (x),
-                                   &x->size);
+         - cf_stream_latency_typical_total_ms (
+             &x->lane->pace, cf_exchange_engine (x), &x->size);
 }
 
 /* Waits for room, for as long as that leaves time for the work itself. */
@@ -135,13 +136,13 @@
 wait_for_room (CfExchange *x)
 {
   gint64 now = cf_gateway_now (x->g);
-  gint64 limit
-      = cf_wait_limit_ms (cf_exchange_patience_ms (x), cf_exchange_left_ms (x));
+  gint64 limit = cf_wait_queue_max_wait_ms (cf_exchange_patience_ms (x),
+                                            cf_exchange_left_ms (x));
   CfWaiter *evicted;
 
   x->waiter.since_ms = now;
-  x->waiter.in_time_ms = start_by_ms (x);
-  x->waiter.whole_by_ms = whole_by_ms (x);
+  x->waiter.objective_send_by_ms = start_by_ms (x);
+  x->waiter.deadline_send_by_ms = deadline_send_by_ms (x);
   if (!cf_wait_queue_add (&x->lane->queue, &x->waiter, waiters_max (x),
                           &evicted))
     {
@@ -167,10 +168,10 @@
 wait_for_rate (CfExchange *x)
 {
   double per_s
-      = cf_balancer_limited_per_s (&x->g->targets, x->service, x->g->place);
+      = cf_balancer_rate_limit_per_s (&x->g->targets, x->service, x->g->place);
   double wait_ms = (x->lane->queue.n + 1) * 1000.0 / per_s;
-  gint64 limit
-      = cf_wait_limit_ms (cf_exchange_patience_ms (x), cf_exchange_left_ms (x));
+  gint64 limit = cf_wait_queue_max_wait_ms (cf_exchange_patience_ms (x),
+                                            cf_exchange_left_ms (x));
 
   if (per_s > 0 && wait_ms <= (double)limit)
     wait_for_room (x);
@@ -196,15 +197,17 @@
   /* More work sent there would only be given up by its callers, at targets
    * that may not hear of it. */
   if (!CF_WITHOUT_STALL_CHECK
-      && cf_exchange_all_quiet (x, cf_pace_stall_ms (&x->lane->pace)))
+      && cf_exchange_all_quiet (
+          x, cf_stream_latency_stall_timeout_ms (&x->lane->pace)))
     return TRUE;
   if (CF_WITHOUT_OUTAGE_WAIT)
     return FALSE;
   return o->since_ms
-         && (cf_outage_holds (o, cf_gateway_now (x->g)) || !may_probe (x));
+         && (cf_outage_is_blocking (o, cf_gateway_now (x->g))
+             || !may_probe (x));
 }
 
-static CfPickWhy
+static CfPickResult
 pick (CfExchange *x, CfTarget **t)
 {
   const CfService *sv = cf_policy_service (x->policy, x->service);
@@ -217,19 +220,19 @@
   in.data_centre = x->g->set.data_centre;
   in.tried = x->tried;
   in.now_ms = cf_gateway_now (x->g);
-  in.fleet = x->g->fleet_size;
+  in.n_gateways = x->g->fleet_size;
   in.place = x->g->place;
   in.in_flight = x->lane->in_flight;
   in.limit = cf_concurrency_limit_get (&x->lane->limit);
   in.max_conns = sv ? sv->max_conns : 0;
   /* Just after an outage nobody is in time, whom room could be left for. */
-  in.yields
-      = !cf_outage_is_recent (&x->lane->outage, in.now_ms)
-        && cf_waiter_yields (&x->waiter, in.now_ms, x->lane->pace.pause_ms,
-                             x->route->gap_aim_ms);
+  in.yields = !cf_outage_has_ended_recently (&x->lane->outage, in.now_ms)
+              && cf_waiter_has_to_yield (&x->waiter, in.now_ms,
+                                         x->lane->pace.pause_ms,
+                                         x->route->gap_aim_ms);
   if (x->route->stream)
     {
-      in.stall_ms = cf_pace_stall_ms (&x->lane->pace);
+      in.stall_timeout_ms = cf_stream_latency_stall_timeout_ms (&x->lane->pace);
       in.ring_start = &x->g->ring_start;
     }
   return cf_balancer_pick (&x->g->targets, &in, t);
@@ -262,7 +265,7 @@
       else
         wait_for_room (x);
       break;
-    case CF_PICK_LIMITED:
+    case CF_PICK_RATE_LIMITED:
       wait_for_rate (x);
       break;
     case CF_PICK_NO_TARGET:
@@ -333,7 +336,7 @@
   if (is_answered_instead (x))
     return TRUE;
   cf_histogram_add (&x->g->stats.queue_ms, cf_gateway_now (x->g) - w->since_ms);
-  g->stats.begun_late += cf_gateway_now (g) > w->in_time_ms;
+  g->stats.begun_late += cf_gateway_now (g) > w->objective_send_by_ms;
   cf_wait_queue_remove (q, w);
   ev_timer_stop (x->g->loop, &x->silence);
   send_to (x, t);
--- a/gateway/exchange-silence.c
+++ b/gateway/exchange-silence.c
@@ -98,7 +98,8 @@
 stranded_ms (const CfExchange *x)
 {
   return STRANDED_TIMES
-         * MAX (cf_pace_stall_ms (&x->lane->pace), x->expected_first_ms);
+         * MAX (cf_stream_latency_stall_timeout_ms (&x->lane->pace),
+                x->expected_first_ms);
 }
 
 gint64
@@ -117,18 +118,19 @@
   gint64 now = cf_gateway_now (x->g);
 
   return !CF_WITHOUT_STALL_CHECK && x->route->stream && x->last_event_ms == 0
-         && cf_target_quiet_ms (x->target, now) >= stranded_ms (x)
-         && now - x->lane->last_event_ms < cf_pace_stall_ms (&x->lane->pace);
+         && cf_target_silence_ms (x->target, now) >= stranded_ms (x)
+         && now - x->lane->last_event_ms
+                < cf_stream_latency_stall_timeout_ms (&x->lane->pace);
 }
 
 /* Whether its target, or its whole service, shows no sign of any work. */
 static gboolean
 is_quiet (const CfExchange *x)
 {
-  gint64 stall = cf_pace_stall_ms (&x->lane->pace);
+  gint64 stall = cf_stream_latency_stall_timeout_ms (&x->lane->pace);
 
   return cf_exchange_all_quiet (x, stall)
-         || cf_target_quiet_ms (x->target, cf_gateway_now (x->g)) > stall;
+         || cf_target_silence_ms (x->target, cf_gateway_now (x->g)) > stall;
 }
 
 /* Whether a stream's caller leaves before anything can come of it. */
@@ -144,8 +146,8 @@
 static gboolean
 has_time_elsewhere (const CfExchange *x)
 {
-  return cf_exchange_stay_ms (x)
-         > cf_pace_first_ms (&x->lane->pace, cf_exchange_engine (x), &x->size);
+  return cf_exchange_stay_ms (x) > cf_stream_latency_first_event_ms (
+             &x->lane->pace, cf_exchange_engine (x), &x->size);
 }
 
 /* Whether another target may have it now.  Without a retry in the budget its
@@ -155,7 +157,7 @@
 {
   x->may_have_run = TRUE;
   return cf_exchange_may_send_again (x)
-         && cf_retry_budget_has (&x->lane->budget);
+         && cf_retry_budget_has_token (&x->lane->budget);
 }
 
 /* Tries another target; FALSE if it may not have one. */
--- a/gateway/exchange-stop.c
+++ b/gateway/exchange-stop.c
@@ -19,8 +19,9 @@
   gint64 whole = -1;
 
   if (x->route->stream)
-    whole = cf_pace_whole_ms (&x->lane->pace, cf_exchange_engine (x), &x->size,
-                              cf_gateway_now (x->g));
+    whole = cf_stream_latency_max_total_ms (&x->lane->pace,
+                                            cf_exchange_engine (x), &x->size,
+                                            cf_gateway_now (x->g));
   return whole < 0 ? left : MIN (whole, left);
 }
 
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -42,7 +42,7 @@
     cf_upstream_cancel (up);
   if (!x->target)
     return;
-  cf_target_work_ended (x->target);
+  cf_target_request_ended (x->target);
   x->lane->in_flight--;
   g_clear_pointer (&x->target, cf_target_unref);
 }
@@ -79,7 +79,7 @@
   cf_exchange_leave_unrouted (x);
   ev_timer_stop (g->loop, &x->deadline);
   cf_exchange_release_target (x, TRUE);
-  cf_crash_waiter_leave (&x->verdict);
+  cf_crash_waiter_cancel (&x->verdict);
   free_exchange (x);
   cf_exchange_pump (g);
 }
@@ -201,7 +201,7 @@
                     &x->size.prompt, &x->size.answer);
   x->deadline_ms = x->start_ms + allowed;
   x->waiter.priority = priority_of (x);
-  cf_retry_budget_request (&x->lane->budget);
+  cf_retry_budget_add_request (&x->lane->budget);
   ev_timer_set (&x->deadline, (double)allowed / 1000, 0);
   ev_timer_start (x->g->loop, &x->deadline);
   cf_exchange_try_target (x);
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -25,7 +25,7 @@
 /** Of the others, the part that callers may take: each caller's request may
  * need a connection to a target besides. */
 #define CALLER_FDS_PART 2
-/** A target's pace is told once a second; not told any more for so long, it
+/** A target's slowdown is told once a second; not told any more for so long, it
  * is not believed any more. */
 #define PACE_FRESH_MS 3500
 
@@ -98,8 +98,8 @@
   TAILQ_INIT (&g->probes);
   TAILQ_INIT (&g->unrouted);
   cf_target_table_init (&g->targets);
-  g->targets.is_named = is_named_service;
-  g->targets.is_named_data = g;
+  g->targets.is_configured = is_named_service;
+  g->targets.is_configured_data = g;
   g->quarantine = cf_quarantine_new ();
   cf_gateway_lane (g, "");
   cf_gateway_set_fleet (g, 0);
@@ -182,7 +182,7 @@
           " source=%s routes=%u services=%u",
           p->version, rev, source, p->routes->len,
           g_hash_table_size (p->services));
-  cf_target_table_renamed (&g->targets);
+  cf_target_table_services_changed (&g->targets);
 }
 
 static const char *
@@ -249,7 +249,7 @@
 }
 
 static void
-log_change (const CfGateway *g, const CfTargetNews *news, CfTargetChange c,
+log_change (const CfGateway *g, const CfTargetUpdate *news, CfTargetChange c,
             const char *source)
 {
   const CfTarget *t = g_hash_table_lookup (g->targets.by_id, news->id);
@@ -273,7 +273,7 @@
 }
 
 void
-cf_gateway_take_target (CfGateway *g, const CfTargetNews *news,
+cf_gateway_take_target (CfGateway *g, const CfTargetUpdate *news,
                         const char *source)
 {
   CfTargetRecord r;
@@ -334,13 +334,13 @@
 }
 
 void
-cf_gateway_take_pace (CfGateway *g, CfTarget *t, double pace,
+cf_gateway_take_pace (CfGateway *g, CfTarget *t, double slowdown,
                       const char *source)
 {
-  if (cf_target_set_pace (t, pace, cf_gateway_now (g)))
+  if (cf_target_set_slowdown (t, slowdown, cf_gateway_now (g)))
     cf_log (LOG_NOTICE, CF_EV_TARGET_LIST,
             "target=%s service=%s addr=%s outcome=pace pace=%.2f source=%s",
-            t->record.id, t->record.service, t->record.addr, pace, source);
+            t->record.id, t->record.service, t->record.addr, slowdown, source);
 }
 
 void
@@ -354,7 +354,8 @@
     {
       CfTarget *t = v;
 
-      if (t->pace != 1 && cf_gateway_now (g) - t->pace_at_ms > PACE_FRESH_MS)
+      if (t->slowdown != 1
+          && cf_gateway_now (g) - t->slowdown_updated_ms > PACE_FRESH_MS)
         cf_gateway_take_pace (g, t, 1, "forgotten");
     }
 }
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -3,7 +3,7 @@
 #include "concurrency-limit.h"
 #include "loop-watch.h"
 #include "outage.h"
-#include "pace.h"
+#include "stream-latency.h"
 #include "pass-record.h"
 #include "platform/platform-settings.h"
 #include "policy.h"
@@ -29,7 +29,7 @@
   CfWaitQueue queue;
   CfRetryBudget budget;
   CfOutage outage;
-  CfPace pace;
+  CfStreamLatency pace;
   CfPassRecord pass;
   CfConcurrencyLimit limit;
   guint in_flight;      /**< requests of ours that its targets have */
@@ -126,7 +126,7 @@
                              gint64 rev, const char *source);
 
 /** cf_gateway_take_target: the record of a target came. */
-void cf_gateway_take_target (CfGateway *g, const CfTargetNews *news,
+void cf_gateway_take_target (CfGateway *g, const CfTargetUpdate *news,
                              const char *source);
 
 /**
--- a/gateway/outage.c
+++ b/gateway/outage.c
@@ -9,7 +9,7 @@
 #define LONG_MS 5000
 
 gboolean
-cf_outage_refused (CfOutage *o, gint64 now)
+cf_outage_record_refusal (CfOutage *o, gint64 now)
 {
   if (o->since_ms)
     return FALSE;
@@ -19,7 +19,7 @@
 }
 
 gint64
-cf_outage_answered (CfOutage *o, gint64 now)
+cf_outage_record_answer (CfOutage *o, gint64 now)
 {
   gint64 ms = o->since_ms ? MAX (now - o->since_ms, 1) : 0;
 
@@ -36,19 +36,19 @@
 }
 
 gboolean
-cf_outage_is_recent (const CfOutage *o, gint64 now)
+cf_outage_has_ended_recently (const CfOutage *o, gint64 now)
 {
   return o->over_ms && now - o->over_ms < RECENT_MS;
 }
 
 gboolean
-cf_outage_holds (const CfOutage *o, gint64 now)
+cf_outage_is_blocking (const CfOutage *o, gint64 now)
 {
   return o->since_ms != 0 && now - o->probe_ms < PROBE_MS;
 }
 
 void
-cf_outage_sent (CfOutage *o, gint64 now)
+cf_outage_record_send (CfOutage *o, gint64 now)
 {
   o->probe_ms = now;
 }
--- a/gateway/peer-crashes.c
+++ b/gateway/peer-crashes.c
@@ -27,7 +27,7 @@
       p.crashes[i].lost_age_ms = c->now_ms - r->crashes[i].lost_ms;
     }
   g_array_append_val (c->all, p);
-  if (cf_quarantine_holds (r))
+  if (cf_crash_record_is_or_was_quarantined (r))
     g_array_append_val (c->held, p);
 }
 
@@ -68,13 +68,13 @@
 static gint64
 time_of (gint64 age_ms, gint64 now_ms)
 {
-  return now_ms - CLAMP (age_ms, 0, CF_QUARANTINE_LIMIT_MS);
+  return now_ms - CLAMP (age_ms, 0, CF_QUARANTINE_MAX_AGE_MS);
 }
 
 static void
 log_quarantined (const CfPeerCrash *p, const char *peer)
 {
-  char text[CF_REQUEST_DIGEST_TEXT];
+  char text[CF_REQUEST_DIGEST_TEXT_SIZE];
 
   cf_request_digest_print (&p->digest, text);
   cf_log (LOG_WARNING, CF_EV_QUARANTINE,
@@ -86,7 +86,7 @@
 merge_one (CfQuarantine *q, const CfPeerCrash *p, const char *peer,
            gint64 now_ms)
 {
-  CfCrash crashes[CF_QUARANTINE_CRASHES];
+  CfCrash crashes[CF_QUARANTINE_CRASH_THRESHOLD];
 
   if (p->n == 0)
     {
--- a/gateway/peer-msg-unpack.c
+++ b/gateway/peer-msg-unpack.c
@@ -208,7 +208,7 @@
   if (!f->bad)
     memcpy (c->digest.bytes, digest.data, digest.n);
   c->age_ms = take_int (f);
-  while (!f->bad && f->at < f->end && c->n < CF_QUARANTINE_CRASHES)
+  while (!f->bad && f->at < f->end && c->n < CF_QUARANTINE_CRASH_THRESHOLD)
     {
       c->crashes[c->n].target = take_bytes (f);
       c->crashes[c->n].sent_age_ms = take_int (f);
--- a/gateway/peer-msg.h
+++ b/gateway/peer-msg.h
@@ -178,7 +178,7 @@
     CfPeerBytes target; /**< the incarnation that crashed */
     gint64 sent_age_ms; /**< since the request was sent to it */
     gint64 lost_age_ms; /**< since it crashed */
-  } crashes[CF_QUARANTINE_CRASHES];
+  } crashes[CF_QUARANTINE_CRASH_THRESHOLD];
 } CfPeerCrash;
 
 /** cf_peer_msg_pack: appends the frame of @m to @out. */
--- a/gateway/peer-service.c
+++ b/gateway/peer-service.c
@@ -20,7 +20,7 @@
 #define STORE_FIRST_MS 400
 /** Peers not heard of for so long no longer count as part of the fleet. */
 #define FORGET_MS 10000
-/** An agent tells its rank's pace once a second, or more often. */
+/** An agent tells its rank's slowdown once a second, or more often. */
 #define PACE_SEEN_MS 2500
 /** Peer: a link to another gateway. */
 typedef struct Peer
@@ -69,11 +69,12 @@
   return want;
 }
 
-/* Whether an agent told this gateway itself of the pace of @t lately. */
+/* Whether an agent told this gateway itself of the slowdown of @t lately. */
 static gboolean
 is_told_by_agent (const CfGateway *g, const CfTarget *t)
 {
-  return t->pace_seen_ms != 0 && g->now_ms - t->pace_seen_ms <= PACE_SEEN_MS;
+  return t->slowdown_observed_ms != 0
+         && g->now_ms - t->slowdown_observed_ms <= PACE_SEEN_MS;
 }
 
 /* The slow targets that agents told this gateway of lately. */
@@ -90,11 +91,12 @@
       const CfTarget *t = v;
       CfPeerPace p;
 
-      if (CF_WITHOUT_SHARED_PACE || t->pace <= 1 || !is_told_by_agent (g, t))
+      if (CF_WITHOUT_SHARED_PACE || t->slowdown <= 1
+          || !is_told_by_agent (g, t))
         continue;
       p.addr.data = t->record.addr;
       p.addr.n = strlen (t->record.addr);
-      p.thousandths = (gint64)(t->pace * CF_PEER_THOUSANDTHS);
+      p.thousandths = (gint64)(t->slowdown * CF_PEER_THOUSANDTHS);
       p.incarnation = t->record.incarnation;
       g_array_append_val (a, p);
     }
@@ -108,11 +110,11 @@
     {
       const CfPeerPace *p = &g_array_index (slow, CfPeerPace, i);
       char *addr = g_strndup (p->addr.data, p->addr.n);
-      CfTarget *t = cf_target_table_at (&g->targets, addr);
+      CfTarget *t = cf_target_table_lookup_addr (&g->targets, addr);
 
       /* What an agent tells this gateway itself goes before. */
       if (t && !is_told_by_agent (g, t)
-          && !cf_target_is_former (t, p->incarnation))
+          && !cf_target_is_older_incarnation (t, p->incarnation))
         cf_gateway_take_pace (
             g, t, (double)p->thousandths / CF_PEER_THOUSANDTHS, "peer");
       g_free (addr);
@@ -153,8 +155,8 @@
 
   g_free (id);
   if (!t || t->record.incarnation != l->incarnation
-      || !cf_rate_limit_hear_from_peer (&t->limit, per_s,
-                                        g->now_ms - l->age_ms))
+      || !cf_rate_limit_update_from_peer (&t->limit, per_s,
+                                          g->now_ms - l->age_ms))
     return;
   cf_log (LOG_NOTICE, CF_EV_RATE_LIMIT,
           "target=%s per_s=%.3f source=peer peer=%s", t->record.id, per_s,
@@ -359,7 +361,7 @@
       const CfPeerTarget *t = &g_array_index (items, CfPeerTarget, i);
       char *id = g_strndup (t->id.data, t->id.n);
 
-      CfTargetNews news
+      CfTargetUpdate news
           = { id, t->json.data, t->json.n, t->rev, t->created, g->now_ms };
 
       cf_gateway_take_target (g, &news, "peer");
--- a/gateway/quarantine.c
+++ b/gateway/quarantine.c
@@ -92,7 +92,7 @@
 
   if (r)
     return r;
-  if (cf_quarantine_size (q) >= CF_QUARANTINE_MAX)
+  if (cf_quarantine_size (q) >= CF_QUARANTINE_MAX_RECORDS)
     evict_one (q);
   r = g_new0 (CfCrashRecord, 1);
   r->digest = *d;
@@ -105,7 +105,7 @@
 {
   r->seen_ms = MAX (r->seen_ms, seen_ms);
   /* Peers that get no attempts of it would forget it. */
-  if (r->seen_ms - r->notified_ms > CF_QUARANTINE_KEEP_MS / 2)
+  if (r->seen_ms - r->notified_ms > CF_QUARANTINE_RETENTION_MS / 2)
     mark_changed (q, &r->digest, FALSE);
 }
 
@@ -131,7 +131,8 @@
 is_after (const CfCrash *c, const CfCrashRecord *r)
 {
   return r->n == 0
-         || c->sent_ms >= r->crashes[r->n - 1].lost_ms + CF_QUARANTINE_APART_MS;
+         || c->sent_ms
+                >= r->crashes[r->n - 1].lost_ms + CF_QUARANTINE_MIN_INTERVAL_MS;
 }
 
 /* The first crash, then each first one of those whose attempt was sent after
@@ -139,7 +140,7 @@
 static void
 take_in_sequence (CfCrashRecord *r, const GPtrArray *all)
 {
-  for (guint i = 0; i < all->len && r->n < CF_QUARANTINE_CRASHES; i++)
+  for (guint i = 0; i < all->len && r->n < CF_QUARANTINE_CRASH_THRESHOLD; i++)
     {
       const CfCrash *c = all->pdata[i];
 
@@ -164,7 +165,7 @@
   for (guint i = 0; i < n; i++)
     if (!has_target (&old, crashes[i].target))
       g_ptr_array_add (all, (gpointer)&crashes[i]);
-  if (all->len > old.n && old.n < CF_QUARANTINE_CRASHES)
+  if (all->len > old.n && old.n < CF_QUARANTINE_CRASH_THRESHOLD)
     {
       g_ptr_array_sort (all, compare_lost);
       r->n = 0;
@@ -175,7 +176,8 @@
         mark_changed (q, d, FALSE);
     }
   g_ptr_array_free (all, TRUE);
-  return old.n < CF_QUARANTINE_CRASHES && r->n == CF_QUARANTINE_CRASHES;
+  return old.n < CF_QUARANTINE_CRASH_THRESHOLD
+         && r->n == CF_QUARANTINE_CRASH_THRESHOLD;
 }
 
 gboolean
@@ -185,7 +187,7 @@
 
   if (!r)
     return FALSE;
-  mark_changed (q, d, r->n == CF_QUARANTINE_CRASHES);
+  mark_changed (q, d, r->n == CF_QUARANTINE_CRASH_THRESHOLD);
   g_hash_table_remove (q->records, d);
   return TRUE;
 }
@@ -206,7 +208,7 @@
   if (!r)
     return FALSE;
   renew (q, r, now_ms);
-  return r->n == CF_QUARANTINE_CRASHES;
+  return r->n == CF_QUARANTINE_CRASH_THRESHOLD;
 }
 
 static gboolean
@@ -215,8 +217,8 @@
   const CfCrashRecord *r = value;
   gint64 now = *(const gint64 *)now_ms;
 
-  return now - r->seen_ms > CF_QUARANTINE_KEEP_MS
-         || now - r->crashes[r->n - 1].lost_ms > CF_QUARANTINE_LIMIT_MS;
+  return now - r->seen_ms > CF_QUARANTINE_RETENTION_MS
+         || now - r->crashes[r->n - 1].lost_ms > CF_QUARANTINE_MAX_AGE_MS;
 }
 
 void
@@ -226,7 +228,7 @@
 }
 
 void
-cf_quarantine_foreach (CfQuarantine *q, CfCrashVisit visit, void *data)
+cf_quarantine_foreach (CfQuarantine *q, CfCrashVisitor visit, void *data)
 {
   GHashTableIter it;
   gpointer v;
@@ -237,7 +239,7 @@
 }
 
 void
-cf_quarantine_flush (CfQuarantine *q, CfCrashVisit visit, void *data)
+cf_quarantine_flush (CfQuarantine *q, CfCrashVisitor visit, void *data)
 {
   GHashTableIter it;
   gpointer d;
@@ -258,9 +260,9 @@
 }
 
 gboolean
-cf_quarantine_holds (const CfCrashRecord *r)
+cf_crash_record_is_or_was_quarantined (const CfCrashRecord *r)
 {
-  return r->n == CF_QUARANTINE_CRASHES || r->was_quarantined;
+  return r->n == CF_QUARANTINE_CRASH_THRESHOLD || r->was_quarantined;
 }
 
 void
--- a/gateway/quarantine.h
+++ b/gateway/quarantine.h
@@ -3,17 +3,17 @@
 #include "request-digest.h"
 
 /** Crashes of targets under one request after which it is quarantined. */
-#define CF_QUARANTINE_CRASHES 3
+#define CF_QUARANTINE_CRASH_THRESHOLD 3
 /** Crashes that are less apart count as one: where a rack fails, a retry may
  * reach the next target just before it goes down as well. */
-#define CF_QUARANTINE_APART_MS 100
+#define CF_QUARANTINE_MIN_INTERVAL_MS 100
 /** How long a request is remembered after its last crash or attempt. */
-#define CF_QUARANTINE_KEEP_MS 600000
+#define CF_QUARANTINE_RETENTION_MS 600000
 /** How long after its last crash at most, whatever attempts come: one that was
  * held to be the cause without being it is not refused for ever. */
-#define CF_QUARANTINE_LIMIT_MS 3600000
+#define CF_QUARANTINE_MAX_AGE_MS 3600000
 /** Requests remembered at most; those with the fewest crashes go first. */
-#define CF_QUARANTINE_MAX 1024
+#define CF_QUARANTINE_MAX_RECORDS 1024
 
 /**
  * CfQuarantine:
@@ -45,10 +45,10 @@
 typedef struct
 {
   CfRequestDigest digest;
-  CfCrash crashes[CF_QUARANTINE_CRASHES]; /**< one after another */
-  guint n;                                /**< number of @crashes */
-  gboolean was_quarantined;               /**< and was cleared since */
-  gint64 seen_ms;                         /**< last crash or attempt */
+  CfCrash crashes[CF_QUARANTINE_CRASH_THRESHOLD]; /**< one after another */
+  guint n;                                        /**< number of @crashes */
+  gboolean was_quarantined;                       /**< and was cleared since */
+  gint64 seen_ms;                                 /**< last crash or attempt */
   gint64 notified_ms; /**< @seen_ms as peers were last notified of it */
 } CfCrashRecord;
 
@@ -96,19 +96,19 @@
 /** cf_quarantine_expire: forgets what was not seen for long. */
 void cf_quarantine_expire (CfQuarantine *q, gint64 now_ms);
 
-/** CfCrashVisit: @r has no crashes if the request was cleared. */
-typedef void (*CfCrashVisit) (void *data, const CfCrashRecord *r);
+/** CfCrashVisitor: @r has no crashes if the request was cleared. */
+typedef void (*CfCrashVisitor) (void *data, const CfCrashRecord *r);
 
 /** cf_quarantine_foreach: visits all. */
-void cf_quarantine_foreach (CfQuarantine *q, CfCrashVisit visit, void *data);
+void cf_quarantine_foreach (CfQuarantine *q, CfCrashVisitor visit, void *data);
 
 /** cf_quarantine_flush: visits those that changed since the last flush; peers
  * are to be notified of them. */
-void cf_quarantine_flush (CfQuarantine *q, CfCrashVisit visit, void *data);
+void cf_quarantine_flush (CfQuarantine *q, CfCrashVisitor visit, void *data);
 
-/** cf_quarantine_holds: whether the request of @r is, or was until it was
- * cleared, quarantined. */
-gboolean cf_quarantine_holds (const CfCrashRecord *r);
+/** cf_crash_record_is_or_was_quarantined: whether the request of @r is, or was
+ * until it was cleared, quarantined. */
+gboolean cf_crash_record_is_or_was_quarantined (const CfCrashRecord *r);
 
 /** cf_quarantine_discard_changes: there is no one to be notified. */
 void cf_quarantine_discard_changes (CfQuarantine *q);
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -31,7 +31,7 @@
 CfTarget *
 cf_rank_service_target (const CfRankService *s, const char *addr)
 {
-  return addr ? cf_target_table_at (&s->g->targets, addr) : NULL;
+  return addr ? cf_target_table_lookup_addr (&s->g->targets, addr) : NULL;
 }
 
 static void
@@ -321,9 +321,9 @@
   CfTarget *t = cf_rank_service_target (a->s, a->target_addr);
   double pace = cf_rank_routing_pace (st, note_broken (a, st));
 
-  if (!t || cf_target_is_former (t, st->incarnation))
+  if (!t || cf_target_is_older_incarnation (t, st->incarnation))
     return;
-  t->pace_seen_ms = cf_gateway_now (a->s->g);
+  t->slowdown_observed_ms = cf_gateway_now (a->s->g);
   cf_gateway_take_pace (a->s->g, t, pace, "agent");
 }
 
--- a/gateway/rate-limit.c
+++ b/gateway/rate-limit.c
@@ -36,7 +36,7 @@
 }
 
 gboolean
-cf_rate_limit_hear (CfRateLimit *l, double per_s, gint64 now_ms)
+cf_rate_limit_update (CfRateLimit *l, double per_s, gint64 now_ms)
 {
   if (per_s == 0 && l->heard_ms == 0)
     return FALSE;
@@ -44,7 +44,7 @@
 }
 
 gboolean
-cf_rate_limit_hear_from_peer (CfRateLimit *l, double per_s, gint64 heard_ms)
+cf_rate_limit_update_from_peer (CfRateLimit *l, double per_s, gint64 heard_ms)
 {
   if (l->heard_ms != 0 && heard_ms <= l->heard_ms + PEER_SKEW_MS)
     return FALSE;
@@ -59,7 +59,7 @@
 }
 
 double
-cf_rate_limit_part (const CfRateLimit *l, const char *id, CfFleetPlace place)
+cf_rate_limit_share (const CfRateLimit *l, const char *id, CfFleetPlace place)
 {
   guint n = MAX (place.n, 1);
   guint owners = (guint)CLAMP (l->per_s / OWNER_PER_S, 1.0, (double)n);
@@ -77,7 +77,7 @@
 
   if (l->per_s == 0)
     return TRUE;
-  part = cf_rate_limit_part (l, id, place);
+  part = cf_rate_limit_share (l, id, place);
   l->tokens += part * (double)(now_ms - l->filled_ms) / 1000;
   l->tokens = fmin (l->tokens, fmax (part * BURST_S, 1));
   l->filled_ms = now_ms;
@@ -85,7 +85,7 @@
 }
 
 void
-cf_rate_limit_sent (CfRateLimit *l)
+cf_rate_limit_consume (CfRateLimit *l)
 {
   if (l->per_s > 0)
     l->tokens -= 1;
--- a/gateway/rate-limit.h
+++ b/gateway/rate-limit.h
@@ -30,32 +30,32 @@
 } CfFleetPlace;
 
 /**
- * cf_rate_limit_hear:
+ * cf_rate_limit_update:
  * An answer came that names @per_s, or none.
  * Returns: whether peers should be notified at once.
  */
-gboolean cf_rate_limit_hear (CfRateLimit *l, double per_s, gint64 now_ms);
+gboolean cf_rate_limit_update (CfRateLimit *l, double per_s, gint64 now_ms);
 
 /**
- * cf_rate_limit_hear_from_peer:
+ * cf_rate_limit_update_from_peer:
  * A peer says that an answer came at @heard_ms by this gateway's clock.
- * Returns: as cf_rate_limit_hear()
+ * Returns: as cf_rate_limit_update()
  */
-gboolean cf_rate_limit_hear_from_peer (CfRateLimit *l, double per_s,
-                                       gint64 heard_ms);
+gboolean cf_rate_limit_update_from_peer (CfRateLimit *l, double per_s,
+                                         gint64 heard_ms);
 
 /** cf_rate_limit_is_announced: whether greetings name it, for peers that
  * missed the change. */
 gboolean cf_rate_limit_is_announced (const CfRateLimit *l, gint64 now_ms);
 
-/** cf_rate_limit_part: requests a second that this gateway may send to target
+/** cf_rate_limit_share: requests a second that this gateway may send to target
  * @id, which has a limit. */
-double cf_rate_limit_part (const CfRateLimit *l, const char *id,
-                           CfFleetPlace place);
+double cf_rate_limit_share (const CfRateLimit *l, const char *id,
+                            CfFleetPlace place);
 
 /** cf_rate_limit_may_send: whether a request may be sent to target @id now. */
 gboolean cf_rate_limit_may_send (CfRateLimit *l, const char *id,
                                  CfFleetPlace place, gint64 now_ms);
 
-/** cf_rate_limit_sent: one is sent. */
-void cf_rate_limit_sent (CfRateLimit *l);
+/** cf_rate_limit_consume: one is sent. */
+void cf_rate_limit_consume (CfRateLimit *l);
--- a/gateway/request-digest.c
+++ b/gateway/request-digest.c
@@ -25,7 +25,7 @@
 
 void
 cf_request_digest_print (const CfRequestDigest *d,
-                         char out[CF_REQUEST_DIGEST_TEXT])
+                         char out[CF_REQUEST_DIGEST_TEXT_SIZE])
 {
   for (gsize i = 0; i < sizeof d->bytes; i++)
     snprintf (out + 2 * i, 3, "%02x", d->bytes[i]);
--- a/gateway/request-digest.h
+++ b/gateway/request-digest.h
@@ -4,7 +4,7 @@
 
 #define CF_REQUEST_DIGEST_BYTES 16
 /** Of its text, with the zero that ends it. */
-#define CF_REQUEST_DIGEST_TEXT (2 * CF_REQUEST_DIGEST_BYTES + 1)
+#define CF_REQUEST_DIGEST_TEXT_SIZE (2 * CF_REQUEST_DIGEST_BYTES + 1)
 
 /**
  * CfRequestDigest:
@@ -29,7 +29,7 @@
 
 /** cf_request_digest_print: writes @d in hexadecimal to @out. */
 void cf_request_digest_print (const CfRequestDigest *d,
-                              char out[CF_REQUEST_DIGEST_TEXT]);
+                              char out[CF_REQUEST_DIGEST_TEXT_SIZE]);
 
 /** cf_request_digest_hash, cf_request_digest_equal: for hash tables. */
 guint cf_request_digest_hash (gconstpointer d);
--- a/gateway/pace.c
+++ b/gateway/stream-latency.c
@@ -1,4 +1,4 @@
-#include "pace.h"
+#include "stream-latency.h"
 
 #include <math.h>
 
@@ -39,7 +39,7 @@
 }
 
 static void
-remember_slowest (CfPace *p, gint64 now)
+remember_slowest (CfStreamLatency *p, gint64 now)
 {
   if (now - p->span_at_ms >= SPAN_MS)
     {
@@ -52,7 +52,7 @@
 }
 
 void
-cf_pace_event (CfPace *p, gint64 now, gint64 pause_ms)
+cf_stream_latency_add_event (CfStreamLatency *p, gint64 now, gint64 pause_ms)
 {
   if (pause_ms <= PASS_MOST_MS)
     {
@@ -63,7 +63,7 @@
 }
 
 void
-cf_pace_first (CfPace *p, gint64 ms)
+cf_stream_latency_add_first_event (CfStreamLatency *p, gint64 ms)
 {
   double off = p->first_ms > 0 ? fabs ((double)ms - p->first_ms) : 0;
 
@@ -72,14 +72,14 @@
 }
 
 gint64
-cf_pace_stall_ms (const CfPace *p)
+cf_stream_latency_stall_timeout_ms (const CfStreamLatency *p)
 {
   return MAX (STALL_LEAST_MS, (gint64)(STALL_PAUSES * p->pause_ms));
 }
 
 /* A pass of the engine: all its streams write one event in it. */
 static double
-usual_pass_ms (const CfPace *p, const CfEngineModel *e)
+usual_pass_ms (const CfStreamLatency *p, const CfEngineModel *e)
 {
   if (p->pause_ms > 0)
     return p->pause_ms;
@@ -94,8 +94,8 @@
 
 /* The pass that is under way, the prompt, and its own first pass. */
 double
-cf_pace_unqueued_ms (const CfPace *p, const CfEngineModel *e,
-                     const CfStreamSize *size)
+cf_stream_latency_unqueued_ms (const CfStreamLatency *p, const CfEngineModel *e,
+                               const CfStreamSize *size)
 {
   double pass = usual_pass_ms (p, e);
 
@@ -103,17 +103,19 @@
 }
 
 gint64
-cf_pace_first_ms (const CfPace *p, const CfEngineModel *e,
-                  const CfStreamSize *size)
+cf_stream_latency_first_event_ms (const CfStreamLatency *p,
+                                  const CfEngineModel *e,
+                                  const CfStreamSize *size)
 {
   if (p->first_ms > 0)
     return (gint64)(p->first_ms + FIRST_DEVIATIONS * p->first_dev_ms);
-  return (gint64)cf_pace_unqueued_ms (p, e, size);
+  return (gint64)cf_stream_latency_unqueued_ms (p, e, size);
 }
 
 gint64
-cf_pace_usual_whole_ms (const CfPace *p, const CfEngineModel *e,
-                        const CfStreamSize *size)
+cf_stream_latency_typical_total_ms (const CfStreamLatency *p,
+                                    const CfEngineModel *e,
+                                    const CfStreamSize *size)
 {
   double answer;
 
@@ -122,7 +124,7 @@
   answer = e->usual_answer;
   if (size->answer > 0)
     answer = MIN (answer, (double)size->answer);
-  return (gint64)(cf_pace_unqueued_ms (p, e, size)
+  return (gint64)(cf_stream_latency_unqueued_ms (p, e, size)
                   + usual_pass_ms (p, e) * answer / e->stride);
 }
 
@@ -135,7 +137,7 @@
 
 /* The slowest pass to reckon with: what a lull shows now is left out. */
 static double
-slow_pass_ms (const CfPace *p, const CfEngineModel *e, gint64 now)
+slow_pass_ms (const CfStreamLatency *p, const CfEngineModel *e, gint64 now)
 {
   gint64 age = now - p->span_at_ms;
   double pass = MAX (usual_pass_ms (p, e), full_pass_ms (e));
@@ -148,8 +150,9 @@
 }
 
 gint64
-cf_pace_whole_ms (const CfPace *p, const CfEngineModel *e,
-                  const CfStreamSize *size, gint64 now)
+cf_stream_latency_max_total_ms (const CfStreamLatency *p,
+                                const CfEngineModel *e,
+                                const CfStreamSize *size, gint64 now)
 {
   double answer = (double)size->answer;
   double first;
@@ -162,7 +165,7 @@
     return -1;
   if (answer <= 0)
     answer = e->usual_answer;
-  first = MAX ((double)cf_pace_first_ms (p, e, size),
+  first = MAX ((double)cf_stream_latency_first_event_ms (p, e, size),
                2 * pass + read_ms (e, size));
   return (gint64)MIN (first + pass * ceil (answer / e->stride), WHOLE_MOST_MS);
 }
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -102,7 +102,7 @@
 on_item (CfGateway *g, const CfStoreItem *it)
 {
   const char *id = cf_platform_target_id (it->key);
-  CfTargetNews news = { .id = id };
+  CfTargetUpdate news = { .id = id };
 
   if (!id)
     {
--- a/gateway/target.c
+++ b/gateway/target.c
@@ -5,7 +5,7 @@
 #include <math.h>
 #include <string.h>
 
-/** A change of pace that matters. */
+/** A change of slowdown that matters. */
 #define PACE_STEP 0.1
 
 CfTarget *
@@ -16,7 +16,7 @@
   t->ref_count = 1;
   t->record = *r;
   t->listed = TRUE;
-  t->pace = 1;
+  t->slowdown = 1;
   TAILQ_INIT (&t->idle);
   TAILQ_INIT (&t->busy);
   if (cf_socket_parse (t->record.addr, &t->addr) == CF_OK)
@@ -56,22 +56,22 @@
 }
 
 void
-cf_target_work_begun (CfTarget *t, gint64 now)
+cf_target_request_started (CfTarget *t, gint64 now)
 {
   if (t->in_flight++ == 0)
     t->busy_since_ms = now;
 }
 
 void
-cf_target_work_ended (CfTarget *t)
+cf_target_request_ended (CfTarget *t)
 {
   t->in_flight--;
 }
 
 void
-cf_target_sign (CfTarget *t, gint64 now)
+cf_target_record_progress (CfTarget *t, gint64 now)
 {
-  t->last_sign_ms = now;
+  t->last_progress_ms = now;
 }
 
 static void
@@ -98,9 +98,9 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_array);
   /* Gateways that start together and know the same targets would all begin at
    * the same one, and crowd a few at a time. */
-  t->turn = g_random_int ();
-  t->is_named = NULL;
-  t->is_named_data = NULL;
+  t->next_start = g_random_int ();
+  t->is_configured = NULL;
+  t->is_configured_data = NULL;
 }
 
 void
@@ -145,9 +145,10 @@
 }
 
 static gboolean
-is_named (const CfTargetTable *t, const CfTarget *n)
+is_configured (const CfTargetTable *t, const CfTarget *n)
 {
-  return !t->is_named || t->is_named (t->is_named_data, n->record.service);
+  return !t->is_configured
+         || t->is_configured (t->is_configured_data, n->record.service);
 }
 
 /* Of two starts listed at one address, the one listed later is there; a
@@ -155,9 +156,9 @@
 static gboolean
 is_behind (const CfTargetTable *t, const CfTarget *n, const CfTarget *other)
 {
-  gboolean named = is_named (t, n);
+  gboolean named = is_configured (t, n);
 
-  if (named != is_named (t, other))
+  if (named != is_configured (t, other))
     return !named;
   return other->created > n->created;
 }
@@ -176,7 +177,7 @@
 }
 
 static CfTargetChange
-add_target (CfTargetTable *t, CfTargetRecord *r, const CfTargetNews *news)
+add_target (CfTargetTable *t, CfTargetRecord *r, const CfTargetUpdate *news)
 {
   CfTarget *n = cf_target_new (r);
 
@@ -192,7 +193,7 @@
 }
 
 static CfTargetChange
-update_target (CfTarget *n, CfTargetRecord *r, const CfTargetNews *news)
+update_target (CfTarget *n, CfTargetRecord *r, const CfTargetUpdate *news)
 {
   CfTargetChange c = CF_TARGET_SAME;
 
@@ -222,7 +223,7 @@
     }
   if (n->older_since_ms == 0)
     n->older_since_ms = now;
-  return now - n->older_since_ms < CF_TARGET_OLDER_MS;
+  return now - n->older_since_ms < CF_TARGET_OLDER_INCARNATION_MS;
 }
 
 /* Whether @r is of another start than @n, by what it says, or by an address
@@ -237,7 +238,7 @@
 
 CfTargetChange
 cf_target_table_put (CfTargetTable *t, CfTargetRecord *r,
-                     const CfTargetNews *news)
+                     const CfTargetUpdate *news)
 {
   CfTarget *n = g_hash_table_lookup (t->by_id, r->id);
   CfTargetChange c = CF_TARGET_NEW;
@@ -271,7 +272,7 @@
 }
 
 void
-cf_target_table_renamed (CfTargetTable *t)
+cf_target_table_services_changed (CfTargetTable *t)
 {
   GHashTableIter it;
   gpointer v;
@@ -283,31 +284,31 @@
 }
 
 gint64
-cf_target_quiet_ms (const CfTarget *t, gint64 now)
+cf_target_silence_ms (const CfTarget *t, gint64 now)
 {
   if (t->in_flight == 0)
     return 0;
-  return now - MAX (t->busy_since_ms, t->last_sign_ms);
+  return now - MAX (t->busy_since_ms, t->last_progress_ms);
 }
 
 gboolean
-cf_target_is_former (const CfTarget *t, gint64 incarnation)
+cf_target_is_older_incarnation (const CfTarget *t, gint64 incarnation)
 {
   return incarnation != 0 && incarnation < t->record.incarnation;
 }
 
 gboolean
-cf_target_set_pace (CfTarget *t, double pace, gint64 now)
+cf_target_set_slowdown (CfTarget *t, double slowdown, gint64 now)
 {
-  t->pace_at_ms = now;
-  if (fabs (t->pace - pace) < PACE_STEP)
+  t->slowdown_updated_ms = now;
+  if (fabs (t->slowdown - slowdown) < PACE_STEP)
     return FALSE;
-  t->pace = pace;
+  t->slowdown = slowdown;
   return TRUE;
 }
 
 CfTarget *
-cf_target_table_at (const CfTargetTable *t, const char *addr)
+cf_target_table_lookup_addr (const CfTargetTable *t, const char *addr)
 {
   return g_hash_table_lookup (t->by_addr, addr);
 }
@@ -320,7 +321,7 @@
   if (!n)
     return FALSE;
   g_ptr_array_remove (service_array (t, n->record.service), n);
-  if (cf_target_table_at (t, n->record.addr) == n)
+  if (cf_target_table_lookup_addr (t, n->record.addr) == n)
     g_hash_table_remove (t->by_addr, n->record.addr);
   g_hash_table_remove (t->by_id, id);
   return TRUE;
--- a/gateway/wait-queue.c
+++ b/gateway/wait-queue.c
@@ -83,11 +83,11 @@
 static gboolean
 is_shorter_of_time (const CfWaiter *w, const CfWaiter *best, gint64 now_ms)
 {
-  if (now_ms > w->whole_by_ms)
+  if (now_ms > w->deadline_send_by_ms)
     return FALSE;
   return !best
          || (w->priority == best->priority
-             && w->whole_by_ms < best->whole_by_ms);
+             && w->deadline_send_by_ms < best->deadline_send_by_ms);
 }
 
 CfWaiter *
@@ -101,7 +101,7 @@
   {
     if (first && w->priority > first->priority)
       break;
-    if (now_ms > w->in_time_ms)
+    if (now_ms > w->objective_send_by_ms)
       {
         if (is_shorter_of_time (w, late, now_ms))
           late = w;
@@ -117,7 +117,7 @@
 }
 
 gint64
-cf_waiter_in_time_ms (gint64 start_ms, gint64 aim_ms, gint64 first_ms)
+cf_waiter_objective_send_by_ms (gint64 start_ms, gint64 aim_ms, gint64 first_ms)
 {
   double most = (double)aim_ms * FIRST_PART_OF_AIM;
   double first = first_ms > 0 ? MIN ((double)first_ms, most)
@@ -127,15 +127,15 @@
 }
 
 gboolean
-cf_waiter_yields (const CfWaiter *w, gint64 now_ms, double pause_ms,
-                  gint64 gap_aim_ms)
+cf_waiter_has_to_yield (const CfWaiter *w, gint64 now_ms, double pause_ms,
+                        gint64 gap_aim_ms)
 {
-  return !CF_WITHOUT_YIELDING && w->queued && now_ms > w->in_time_ms
+  return !CF_WITHOUT_YIELDING && w->queued && now_ms > w->objective_send_by_ms
          && pause_ms < (double)gap_aim_ms;
 }
 
 gint64
-cf_wait_limit_ms (gint64 patience_ms, gint64 left_ms)
+cf_wait_queue_max_wait_ms (gint64 patience_ms, gint64 left_ms)
 {
   double by_patience = (double)patience_ms * WAIT_PART_OF_PATIENCE;
   double by_left = (double)left_ms * WAIT_PART_OF_LEFT;
@@ -144,17 +144,17 @@
 }
 
 gint64
-cf_wait_busy_ms (CfNoRoom why)
+cf_wait_queue_backoff_ms (CfNoCapacity why)
 {
   switch (why)
     {
-    case CF_NO_ROOM_FULL:
+    case CF_NO_CAPACITY_FULL:
       return FULL_BUSY_MS;
-    case CF_NO_ROOM_OVERLOAD:
+    case CF_NO_CAPACITY_OVERLOAD:
       return OVERLOAD_BUSY_MS;
-    case CF_NO_ROOM_OUTAGE:
+    case CF_NO_CAPACITY_OUTAGE:
       return OUTAGE_BUSY_MS;
-    case CF_NO_ROOM_LONG_OUTAGE:
+    case CF_NO_CAPACITY_LONG_OUTAGE:
       return LONG_OUTAGE_BUSY_MS;
     }
   return FULL_BUSY_MS;
--- a/gateway/wait-queue.h
+++ b/gateway/wait-queue.h
@@ -13,9 +13,9 @@
   TAILQ_ENTRY (CfWaiter) link;
   gint64 priority; /**< 0 is the most urgent */
   gint64 since_ms;
-  gint64 in_time_ms;  /**< started by then, it meets its objective */
-  gint64 whole_by_ms; /**< started by then, its answer is whole before its
-                           deadline */
+  gint64 objective_send_by_ms; /**< started by then, it meets its objective */
+  gint64 deadline_send_by_ms;  /**< started by then, its answer is whole before
+                            its  deadline */
   gboolean queued;
   void *owner;
 };
@@ -57,15 +57,16 @@
                                gboolean overloaded);
 
 /**
- * cf_waiter_in_time_ms:
+ * cf_waiter_objective_send_by_ms:
  * @first_ms: expected from sending to the first event; 0: not known
  * Returns: when a request that came at @start_ms has to be sent at the latest
  *   to meet its objective.
  */
-gint64 cf_waiter_in_time_ms (gint64 start_ms, gint64 aim_ms, gint64 first_ms);
+gint64 cf_waiter_objective_send_by_ms (gint64 start_ms, gint64 aim_ms,
+                                       gint64 first_ms);
 
 /**
- * cf_waiter_yields:
+ * cf_waiter_has_to_yield:
  * @pause_ms: pause between events at its service now
  * @gap_aim_ms: objective for it; 0: none
  * Returns: whether it should leave room for others.  After an outage or a
@@ -74,28 +75,28 @@
  *   as well, for ten seconds after an outage of two.  So they leave room,
  *   while passes are short enough for others to be in time.
  */
-gboolean cf_waiter_yields (const CfWaiter *w, gint64 now_ms, double pause_ms,
-                           gint64 gap_aim_ms);
+gboolean cf_waiter_has_to_yield (const CfWaiter *w, gint64 now_ms,
+                                 double pause_ms, gint64 gap_aim_ms);
 
 /**
- * cf_wait_limit_ms:
+ * cf_wait_queue_max_wait_ms:
  * @patience_ms: how long callers wait for a first sign of an answer
  * @left_ms: time left until the request's deadline
  * Returns: how long it should wait for room at most.
  */
-gint64 cf_wait_limit_ms (gint64 patience_ms, gint64 left_ms);
+gint64 cf_wait_queue_max_wait_ms (gint64 patience_ms, gint64 left_ms);
 
-/** CfNoRoom: why a service has no room for a request. */
+/** CfNoCapacity: why a service has no room for a request. */
 typedef enum
 {
-  CF_NO_ROOM_FULL,        /**< its targets are full */
-  CF_NO_ROOM_OVERLOAD,    /**< more comes than can be served */
-  CF_NO_ROOM_OUTAGE,      /**< its targets take no work */
-  CF_NO_ROOM_LONG_OUTAGE, /**< they have not for long */
-} CfNoRoom;
+  CF_NO_CAPACITY_FULL,        /**< its targets are full */
+  CF_NO_CAPACITY_OVERLOAD,    /**< more comes than can be served */
+  CF_NO_CAPACITY_OUTAGE,      /**< its targets take no work */
+  CF_NO_CAPACITY_LONG_OUTAGE, /**< they have not for long */
+} CfNoCapacity;
 
-/** cf_wait_busy_ms: when those that are refused may find room. */
-gint64 cf_wait_busy_ms (CfNoRoom why);
+/** cf_wait_queue_backoff_ms: when those that are refused may find room. */
+gint64 cf_wait_queue_backoff_ms (CfNoCapacity why);
 
 /**
  * cf_retry_after_ms:
--- a/outlier.h
+++ b/outlier.h
@@ -6,7 +6,7 @@
  * CfOutlier:
  * One target's record of failures in a row, as this process met them.  A
  * target that fails fast always looks the least loaded, so without this it
- * would draw the most work.  After %CF_OUTLIER_FAILURES in a row it is
+ * would draw the most work.  After %CF_OUTLIER_FAILURE_THRESHOLD in a row it is
  * ejected, for longer each time it fails again on its return; one success
  * clears the record.
  */
@@ -18,21 +18,21 @@
 } CfOutlier;
 
 /** Failures in a row that eject a target. */
-#define CF_OUTLIER_FAILURES 3
+#define CF_OUTLIER_FAILURE_THRESHOLD 3
 /** How long the first ejection lasts; each in a row doubles it. */
-#define CF_OUTLIER_BASE_MS 1000
-#define CF_OUTLIER_MAX_MS 30000
+#define CF_OUTLIER_BASE_EJECTION_MS 1000
+#define CF_OUTLIER_MAX_EJECTION_MS 30000
 
-/** cf_outlier_success: the target answered. */
-void cf_outlier_success (CfOutlier *o);
+/** cf_outlier_record_success: the target answered. */
+void cf_outlier_record_success (CfOutlier *o);
 
 /**
- * cf_outlier_failure:
+ * cf_outlier_record_failure:
  * @now_ms: a monotonic clock, in ms
  * Returns: how long the target is ejected for by this failure, in ms; 0 if
  *   it is not.
  */
-gint64 cf_outlier_failure (CfOutlier *o, gint64 now_ms);
+gint64 cf_outlier_record_failure (CfOutlier *o, gint64 now_ms);
 
 /**
  * cf_outlier_eject:
@@ -42,5 +42,5 @@
  */
 gint64 cf_outlier_eject (CfOutlier *o, gint64 now_ms);
 
-/** cf_outlier_ejected: whether the target should get no work now. */
-gboolean cf_outlier_ejected (const CfOutlier *o, gint64 now_ms);
+/** cf_outlier_is_ejected: whether the target should get no work now. */
+gboolean cf_outlier_is_ejected (const CfOutlier *o, gint64 now_ms);
--- a/retry-budget.c
+++ b/retry-budget.c
@@ -25,7 +25,7 @@
 }
 
 void
-cf_retry_budget_request (CfRetryBudget *b)
+cf_retry_budget_add_request (CfRetryBudget *b)
 {
   pthread_mutex_lock (&b->lock);
   b->tokens = MIN (b->tokens + b->per_request, b->max);
@@ -33,7 +33,7 @@
 }
 
 gboolean
-cf_retry_budget_has (CfRetryBudget *b)
+cf_retry_budget_has_token (CfRetryBudget *b)
 {
   gboolean has;
 
--- a/retry-budget.h
+++ b/retry-budget.h
@@ -28,11 +28,11 @@
 /** cf_retry_budget_set_slack: from now on; what is saved up is cut to it. */
 void cf_retry_budget_set_slack (CfRetryBudget *b, gint64 slack);
 
-/** cf_retry_budget_request: a request came in. */
-void cf_retry_budget_request (CfRetryBudget *b);
+/** cf_retry_budget_add_request: a request came in. */
+void cf_retry_budget_add_request (CfRetryBudget *b);
 
-/** cf_retry_budget_has: whether cf_retry_budget_take() would be %TRUE. */
-gboolean cf_retry_budget_has (CfRetryBudget *b);
+/** cf_retry_budget_has_token: whether cf_retry_budget_take() would be %TRUE. */
+gboolean cf_retry_budget_has_token (CfRetryBudget *b);
 
 /** cf_retry_budget_take: %TRUE if a retry may be sent now. */
 gboolean cf_retry_budget_take (CfRetryBudget *b);
--- a/t/t-balancer.c
+++ b/t/t-balancer.c
@@ -15,12 +15,12 @@
 put (const char *id, const char *service, const char *dc, const char *addr,
      gboolean leaving, gint64 rev)
 {
-  return t_put_target (&table, &(TTarget){ .id = id,
-                                           .service = service,
-                                           .data_centre = dc,
-                                           .addr = addr,
-                                           .leaving = leaving,
-                                           .rev = rev });
+  return t_put_target (&table, &(TTargetSpec){ .id = id,
+                                               .service = service,
+                                               .data_centre = dc,
+                                               .addr = addr,
+                                               .leaving = leaving,
+                                               .rev = rev });
 }
 
 static CfTarget *
@@ -29,14 +29,14 @@
   return t_get_target (&table, id);
 }
 
-static CfPickWhy
+static CfPickResult
 pick (gint64 now, const GPtrArray *tried, CfTarget **t)
 {
   const CfPickInput in = { .service = "s",
                            .data_centre = "dc1",
                            .tried = tried,
                            .now_ms = now,
-                           .fleet = 1 };
+                           .n_gateways = 1 };
 
   return cf_balancer_pick (&table, &in, t);
 }
@@ -63,9 +63,9 @@
 
   ck_assert_int_eq (pick (0, NULL, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "a"); /* ours among equals */
-  t_give_work (get ("a"), 2, 0);
-  t_give_work (get ("b"), 1, 0);
-  t_give_work (get ("c"), 3, 0);
+  t_set_in_flight (get ("a"), 2, 0);
+  t_set_in_flight (get ("b"), 1, 0);
+  t_set_in_flight (get ("c"), 3, 0);
   ck_assert_int_eq (pick (0, NULL, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "b");
 }
@@ -78,7 +78,7 @@
       CfTarget *t;
 
       ck_assert_int_eq (pick (0, NULL, &t), CF_PICK_OK);
-      cf_target_work_begun (t, 0);
+      cf_target_request_started (t, 0);
     }
   ck_assert_uint_eq (get ("a")->in_flight, 5);
   ck_assert_uint_eq (get ("b")->in_flight, 5);
@@ -88,13 +88,13 @@
 
 START_TEST (slow_targets_get_less)
 {
-  get ("a")->pace = 4;
+  get ("a")->slowdown = 4;
   for (int i = 0; i < 10; i++)
     {
       CfTarget *t;
 
       ck_assert_int_eq (pick (0, NULL, &t), CF_PICK_OK);
-      cf_target_work_begun (t, 0);
+      cf_target_request_started (t, 0);
     }
   ck_assert_uint_le (get ("a")->in_flight, 1);
 }
@@ -106,16 +106,16 @@
 {
   CfTarget *t;
 
-  get ("a")->pace = 12;
-  t_give_work (get ("b"), 5, 0);
-  t_give_work (get ("c"), 5, 0);
+  get ("a")->slowdown = 12;
+  t_set_in_flight (get ("b"), 5, 0);
+  t_set_in_flight (get ("c"), 5, 0);
   ck_assert_int_eq (pick (0, NULL, &t), CF_PICK_FULL);
-  t_give_work (get ("b"), 4, 0);
+  t_set_in_flight (get ("b"), 4, 0);
   ck_assert_int_eq (pick (0, NULL, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "b");
   /* Most are slow: these are what there is. */
-  t_give_work (get ("b"), 5, 0);
-  get ("c")->pace = 12;
+  t_set_in_flight (get ("b"), 5, 0);
+  get ("c")->slowdown = 12;
   ck_assert_int_eq (pick (0, NULL, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "a");
 }
@@ -133,13 +133,13 @@
   get ("b")->in_flight = 1;
   get ("c")->in_flight = 1;
   /* One whose rank is replaced is whole again soon. */
-  get ("a")->pace = cf_rank_routing_pace (&s, 2000);
+  get ("a")->slowdown = cf_rank_routing_pace (&s, 2000);
   ck_assert_int_eq (pick (100, NULL, &t), CF_PICK_OK);
   ck_assert_ptr_eq (t, get ("a"));
-  get ("a")->pace = cf_rank_routing_pace (&s, 60000);
+  get ("a")->slowdown = cf_rank_routing_pace (&s, 60000);
   ck_assert_int_eq (pick (100, NULL, &t), CF_PICK_OK);
   ck_assert_ptr_ne (t, get ("a"));
-  get ("a")->pace = cf_rank_routing_pace (&s, 0);
+  get ("a")->slowdown = cf_rank_routing_pace (&s, 0);
   ck_assert_int_eq (pick (100, NULL, &t), CF_PICK_OK);
   ck_assert_ptr_eq (t, get ("a"));
 }
@@ -150,28 +150,28 @@
   CfPickInput in = { .service = "s",
                      .data_centre = "dc1",
                      .now_ms = 1000,
-                     .fleet = 1,
-                     .stall_ms = 300 };
+                     .n_gateways = 1,
+                     .stall_timeout_ms = 300 };
   CfTarget *t;
 
-  t_give_work (get ("a"), 1, 600);
-  t_give_work (get ("b"), 3, 0);
-  cf_target_sign (get ("b"), 950);
-  t_give_work (get ("c"), 3, 0);
-  cf_target_sign (get ("c"), 950);
+  t_set_in_flight (get ("a"), 1, 600);
+  t_set_in_flight (get ("b"), 3, 0);
+  cf_target_record_progress (get ("b"), 950);
+  t_set_in_flight (get ("c"), 3, 0);
+  cf_target_record_progress (get ("c"), 950);
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_OK);
   ck_assert_str_ne (t->record.id, "a");
   /* It shows a sign, or has no work of ours to show one of. */
-  cf_target_sign (get ("a"), 900);
+  cf_target_record_progress (get ("a"), 900);
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "a");
-  cf_target_sign (get ("a"), 0);
-  t_give_work (get ("a"), 0, 0);
+  cf_target_record_progress (get ("a"), 0);
+  t_set_in_flight (get ("a"), 0, 0);
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "a");
   /* All stand still: nothing better is left. */
   in.now_ms = 5000;
-  t_give_work (get ("a"), 1, 0);
+  t_set_in_flight (get ("a"), 1, 0);
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_OK);
 }
 END_TEST
@@ -179,12 +179,13 @@
 /* Requests that are late already do not fill a target. */
 START_TEST (late_ones_leave_room)
 {
-  const CfPickInput in = { .service = "other", .fleet = 1, .yields = TRUE };
+  const CfPickInput in
+      = { .service = "other", .n_gateways = 1, .yields = TRUE };
   CfTarget *t;
 
-  t_give_work (get ("x"), 2, 0); /* of 5 */
+  t_set_in_flight (get ("x"), 2, 0); /* of 5 */
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_OK);
-  t_give_work (get ("x"), 3, 0);
+  t_set_in_flight (get ("x"), 3, 0);
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_FULL);
 }
 END_TEST
@@ -195,11 +196,11 @@
 START_TEST (late_ones_leave_room_in_a_large_fleet)
 {
   CfTargetTable row;
-  CfPickInput in = { .service = "s", .now_ms = 100, .fleet = 35 };
+  CfPickInput in = { .service = "s", .now_ms = 100, .n_gateways = 35 };
   CfTarget *t;
 
   cf_target_table_init (&row);
-  t_put_row (&row, 192, 6);
+  t_put_targets (&row, 192, 6);
   in.yields = TRUE;
   in.in_flight = 24;
   ck_assert_int_eq (cf_balancer_pick (&row, &in, &t), CF_PICK_OK);
@@ -213,14 +214,14 @@
 
 START_TEST (slots_are_shared_over_the_fleet)
 {
-  ck_assert_uint_eq (cf_balancer_share (12, 0, 1), 15);
-  ck_assert_uint_eq (cf_balancer_share (12, 0, 3), 5);
-  ck_assert_uint_eq (cf_balancer_share (6, 0, 4), 2);
-  ck_assert_uint_eq (cf_balancer_share (6, 0, 40), 1);
+  ck_assert_uint_eq (cf_balancer_max_in_flight (12, 0, 1), 15);
+  ck_assert_uint_eq (cf_balancer_max_in_flight (12, 0, 3), 5);
+  ck_assert_uint_eq (cf_balancer_max_in_flight (6, 0, 4), 2);
+  ck_assert_uint_eq (cf_balancer_max_in_flight (6, 0, 40), 1);
   /* Few connections: no gateway may use more than its part of them. */
-  ck_assert_uint_eq (cf_balancer_share (12, 9, 3), 3);
-  ck_assert_uint_eq (cf_balancer_share (12, 408, 3), 5);
-  ck_assert_uint_eq (cf_balancer_share (12, 2, 4), 1);
+  ck_assert_uint_eq (cf_balancer_max_in_flight (12, 9, 3), 3);
+  ck_assert_uint_eq (cf_balancer_max_in_flight (12, 408, 3), 5);
+  ck_assert_uint_eq (cf_balancer_max_in_flight (12, 2, 4), 1);
 }
 END_TEST
 
@@ -240,14 +241,15 @@
     {
       ck_assert_int_eq (pick (0, NULL, &t), CF_PICK_OK);
       ck_assert (!t->replaced);
-      cf_target_work_begun (t, 0);
+      cf_target_request_started (t, 0);
     }
   /* The address goes to another service. */
   put ("a2", "other", "dc1", "1.1.1.1:1", FALSE, 9);
   ck_assert (get ("a")->replaced);
-  ck_assert_ptr_eq (cf_target_table_at (&table, "1.1.1.1:1"), get ("a2"));
+  ck_assert_ptr_eq (cf_target_table_lookup_addr (&table, "1.1.1.1:1"),
+                    get ("a2"));
   cf_target_table_remove (&table, "a2");
-  ck_assert_ptr_null (cf_target_table_at (&table, "1.1.1.1:1"));
+  ck_assert_ptr_null (cf_target_table_lookup_addr (&table, "1.1.1.1:1"));
   ck_assert (get ("a")->replaced);
 }
 END_TEST
@@ -275,8 +277,8 @@
 {
   CfTarget *t;
 
-  t_give_work (get ("a"), 5, 0);
-  t_give_work (get ("b"), 5, 0);
+  t_set_in_flight (get ("a"), 5, 0);
+  t_set_in_flight (get ("b"), 5, 0);
   get ("c")->full_until_ms = 100;
   ck_assert_int_eq (pick (99, NULL, &t), CF_PICK_FULL);
   ck_assert_int_eq (pick (100, NULL, &t), CF_PICK_OK);
@@ -288,10 +290,10 @@
 {
   CfTarget *t;
 
-  for (int i = 0; i < CF_OUTLIER_FAILURES; i++)
+  for (int i = 0; i < CF_OUTLIER_FAILURE_THRESHOLD; i++)
     {
-      cf_outlier_failure (&get ("a")->outlier, 0);
-      cf_outlier_failure (&get ("b")->outlier, 0);
+      cf_outlier_record_failure (&get ("a")->outlier, 0);
+      cf_outlier_record_failure (&get ("b")->outlier, 0);
     }
   for (int i = 0; i < 5; i++)
     {
@@ -353,8 +355,8 @@
 START_TEST (those_that_can_be_in_time_come_first)
 {
   CfWaitQueue q;
-  CfWaiter old = { .priority = 1, .in_time_ms = 100 };
-  CfWaiter young = { .priority = 1, .in_time_ms = 400 };
+  CfWaiter old = { .priority = 1, .objective_send_by_ms = 100 };
+  CfWaiter young = { .priority = 1, .objective_send_by_ms = 400 };
   CfWaiter *evicted;
 
   cf_wait_queue_init (&q);
@@ -373,10 +375,10 @@
 START_TEST (in_overload_the_newest_goes_first)
 {
   CfWaitQueue q;
-  CfWaiter late = { .priority = 0, .in_time_ms = 50 };
-  CfWaiter old = { .priority = 1, .in_time_ms = 300 };
-  CfWaiter young = { .priority = 1, .in_time_ms = 400 };
-  CfWaiter low = { .priority = 2, .in_time_ms = 500 };
+  CfWaiter late = { .priority = 0, .objective_send_by_ms = 50 };
+  CfWaiter old = { .priority = 1, .objective_send_by_ms = 300 };
+  CfWaiter young = { .priority = 1, .objective_send_by_ms = 400 };
+  CfWaiter low = { .priority = 2, .objective_send_by_ms = 500 };
   CfWaiter *evicted;
 
   cf_wait_queue_init (&q);
@@ -393,9 +395,9 @@
 
 START_TEST (a_fresh_request_is_not_late_on_arrival)
 {
-  ck_assert_int_gt (cf_waiter_in_time_ms (1000, 500, 1700), 1000);
-  ck_assert_int_eq (cf_waiter_in_time_ms (1000, 500, 200), 1300);
-  ck_assert_int_eq (cf_waiter_in_time_ms (1000, 500, 0), 1300);
+  ck_assert_int_gt (cf_waiter_objective_send_by_ms (1000, 500, 1700), 1000);
+  ck_assert_int_eq (cf_waiter_objective_send_by_ms (1000, 500, 200), 1300);
+  ck_assert_int_eq (cf_waiter_objective_send_by_ms (1000, 500, 0), 1300);
 }
 END_TEST
 
@@ -403,11 +405,11 @@
 START_TEST (a_limit_bounds_requests_in_flight)
 {
   CfTargetTable row;
-  CfPickInput in = { .service = "s", .fleet = 1, .limit = 20 };
+  CfPickInput in = { .service = "s", .n_gateways = 1, .limit = 20 };
   CfTarget *t;
 
   cf_target_table_init (&row);
-  t_put_row (&row, 8, 12);
+  t_put_targets (&row, 8, 12);
   in.in_flight = 19;
   ck_assert_int_eq (cf_balancer_pick (&row, &in, &t), CF_PICK_OK);
   in.yields = TRUE;
@@ -449,18 +451,18 @@
   for (int g = 0; g < N_GATEWAYS; g++)
     {
       double start = (double)g / N_GATEWAYS;
-      CfPickInput in = { .service = "s", .fleet = N_GATEWAYS };
+      CfPickInput in = { .service = "s", .n_gateways = N_GATEWAYS };
       CfTargetTable row;
 
       in.ring_start = &start;
       cf_target_table_init (&row);
-      t_put_row (&row, N_TARGETS, 6);
+      t_put_targets (&row, N_TARGETS, 6);
       for (int i = 0; i < N_EACH; i++)
         {
           CfTarget *t;
 
           ck_assert_int_eq (cf_balancer_pick (&row, &in, &t), CF_PICK_OK);
-          cf_target_work_begun (t, 0);
+          cf_target_request_started (t, 0);
           sum[atoi (t->record.id + 1)]++;
         }
       cf_target_table_clear (&row);
@@ -483,14 +485,14 @@
   };
   ck_assert_int_eq (pick (100, NULL, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "a");
-  cf_rate_limit_sent (&t->limit);
+  cf_rate_limit_consume (&t->limit);
   ck_assert_int_eq (pick (101, NULL, &t), CF_PICK_OK);
   ck_assert_str_ne (t->record.id, "a");
   cf_target_table_remove (&table, "b");
   cf_target_table_remove (&table, "c");
-  ck_assert_int_eq (pick (102, NULL, &t), CF_PICK_LIMITED);
+  ck_assert_int_eq (pick (102, NULL, &t), CF_PICK_RATE_LIMITED);
   ck_assert_double_eq (
-      cf_balancer_limited_per_s (&table, "s", (CfFleetPlace){ 0, 1 }), 2);
+      cf_balancer_rate_limit_per_s (&table, "s", (CfFleetPlace){ 0, 1 }), 2);
   ck_assert_int_eq (pick (700, NULL, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "a");
 }
--- a/t/t-concurrency-limit.c
+++ b/t/t-concurrency-limit.c
@@ -22,14 +22,14 @@
 {
   for (int i = 0; i < n; i++)
     {
-      CfFirstEvent e = { .aim_ms = AIM_MS, .fair_share = SHARE };
+      CfFirstEventSample e = { .aim_ms = AIM_MS, .fair_share = SHARE };
 
       e.sent_ms = now;
       now += ms;
       e.now_ms = now;
       e.unqueued_ms = UNQUEUED_MS;
       e.in_flight = in_flight;
-      cf_concurrency_limit_sample (&limit, &e);
+      cf_concurrency_limit_add_sample (&limit, &e);
     }
 }
 
@@ -68,7 +68,7 @@
 /* They were sent before the limit, and would lower it once more each. */
 START_TEST (streams_sent_before_a_decision_do_not_count)
 {
-  CfFirstEvent e = { .aim_ms = AIM_MS, .fair_share = SHARE };
+  CfFirstEventSample e = { .aim_ms = AIM_MS, .fair_share = SHARE };
   guint before;
 
   sample (8, 1200, 100);
@@ -78,7 +78,7 @@
   e.unqueued_ms = UNQUEUED_MS;
   e.in_flight = 80;
   for (int i = 0; i < 100; i++)
-    cf_concurrency_limit_sample (&limit, &e);
+    cf_concurrency_limit_add_sample (&limit, &e);
   ck_assert_uint_eq (cf_concurrency_limit_get (&limit), before);
 }
 END_TEST
@@ -95,7 +95,7 @@
 /* No lower limit would bring them into time. */
 START_TEST (slow_passes_alone_are_not_limited)
 {
-  CfFirstEvent e = { .aim_ms = AIM_MS, .fair_share = SHARE };
+  CfFirstEventSample e = { .aim_ms = AIM_MS, .fair_share = SHARE };
 
   for (int i = 0; i < 100; i++)
     {
@@ -103,7 +103,7 @@
       e.now_ms = now += 900;
       e.unqueued_ms = 800;
       e.in_flight = 60;
-      cf_concurrency_limit_sample (&limit, &e);
+      cf_concurrency_limit_add_sample (&limit, &e);
     }
   ck_assert_uint_eq (cf_concurrency_limit_get (&limit), 0);
 }
--- a/t/t-fleet.c
+++ b/t/t-fleet.c
@@ -94,7 +94,8 @@
             }
           else
             {
-              const CfTargetNews news = { id, json, strlen (json), at, at, 0 };
+              const CfTargetUpdate news
+                  = { id, json, strlen (json), at, at, 0 };
 
               cf_gateway_take_target (&g, &news, "store");
               if (!here[t] || at >= rev_of[t])
@@ -150,7 +151,7 @@
 
             for (; n > 0; n--)
               {
-                cf_retry_budget_request (&b[i]);
+                cf_retry_budget_add_request (&b[i]);
                 requests[s]++;
                 retries[s] += cf_retry_budget_take (&b[i]);
               }
--- a/t/t-outage.c
+++ b/t/t-outage.c
@@ -6,9 +6,9 @@
 {
   CfOutage o = { 0 };
 
-  cf_outage_sent (&o, 5);
-  ck_assert (!cf_outage_holds (&o, 5));
-  ck_assert_int_eq (cf_outage_answered (&o, 6), 0);
+  cf_outage_record_send (&o, 5);
+  ck_assert (!cf_outage_is_blocking (&o, 5));
+  ck_assert_int_eq (cf_outage_record_answer (&o, 6), 0);
 }
 END_TEST
 
@@ -17,13 +17,13 @@
   CfOutage o = { 0 };
   int sent = 0;
 
-  ck_assert (cf_outage_refused (&o, 1000));
-  ck_assert (!cf_outage_refused (&o, 1001));
+  ck_assert (cf_outage_record_refusal (&o, 1000));
+  ck_assert (!cf_outage_record_refusal (&o, 1001));
   for (gint64 now = 1001; now <= 2000; now++)
-    if (!cf_outage_holds (&o, now))
+    if (!cf_outage_is_blocking (&o, now))
       {
-        cf_outage_sent (&o, now);
-        cf_outage_refused (&o, now);
+        cf_outage_record_send (&o, now);
+        cf_outage_record_refusal (&o, now);
         sent++;
       }
   ck_assert_int_eq (sent, 10);
@@ -34,11 +34,11 @@
 {
   CfOutage o = { 0 };
 
-  cf_outage_refused (&o, 1000);
-  ck_assert_int_eq (cf_outage_answered (&o, 1700), 700);
-  ck_assert (!cf_outage_holds (&o, 1700));
-  ck_assert_int_eq (cf_outage_answered (&o, 1701), 0);
-  ck_assert (cf_outage_refused (&o, 1800));
+  cf_outage_record_refusal (&o, 1000);
+  ck_assert_int_eq (cf_outage_record_answer (&o, 1700), 700);
+  ck_assert (!cf_outage_is_blocking (&o, 1700));
+  ck_assert_int_eq (cf_outage_record_answer (&o, 1701), 0);
+  ck_assert (cf_outage_record_refusal (&o, 1800));
 }
 END_TEST
 
@@ -46,15 +46,15 @@
 {
   CfOutage o = { 0 };
 
-  cf_outage_answered (&o, 1000);
-  ck_assert (!cf_outage_is_recent (&o, 1000));
-  cf_outage_refused (&o, 1000);
-  ck_assert (!cf_outage_is_recent (&o, 1100));
-  cf_outage_answered (&o, 1700);
-  ck_assert (cf_outage_is_recent (&o, 1800));
+  cf_outage_record_answer (&o, 1000);
+  ck_assert (!cf_outage_has_ended_recently (&o, 1000));
+  cf_outage_record_refusal (&o, 1000);
+  ck_assert (!cf_outage_has_ended_recently (&o, 1100));
+  cf_outage_record_answer (&o, 1700);
+  ck_assert (cf_outage_has_ended_recently (&o, 1800));
   /* What is answered later begins no new span. */
-  cf_outage_answered (&o, 2100);
-  ck_assert (!cf_outage_is_recent (&o, 2300));
+  cf_outage_record_answer (&o, 2100);
+  ck_assert (!cf_outage_has_ended_recently (&o, 2300));
 }
 END_TEST
 
@@ -63,10 +63,10 @@
   CfOutage o = { 0 };
 
   ck_assert (!cf_outage_is_long (&o, 100000));
-  cf_outage_refused (&o, 1000);
+  cf_outage_record_refusal (&o, 1000);
   ck_assert (!cf_outage_is_long (&o, 4000));
   ck_assert (cf_outage_is_long (&o, 6500));
-  cf_outage_answered (&o, 6600);
+  cf_outage_record_answer (&o, 6600);
   ck_assert (!cf_outage_is_long (&o, 6600));
 }
 END_TEST
--- a/t/t-overload.c
+++ b/t/t-overload.c
@@ -4,7 +4,7 @@
  */
 #include "gateway/balancer.h"
 #include "gateway/concurrency-limit.h"
-#include "gateway/pace.h"
+#include "gateway/stream-latency.h"
 #include "gateway/wait-queue.h"
 #include "harness.h"
 #include "target-harness.h"
@@ -88,7 +88,7 @@
 {
   CfTargetTable table;
   CfWaitQueue queue;
-  CfPace pace;
+  CfStreamLatency pace;
   CfConcurrencyLimit limit;
   double ring_start;
   guint in_flight;
@@ -122,13 +122,13 @@
     {
       cf_target_table_init (&gws[g].table);
       cf_wait_queue_init (&gws[g].queue);
-      gws[g].pace = (CfPace){ 0 };
+      gws[g].pace = (CfStreamLatency){ 0 };
       gws[g].limit = (CfConcurrencyLimit){ 0 };
       gws[g].ring_start = (double)g / load->gateways;
       gws[g].in_flight = 0;
       if (!with_random_turns)
-        gws[g].table.turn = 0;
-      t_put_row (&gws[g].table, load->ranks, load->slots);
+        gws[g].table.next_start = 0;
+      t_put_targets (&gws[g].table, load->ranks, load->slots);
     }
   running = g_ptr_array_new_with_free_func (g_free);
   away = g_ptr_array_new_with_free_func (g_free);
@@ -158,16 +158,16 @@
 
   if (is_out (now))
     return FALSE;
-  in.fleet = load->gateways;
+  in.n_gateways = load->gateways;
   in.in_flight = g->in_flight;
   in.limit = cf_concurrency_limit_get (&g->limit);
   in.ring_start = with_ring ? &g->ring_start : NULL;
   in.yields = with_yielding
-              && cf_waiter_yields (&s->waiter, now, g->pace.pause_ms,
-                                   load->gap_aim_ms);
+              && cf_waiter_has_to_yield (&s->waiter, now, g->pace.pause_ms,
+                                         load->gap_aim_ms);
   if (cf_balancer_pick (&g->table, &in, &s->target) != CF_PICK_OK)
     return FALSE;
-  cf_target_work_begun (s->target, now);
+  cf_target_request_started (s->target, now);
   s->gateway = g;
   g->in_flight++;
   s->rank = atoi (s->target->record.id + 1);
@@ -191,8 +191,9 @@
 static void
 refuse (Stream *s, gint64 now)
 {
-  gint64 busy_ms = cf_wait_busy_ms (
-      is_overloaded (s->gateway) ? CF_NO_ROOM_OVERLOAD : CF_NO_ROOM_FULL);
+  gint64 busy_ms = cf_wait_queue_backoff_ms (is_overloaded (s->gateway)
+                                                 ? CF_NO_CAPACITY_OVERLOAD
+                                                 : CF_NO_CAPACITY_FULL);
   gint64 retry_ms = cf_retry_after_ms (s->start_ms + LEFT_MS - now, busy_ms,
                                        g_random_int ());
 
@@ -212,7 +213,8 @@
 arrive (Gateway *g, Stream *s, gint64 now)
 {
   CfWaiter *evicted;
-  gint64 first = cf_pace_first_ms (&g->pace, NULL, &(CfStreamSize){ 0 });
+  gint64 first
+      = cf_stream_latency_first_event_ms (&g->pace, NULL, &(CfStreamSize){ 0 });
 
   s->waiter.owner = s;
   s->gateway = g;
@@ -224,7 +226,8 @@
   if (!is_out (now) && !g->queue.n && send_to_target (g, s, now))
     return;
   s->waiter.since_ms = now;
-  s->waiter.in_time_ms = cf_waiter_in_time_ms (now, load->aim_ms, first);
+  s->waiter.objective_send_by_ms
+      = cf_waiter_objective_send_by_ms (now, load->aim_ms, first);
   if (!cf_wait_queue_add (&g->queue, &s->waiter,
                           (guint)(load->ranks * load->slots), &evicted))
     refuse (s, now);
@@ -249,7 +252,7 @@
   for (w = TAILQ_FIRST (&g->queue.waiters); w; w = next)
     {
       next = TAILQ_NEXT (w, link);
-      if (now - w->since_ms <= cf_wait_limit_ms (PATIENCE_MS, LEFT_MS))
+      if (now - w->since_ms <= cf_wait_queue_max_wait_ms (PATIENCE_MS, LEFT_MS))
         continue;
       cf_wait_queue_remove (&g->queue, w);
       refuse (w->owner, now);
@@ -266,7 +269,7 @@
     tally.in_time[second_of (s)]++;
   else
     tally.late[second_of (s)]++;
-  cf_target_work_ended (s->target);
+  cf_target_request_ended (s->target);
   s->gateway->in_flight--;
   writing[s->rank]--;
 }
@@ -300,7 +303,7 @@
 leave (Stream *s)
 {
   tally.late[second_of (s)]++;
-  cf_target_work_ended (s->target);
+  cf_target_request_ended (s->target);
   s->gateway->in_flight--;
 }
 
@@ -308,13 +311,14 @@
 sample_limit (Stream *s, gint64 now)
 {
   Gateway *g = s->gateway;
-  CfFirstEvent e = { .now_ms = now, .sent_ms = s->sent_ms };
+  CfFirstEventSample e = { .now_ms = now, .sent_ms = s->sent_ms };
 
-  e.unqueued_ms = cf_pace_unqueued_ms (&g->pace, NULL, &(CfStreamSize){ 0 });
+  e.unqueued_ms
+      = cf_stream_latency_unqueued_ms (&g->pace, NULL, &(CfStreamSize){ 0 });
   e.aim_ms = load->aim_ms;
   e.in_flight = g->in_flight;
   e.fair_share = (double)load->ranks * load->slots / load->gateways;
-  cf_concurrency_limit_sample (&g->limit, &e);
+  cf_concurrency_limit_add_sample (&g->limit, &e);
 }
 
 /* One pass of the group: every running stream writes an event at its end. */
@@ -345,14 +349,16 @@
       if (s->events++ == 0)
         {
           s->first_ms = end - s->start_ms;
-          cf_pace_first (&s->gateway->pace, end - s->sent_ms);
+          cf_stream_latency_add_first_event (&s->gateway->pace,
+                                             end - s->sent_ms);
           if (with_limit)
             sample_limit (s, end);
         }
       else
         {
           s->longest_ms = MAX (s->longest_ms, end - s->last_ms);
-          cf_pace_event (&s->gateway->pace, end, end - s->last_ms);
+          cf_stream_latency_add_event (&s->gateway->pace, end,
+                                       end - s->last_ms);
         }
       s->last_ms = end;
       if (s->events < load->events)
@@ -456,7 +462,8 @@
 }
 END_TEST
 
-/* Gateways that take targets in turn from the same one on move in step. */
+/* Gateways that take targets in next_start from the same one on move in step.
+ */
 START_TEST (a_large_fleet_does_not_crowd_the_same_targets)
 {
   double before;
--- a/t/t-quarantine.c
+++ b/t/t-quarantine.c
@@ -258,17 +258,17 @@
 
       add (q, &bad, target, -1000 + 200 * i);
     }
-  for (int i = 0; i < 2 * CF_QUARANTINE_MAX; i++)
+  for (int i = 0; i < 2 * CF_QUARANTINE_MAX_RECORDS; i++)
     {
       CfRequestDigest d = digest_of (i);
 
       add (q, &d, "i-9/1", 1 + i);
     }
-  ck_assert_uint_eq (cf_quarantine_size (q), CF_QUARANTINE_MAX);
+  ck_assert_uint_eq (cf_quarantine_size (q), CF_QUARANTINE_MAX_RECORDS);
   ck_assert (cf_quarantine_check (q, &bad, 1));
-  cf_quarantine_expire (q, CF_QUARANTINE_KEEP_MS);
-  ck_assert (cf_quarantine_check (q, &bad, CF_QUARANTINE_KEEP_MS));
-  cf_quarantine_expire (q, 3 * CF_QUARANTINE_KEEP_MS);
+  cf_quarantine_expire (q, CF_QUARANTINE_RETENTION_MS);
+  ck_assert (cf_quarantine_check (q, &bad, CF_QUARANTINE_RETENTION_MS));
+  cf_quarantine_expire (q, 3 * CF_QUARANTINE_RETENTION_MS);
   ck_assert_uint_eq (cf_quarantine_size (q), 0);
   cf_quarantine_free (q);
 }
@@ -281,14 +281,14 @@
   CfPeerMsg all;
   CfPeerMsg held;
 
-  for (int i = 0; i < CF_QUARANTINE_MAX + 10; i++)
+  for (int i = 0; i < CF_QUARANTINE_MAX_RECORDS + 10; i++)
     {
       CfRequestDigest d = digest_of (i);
 
       add (q, &d, "i-9/1", 1 + i);
     }
   cf_peer_crashes_changed (q, 2000, &all, &held);
-  ck_assert_uint_eq (all.u.crashes->len, CF_QUARANTINE_MAX);
+  ck_assert_uint_eq (all.u.crashes->len, CF_QUARANTINE_MAX_RECORDS);
   for (guint i = 0; i < all.u.crashes->len; i++)
     ck_assert_uint_eq (g_array_index (all.u.crashes, CfPeerCrash, i).n, 1);
   cf_peer_msg_clear (&all);
@@ -306,7 +306,7 @@
   add (q, &d, "i-1/1", 10);
   add (q, &d, "i-2/1", 210);
   add (q, &d, "i-3/1", 410);
-  for (; now < 410 + CF_QUARANTINE_LIMIT_MS; now += 1000)
+  for (; now < 410 + CF_QUARANTINE_MAX_AGE_MS; now += 1000)
     {
       ck_assert (cf_quarantine_check (q, &d, now));
       cf_quarantine_expire (q, now);
@@ -374,7 +374,7 @@
       add (a, &d, target, 200 * i);
     }
   notify (a, b, 400);
-  for (; now < 3 * CF_QUARANTINE_KEEP_MS; now += 10000)
+  for (; now < 3 * CF_QUARANTINE_RETENTION_MS; now += 10000)
     {
       ck_assert (cf_quarantine_check (a, &d, now));
       notify (a, b, now);
--- a/t/t-rate-limit.c
+++ b/t/t-rate-limit.c
@@ -159,7 +159,8 @@
         double sum = 0;
 
         for (guint i = 0; i < fleets[f]; i++)
-          sum += cf_rate_limit_part (&l, "i-1", (CfFleetPlace){ i, fleets[f] });
+          sum += cf_rate_limit_share (&l, "i-1",
+                                      (CfFleetPlace){ i, fleets[f] });
         ck_assert_double_eq_tol (sum, rates[r], 1e-6);
       }
 }
@@ -175,12 +176,12 @@
   guint from = 0;
 
   for (guint i = 0; i < n; i++)
-    cf_rate_limit_hear (&l[i], per_s, 1);
+    cf_rate_limit_update (&l[i], per_s, 1);
   for (gint64 now = 2; now < 60000; now += tick_ms)
     for (guint i = 0; i < n; i++)
       while (cf_rate_limit_may_send (&l[i], "i-1", (CfFleetPlace){ i, n }, now))
         {
-          cf_rate_limit_sent (&l[i]);
+          cf_rate_limit_consume (&l[i]);
           g_array_append_val (sent, now);
         }
   for (guint i = 0; i < sent->len; i++)
@@ -214,17 +215,17 @@
 {
   CfRateLimit l = { 0 };
 
-  ck_assert (!cf_rate_limit_hear (&l, 0, 1000));
-  ck_assert (cf_rate_limit_hear_from_peer (&l, 1.1, 2000));
-  ck_assert (!cf_rate_limit_hear_from_peer (&l, 1.1, 3000));
-  ck_assert (cf_rate_limit_hear (&l, 0, 4000));
+  ck_assert (!cf_rate_limit_update (&l, 0, 1000));
+  ck_assert (cf_rate_limit_update_from_peer (&l, 1.1, 2000));
+  ck_assert (!cf_rate_limit_update_from_peer (&l, 1.1, 3000));
+  ck_assert (cf_rate_limit_update (&l, 0, 4000));
   /* The echo of what a peer was told, late by the ways of two messages. */
-  ck_assert (!cf_rate_limit_hear_from_peer (&l, 1.1, 4010));
+  ck_assert (!cf_rate_limit_update_from_peer (&l, 1.1, 4010));
   ck_assert_double_eq (l.per_s, 0);
   ck_assert (cf_rate_limit_is_announced (&l, 5000));
-  ck_assert (cf_rate_limit_hear_from_peer (&l, 1.1, 5000));
+  ck_assert (cf_rate_limit_update_from_peer (&l, 1.1, 5000));
   ck_assert (cf_rate_limit_may_send (&l, "i", (CfFleetPlace){ 0, 1 }, 6000));
-  cf_rate_limit_sent (&l);
+  cf_rate_limit_consume (&l);
   ck_assert (!cf_rate_limit_may_send (&l, "i", (CfFleetPlace){ 0, 1 }, 6001));
 }
 END_TEST
--- a/t/t-retry-budget.c
+++ b/t/t-retry-budget.c
@@ -16,7 +16,7 @@
   /* Every request fails and asks for two retries. */
   for (int i = 0; i < 1000; i++)
     {
-      cf_retry_budget_request (&b);
+      cf_retry_budget_add_request (&b);
       taken += cf_retry_budget_take (&b);
       taken += cf_retry_budget_take (&b);
     }
@@ -24,7 +24,7 @@
   ck_assert_int_le (taken, 205);
   /* Quiet times save up no more than the slack. */
   for (int i = 0; i < 1000; i++)
-    cf_retry_budget_request (&b);
+    cf_retry_budget_add_request (&b);
   for (taken = 0; cf_retry_budget_take (&b);)
     taken++;
   ck_assert_int_eq (taken, 5);
--- a/t/t-standstill.c
+++ b/t/t-standstill.c
@@ -46,7 +46,7 @@
 setup (void)
 {
   cf_target_table_init (&table);
-  t_put_row (&table, TARGETS, SLOTS);
+  t_put_targets (&table, TARGETS, SLOTS);
   running = g_ptr_array_new_with_free_func (g_free);
   asked = in_time = 0;
 }
@@ -66,13 +66,13 @@
 }
 
 static void
-arrive (gint64 now, gint64 stall_ms)
+arrive (gint64 now, gint64 stall_timeout_ms)
 {
-  CfPickInput in = { .service = "s", .now_ms = now, .fleet = 1 };
+  CfPickInput in = { .service = "s", .now_ms = now, .n_gateways = 1 };
   CfTarget *t;
   Stream *s;
 
-  in.stall_ms = stall_ms;
+  in.stall_timeout_ms = stall_timeout_ms;
   if (cf_balancer_pick (&table, &in, &t) != CF_PICK_OK)
     return;
   s = g_new0 (Stream, 1);
@@ -80,7 +80,7 @@
   s->last_ms = now;
   s->target = t;
   s->group = atoi (t->record.id + 1) % GROUPS;
-  cf_target_work_begun (t, now);
+  cf_target_request_started (t, now);
   g_ptr_array_add (running, s);
   asked += counts (s);
 }
@@ -93,7 +93,7 @@
   else
     s->longest_ms = MAX (s->longest_ms, now - s->last_ms);
   s->last_ms = now;
-  cf_target_sign (s->target, now);
+  cf_target_record_progress (s->target, now);
 }
 
 /* TRUE if it has ended: it is whole, or its caller has left. */
@@ -109,19 +109,19 @@
         += counts (s) && s->first_ms <= AIM_MS && s->longest_ms <= GAP_AIM_MS;
   else if (now - s->last_ms < PATIENCE_MS)
     return FALSE;
-  cf_target_work_ended (s->target);
+  cf_target_request_ended (s->target);
   return TRUE;
 }
 
 static double
-part_in_time (gint64 stall_ms)
+part_in_time (gint64 stall_timeout_ms)
 {
   GRand *rand = g_rand_new_with_seed (7);
 
   for (gint64 now = 0; now < SECONDS * 1000; now++)
     {
       if (g_rand_double (rand) < PER_S / 1000.0)
-        arrive (now, stall_ms);
+        arrive (now, stall_timeout_ms);
       for (guint i = 0; now % PASS_MS == 0 && i < running->len;)
         if (step (running->pdata[i], now))
           g_ptr_array_remove_index (running, i);
--- a/t/t-target.c
+++ b/t/t-target.c
@@ -13,13 +13,13 @@
 put_at (const char *id, const char *service, const char *addr,
         gint64 incarnation, gboolean leaving, gint64 now)
 {
-  return t_put_target (&table, &(TTarget){ .id = id,
-                                           .service = service,
-                                           .addr = addr,
-                                           .leaving = leaving,
-                                           .incarnation = incarnation,
-                                           .rev = ++rev,
-                                           .now_ms = now });
+  return t_put_target (&table, &(TTargetSpec){ .id = id,
+                                               .service = service,
+                                               .addr = addr,
+                                               .leaving = leaving,
+                                               .incarnation = incarnation,
+                                               .rev = ++rev,
+                                               .now_ms = now });
 }
 
 static CfTargetChange
@@ -55,8 +55,8 @@
 
   ck_assert_int_eq (put ("a", 100, FALSE), CF_TARGET_NEW);
   old = cf_target_ref (get ("a"));
-  t_give_work (old, 4, 0);
-  old->pace = 7;
+  t_set_in_flight (old, 4, 0);
+  old->slowdown = 7;
   cf_outlier_eject (&old->outlier, 0);
   put ("a", 100, TRUE);
   ck_assert_int_eq (put ("a", 200, FALSE), CF_TARGET_RESTARTED);
@@ -64,13 +64,13 @@
   ck_assert_ptr_ne (t, old);
   ck_assert (!old->listed);
   ck_assert_uint_eq (t->in_flight, 0);
-  ck_assert_double_eq (t->pace, 1);
-  ck_assert (!cf_outlier_ejected (&t->outlier, 1));
+  ck_assert_double_eq (t->slowdown, 1);
+  ck_assert (!cf_outlier_is_ejected (&t->outlier, 1));
   ck_assert (!t->record.leaving);
   ck_assert (!t->replaced);
   ck_assert_uint_eq (cf_target_table_service (&table, "s")->len, 1);
-  ck_assert (cf_target_is_former (t, 100));
-  ck_assert (!cf_target_is_former (t, 0));
+  ck_assert (cf_target_is_older_incarnation (t, 100));
+  ck_assert (!cf_target_is_older_incarnation (t, 0));
   cf_target_unref (old);
 }
 END_TEST
@@ -84,9 +84,9 @@
   ck_assert_int_eq (get ("a")->record.incarnation, 200);
   /* The one that lives writes again: what was late is forgotten. */
   put_at ("a", "s", "1.1.1.1:1", 200, FALSE, 1000);
-  ck_assert_int_eq (
-      put_at ("a", "s", "1.1.1.1:1", 100, TRUE, CF_TARGET_OLDER_MS + 500),
-      CF_TARGET_STALE);
+  ck_assert_int_eq (put_at ("a", "s", "1.1.1.1:1", 100, TRUE,
+                            CF_TARGET_OLDER_INCARNATION_MS + 500),
+                    CF_TARGET_STALE);
 }
 END_TEST
 
@@ -96,12 +96,12 @@
   put ("a", 200, FALSE);
   ck_assert_int_eq (put_at ("a", "s", "1.1.1.1:1", 100, FALSE, 1000),
                     CF_TARGET_STALE);
-  ck_assert_int_eq (
-      put_at ("a", "s", "1.1.1.1:1", 100, FALSE, 1000 + CF_TARGET_OLDER_MS - 1),
-      CF_TARGET_STALE);
-  ck_assert_int_eq (
-      put_at ("a", "s", "1.1.1.1:1", 100, TRUE, 1000 + CF_TARGET_OLDER_MS),
-      CF_TARGET_RESTARTED);
+  ck_assert_int_eq (put_at ("a", "s", "1.1.1.1:1", 100, FALSE,
+                            1000 + CF_TARGET_OLDER_INCARNATION_MS - 1),
+                    CF_TARGET_STALE);
+  ck_assert_int_eq (put_at ("a", "s", "1.1.1.1:1", 100, TRUE,
+                            1000 + CF_TARGET_OLDER_INCARNATION_MS),
+                    CF_TARGET_RESTARTED);
   ck_assert_int_eq (get ("a")->record.incarnation, 100);
   ck_assert (get ("a")->record.leaving);
 }
@@ -132,16 +132,17 @@
 {
   gboolean too = FALSE;
 
-  table.is_named = names_s;
-  table.is_named_data = &too;
+  table.is_configured = names_s;
+  table.is_configured_data = &too;
   put ("a", 100, FALSE);
   put_at ("b", "nonsense", "1.1.1.1:1", 100, FALSE, 0);
   ck_assert (!get ("a")->replaced);
   ck_assert (get ("b")->replaced);
-  ck_assert_ptr_eq (cf_target_table_at (&table, "1.1.1.1:1"), get ("a"));
+  ck_assert_ptr_eq (cf_target_table_lookup_addr (&table, "1.1.1.1:1"),
+                    get ("a"));
   /* Once it is named, the later start has the address. */
   too = TRUE;
-  cf_target_table_renamed (&table);
+  cf_target_table_services_changed (&table);
   ck_assert (get ("a")->replaced);
   ck_assert (!get ("b")->replaced);
 }
--- a/t/t-wait-queue.c
+++ b/t/t-wait-queue.c
@@ -85,9 +85,12 @@
   r->start_ms = p->now;
   r->w.owner = r;
   r->w.since_ms = p->now;
-  r->w.in_time_ms = cf_waiter_in_time_ms (p->now, AIM_MS, FIRST_MS);
-  r->w.whole_by_ms = p->way.by_deadline ? r->deadline_ms - usual_ms : 0;
-  r->due_ms = p->now + cf_wait_limit_ms (PATIENCE_MS, r->deadline_ms - p->now);
+  r->w.objective_send_by_ms
+      = cf_waiter_objective_send_by_ms (p->now, AIM_MS, FIRST_MS);
+  r->w.deadline_send_by_ms = p->way.by_deadline ? r->deadline_ms - usual_ms : 0;
+  r->due_ms
+      = p->now
+        + cf_wait_queue_max_wait_ms (PATIENCE_MS, r->deadline_ms - p->now);
   if (!cf_wait_queue_add (&p->queue, &r->w, WAITERS_MAX, &evicted))
     r->due_ms = p->now;
 }
@@ -100,12 +103,13 @@
   cf_wait_queue_remove (&p->queue, &r->w);
   r->fate = r->returned ? LOST : AWAY;
   r->returned = TRUE;
-  r->due_ms = p->now
-              + cf_retry_after_ms (left,
-                                   cf_wait_busy_ms (p->outage.since_ms != 0
-                                                        ? CF_NO_ROOM_OUTAGE
-                                                        : CF_NO_ROOM_FULL),
-                                   g_rand_int (p->rand));
+  r->due_ms
+      = p->now
+        + cf_retry_after_ms (left,
+                             cf_wait_queue_backoff_ms (
+                                 p->outage.since_ms != 0 ? CF_NO_CAPACITY_OUTAGE
+                                                         : CF_NO_CAPACITY_FULL),
+                             g_rand_int (p->rand));
 }
 
 static void
@@ -147,7 +151,7 @@
       r->due_ms = p->now + PATIENCE_MS;
     }
   p->running = 0;
-  cf_outage_refused (&p->outage, p->now);
+  cf_outage_record_refusal (&p->outage, p->now);
 }
 
 static void
@@ -158,16 +162,16 @@
   while (p->running < SLOTS
          && (w = cf_wait_queue_first (&p->queue, p->now, FALSE)))
     {
-      gboolean room
-          = !p->way.leaves_room && cf_outage_is_recent (&p->outage, p->now);
+      gboolean room = !p->way.leaves_room
+                      && cf_outage_has_ended_recently (&p->outage, p->now);
       Request *r = w->owner;
 
-      if (!room && cf_waiter_yields (w, p->now, PASS_MS, GAP_AIM_MS)
+      if (!room && cf_waiter_has_to_yield (w, p->now, PASS_MS, GAP_AIM_MS)
           && p->running >= SLOTS * LATE_PART)
         return;
       cf_wait_queue_remove (&p->queue, w);
       r->fate = RUNNING;
-      r->in_time = !r->returned && p->now <= w->in_time_ms;
+      r->in_time = !r->returned && p->now <= w->objective_send_by_ms;
       r->due_ms = p->now + r->whole_ms;
       p->running++;
     }
@@ -210,7 +214,7 @@
       if (p.now == LOST_MS)
         lose_power (&p);
       if (p.now == OPEN_MS)
-        cf_outage_answered (&p.outage, p.now);
+        cf_outage_record_answer (&p.outage, p.now);
       turn (&p);
       if (p.now < LOST_MS || p.now >= OPEN_MS)
         serve (&p);
@@ -251,10 +255,10 @@
 {
   CfWaitQueue q;
   CfWaiter *evicted;
-  CfWaiter hopeless = { .priority = 1, .whole_by_ms = 50 };
-  CfWaiter old = { .priority = 1, .whole_by_ms = 900 };
-  CfWaiter last = { .priority = 1, .whole_by_ms = 300 };
-  CfWaiter low = { .priority = 2, .whole_by_ms = 200 };
+  CfWaiter hopeless = { .priority = 1, .deadline_send_by_ms = 50 };
+  CfWaiter old = { .priority = 1, .deadline_send_by_ms = 900 };
+  CfWaiter last = { .priority = 1, .deadline_send_by_ms = 300 };
+  CfWaiter low = { .priority = 2, .deadline_send_by_ms = 200 };
 
   cf_wait_queue_init (&q);
   cf_wait_queue_add (&q, &hopeless, 9, &evicted);
--- a/t/target-harness.c
+++ b/t/target-harness.c
@@ -9,9 +9,9 @@
 }
 
 CfTargetChange
-t_put_target (CfTargetTable *t, const TTarget *what)
+t_put_target (CfTargetTable *t, const TTargetSpec *what)
 {
-  const CfTargetNews news
+  const CfTargetUpdate news
       = { what->id, "{}", 2, what->rev, what->rev, what->now_ms };
   CfTargetRecord r = { 0 };
 
@@ -26,16 +26,16 @@
 }
 
 void
-t_put_row (CfTargetTable *t, int n, gint64 slots)
+t_put_targets (CfTargetTable *t, int n, gint64 slots)
 {
   for (int i = 0; i < n; i++)
     {
       g_autofree char *id = g_strdup_printf ("r%d", i);
       g_autofree char *addr = g_strdup_printf ("1.1.1.%d:1", i + 1);
 
-      t_put_target (
-          t,
-          &(TTarget){ .id = id, .addr = addr, .slots = slots, .rev = i + 1 });
+      t_put_target (t,
+                    &(TTargetSpec){
+                        .id = id, .addr = addr, .slots = slots, .rev = i + 1 });
     }
 }
 
@@ -46,10 +46,10 @@
 }
 
 void
-t_give_work (CfTarget *t, guint n, gint64 now_ms)
+t_set_in_flight (CfTarget *t, guint n, gint64 now_ms)
 {
   while (t->in_flight < n)
-    cf_target_work_begun (t, now_ms);
+    cf_target_request_started (t, now_ms);
   while (t->in_flight > n)
-    cf_target_work_ended (t);
+    cf_target_request_ended (t);
 }
--- a/t/target-harness.h
+++ b/t/target-harness.h
@@ -2,7 +2,7 @@
 
 #include "gateway/target.h"
 
-/** TTarget: what the platform's list says of a target; what a test leaves
+/** TTargetSpec: what the platform's list says of a target; what a test leaves
  * out is as t_put_target() says. */
 typedef struct
 {
@@ -15,18 +15,18 @@
   gint64 incarnation;
   gint64 rev;    /**< of the record, and of the first listing */
   gint64 now_ms; /**< when it is heard */
-} TTarget;
+} TTargetSpec;
 
 /** t_put_target: the list says @what. */
-CfTargetChange t_put_target (CfTargetTable *t, const TTarget *what);
+CfTargetChange t_put_target (CfTargetTable *t, const TTargetSpec *what);
 
-/** t_put_row: @n targets "r0", "r1" and so on, of @slots slots, each at an
+/** t_put_targets: @n targets "r0", "r1" and so on, of @slots slots, each at an
  * address of its own. */
-void t_put_row (CfTargetTable *t, int n, gint64 slots);
+void t_put_targets (CfTargetTable *t, int n, gint64 slots);
 
 /** t_get_target: (nullable): the target @id. */
 CfTarget *t_get_target (const CfTargetTable *t, const char *id);
 
-/** t_give_work: @t gets or ends requests of ours at @now_ms, so that it has
+/** t_set_in_flight: @t gets or ends requests of ours at @now_ms, so that it has
  * @n. */
-void t_give_work (CfTarget *t, guint n, gint64 now_ms);
+void t_set_in_flight (CfTarget *t, guint n, gint64 now_ms);
