--- a/gateway/balancer.c
+++ b/gateway/balancer.c
@@ -5,37 +5,37 @@
 #include <math.h>
 #include <string.h>
 
-/** Of an even part of a target's slots, what a gateway may use. */
-#define SHARE_MORE 1.25
-/** Of that, what requests that are late already may fill. */
-#define YIELD_PART 0.6
-/** Of the limit of requests in flight, the same. */
-#define YIELD_PART_OF_LIMIT 0.85
-
-/** A target whose work takes so many times as long is used like one that was
- * ejected: in a rank group, all wait for its part of each pass. */
-#define SLOW_PACE 3.0
-
-/** How a target may be used for a request. */
+/** A gateway may use this multiple of an even share of a target's slots. */
+#define SHARE_HEADROOM 1.25
+/** The fraction of that limit that yielding requests may fill. */
+#define YIELD_TARGET_FRACTION 0.6
+/** The fraction of the concurrency limit that yielding requests may fill. */
+#define YIELD_LIMIT_FRACTION 0.85
+
+/** A target that works this many times slower than usual is treated like an
+ * ejected one: in a rank group, all ranks wait for its part of each pass. */
+#define DEGRADED_SLOWDOWN 3.0
+
+/** Availability: whether a target can take a request. */
 typedef enum
 {
-  USE_NO,      /**< leaving, or it had the request already */
-  USE_LIMITED, /**< it has got our part of the rate that it takes */
-  USE_FULL,    /**< no room for it now */
-  USE_GUESS,   /**< ejected or slow: only when nothing better is left */
-  USE_YES,
-} Use;
+  TARGET_EXCLUDED,     /**< leaving, replaced, or already tried */
+  TARGET_RATE_LIMITED, /**< this gateway's share of its rate limit is used up */
+  TARGET_FULL,         /**< has no free capacity now */
+  TARGET_DEGRADED,     /**< ejected, slow or stalled: a last resort */
+  TARGET_AVAILABLE,
+} Availability;
 
 guint
 cf_balancer_max_in_flight (gint64 slots, gint64 max_conns, guint n_gateways)
 {
-  guint sharers = CF_WITHOUT_FLEET_SHARES ? 1 : MAX (n_gateways, 1);
-  double part = (double)slots * SHARE_MORE / sharers;
-  double conns = floor ((double)max_conns / MAX (n_gateways, 1));
+  guint n_sharing = CF_WITHOUT_FLEET_SHARES ? 1 : MAX (n_gateways, 1);
+  double share = (double)slots * SHARE_HEADROOM / n_sharing;
+  double conn_share = floor ((double)max_conns / MAX (n_gateways, 1));
 
   if (max_conns > 0)
-    part = MIN (part, conns);
-  return (guint)MAX (ceil (part), 1);
+    share = MIN (share, conn_share);
+  return (guint)MAX (ceil (share), 1);
 }
 
 static gboolean
@@ -45,47 +45,49 @@
 }
 
 static guint
-room_for (const CfTarget *t, const CfPickInput *in)
+get_max_in_flight (const CfTarget *t, const CfPickInput *in)
 {
   guint share = cf_balancer_max_in_flight (t->record.slots, in->max_conns,
                                            in->n_gateways);
 
-  return in->yields ? (guint)MAX (share * YIELD_PART, 1) : share;
+  return in->yields ? (guint)MAX (share * YIELD_TARGET_FRACTION, 1) : share;
 }
 
 static gboolean
-stands_still (const CfTarget *t, const CfPickInput *in)
+is_stalled (const CfTarget *t, const CfPickInput *in)
 {
   return in->stall_timeout_ms > 0 && !CF_WITHOUT_STALL_CHECK
          && cf_target_silence_ms (t, in->now_ms) > in->stall_timeout_ms;
 }
 
 static gboolean
-is_doubtful (const CfTarget *t, const CfPickInput *in)
+is_degraded (const CfTarget *t, const CfPickInput *in)
 {
-  return t->slowdown >= SLOW_PACE
+  return t->slowdown >= DEGRADED_SLOWDOWN
          || cf_outlier_is_ejected (&t->outlier, in->now_ms)
-         || stands_still (t, in);
+         || is_stalled (t, in);
 }
 
-static Use
-use_of (CfTarget *t, const CfPickInput *in)
+static Availability
+get_availability (CfTarget *t, const CfPickInput *in)
 {
   if (t->record.leaving || t->replaced || was_tried (in->tried, t))
-    return USE_NO;
-  if (t->in_flight >= room_for (t, in) || in->now_ms < t->full_until_ms)
-    return USE_FULL;
+    return TARGET_EXCLUDED;
+  if (t->in_flight >= get_max_in_flight (t, in)
+      || in->now_ms < t->full_until_ms)
+    return TARGET_FULL;
   if (!CF_WITHOUT_RATE_LIMITS
       && !cf_rate_limit_may_send (&t->limit, t->record.id, in->place,
                                   in->now_ms))
-    return USE_LIMITED;
-  return is_doubtful (t, in) ? USE_GUESS : USE_YES;
+    return TARGET_RATE_LIMITED;
+  return is_degraded (t, in) ? TARGET_DEGRADED : TARGET_AVAILABLE;
 }
 
-/* Load with the request, in 1/1024 slots of a target at its usual slowdown; one
- * less in our own data centre to break ties. */
+/* Returns the load that @t would have with the request: in 1/1024 of its slots,
+ * scaled by its slowdown, and doubled so that the lowest bit can break ties in
+ * favour of a target in the gateway's own data centre. */
 static guint
-load_of (const CfTarget *t, const CfPickInput *in)
+compute_load (const CfTarget *t, const CfPickInput *in)
 {
   double share = (t->in_flight + 1) * t->slowdown / (double)t->record.slots;
   guint load = (guint)(share * 1024) * 2 + 1;
@@ -96,59 +98,63 @@
   return load;
 }
 
-/* Choice: what a look at all targets of a service found. */
+/* Selection: the result of comparing all targets of a service. */
 typedef struct
 {
-  CfTarget *best;  /* the least loaded that may be used; NULL if none */
-  CfTarget *guess; /* the least loaded of the doubtful */
+  CfTarget *best;     /* the least loaded available one, or NULL */
+  CfTarget *degraded; /* the least loaded degraded one, or NULL */
   guint best_load;
-  guint guess_load;
-  guint n_sound; /* neither leaving nor doubtful, full or not */
+  guint degraded_load;
+  guint n_healthy; /* neither excluded, rate-limited nor degraded */
   gboolean any_full;
   gboolean any_limited;
-  gint64 slots; /* of all that take work */
-} Choice;
+  gint64 slots; /* of all targets not excluded */
+} Selection;
 
 static void
-consider (Choice *c, CfTarget *t, const CfPickInput *in)
+add_candidate (Selection *c, CfTarget *t, const CfPickInput *in)
 {
-  Use use = use_of (t, in);
-  guint load = load_of (t, in);
-
-  c->slots += use != USE_NO ? t->record.slots : 0;
-  c->n_sound += use != USE_NO && use != USE_LIMITED && !is_doubtful (t, in);
-  c->any_limited |= use == USE_LIMITED;
-  c->any_full |= use == USE_FULL;
-  if (use == USE_YES && (!c->best || load < c->best_load))
+  Availability availability = get_availability (t, in);
+  guint load = compute_load (t, in);
+
+  c->slots += availability != TARGET_EXCLUDED ? t->record.slots : 0;
+  c->n_healthy += availability != TARGET_EXCLUDED
+                  && availability != TARGET_RATE_LIMITED
+                  && !is_degraded (t, in);
+  c->any_limited |= availability == TARGET_RATE_LIMITED;
+  c->any_full |= availability == TARGET_FULL;
+  if (availability == TARGET_AVAILABLE && (!c->best || load < c->best_load))
     {
       c->best = t;
       c->best_load = load;
     }
-  if (use == USE_GUESS && (!c->guess || load < c->guess_load))
+  if (availability == TARGET_DEGRADED
+      && (!c->degraded || load < c->degraded_load))
     {
-      c->guess = t;
-      c->guess_load = load;
+      c->degraded = t;
+      c->degraded_load = load;
     }
 }
 
-/* True if a request would exceed what this gateway may have in flight at all
- * targets.  Where gateways outnumber a target's slots, our share of one target
- * is a single request, so that low-priority ones go by our share of all. */
+/* True if this gateway already has as many requests in flight at the service as
+ * it may.  Where gateways outnumber a target's slots, the share of one target
+ * is a single request, which cannot be divided further; yielding requests are
+ * therefore limited by the gateway's share of all slots. */
 static gboolean
-exceeds_total (const Choice *c, const CfPickInput *in)
+is_at_total_limit (const Selection *c, const CfPickInput *in)
 {
   double share = (double)c->slots / MAX (in->n_gateways, 1);
-  double most = G_MAXUINT;
+  double max_in_flight = G_MAXUINT;
 
   if (in->limit > 0)
-    most = in->yields ? in->limit * YIELD_PART_OF_LIMIT : in->limit;
+    max_in_flight = in->yields ? in->limit * YIELD_LIMIT_FRACTION : in->limit;
   else if (in->yields && c->slots > 0)
-    most = share * SHARE_MORE * YIELD_PART;
-  return in->in_flight >= MAX (most, 1);
+    max_in_flight = share * SHARE_HEADROOM * YIELD_TARGET_FRACTION;
+  return in->in_flight >= MAX (max_in_flight, 1);
 }
 
 static guint
-first_of (CfTargetTable *t, guint n, const CfPickInput *in)
+get_search_start (CfTargetTable *t, guint n, const CfPickInput *in)
 {
   if (in->ring_start && !CF_WITHOUT_TARGET_RING)
     return (guint)(*in->ring_start * n);
@@ -160,21 +166,22 @@
 {
   const GPtrArray *a = cf_target_table_service (t, in->service);
   guint n = a ? a->len : 0;
-  guint from = first_of (t, n, in);
-  Choice c = { 0 };
+  guint from = get_search_start (t, n, in);
+  Selection c = { 0 };
 
   for (guint i = 0; i < n; i++)
-    consider (&c, a->pdata[(from + i) % n], in);
+    add_candidate (&c, a->pdata[(from + i) % n], in);
   *out = NULL;
-  if (exceeds_total (&c, in))
+  if (is_at_total_limit (&c, in))
     return CF_PICK_FULL;
   *out = c.best;
-  /* While most are sound, room at one of them is worth waiting for. */
-  if (!*out && c.n_sound * 2 < n)
-    *out = c.guess;
+  /* While at least half of the targets are healthy, waiting for a free slot at
+   * one of them is better than using a degraded one. */
+  if (!*out && c.n_healthy * 2 < n)
+    *out = c.degraded;
   if (*out)
     return CF_PICK_OK;
-  if (c.any_full || c.guess)
+  if (c.any_full || c.degraded)
     return CF_PICK_FULL;
   return c.any_limited ? CF_PICK_RATE_LIMITED : CF_PICK_NO_TARGET;
 }
--- a/gateway/balancer.h
+++ b/gateway/balancer.h
@@ -2,64 +2,71 @@
 
 #include "target.h"
 
-/** CfPickResult: why a request got a target, or none. */
+/** CfPickResult: the result of choosing a target for a request. */
 typedef enum
 {
   CF_PICK_OK,
-  CF_PICK_NO_TARGET,    /**< the service has none that takes new work */
-  CF_PICK_FULL,         /**< each has as much as it may have from us */
-  CF_PICK_RATE_LIMITED, /**< only the rates that targets named are in the way */
+  CF_PICK_NO_TARGET,    /**< no target of the service takes new requests */
+  CF_PICK_FULL,         /**< every target has all this gateway may send it */
+  CF_PICK_RATE_LIMITED, /**< only the targets' rate limits prevent it */
 } CfPickResult;
 
-/** CfPickInput: what the choice of a target is made from. */
+/** CfPickInput: the request and the gateway's state that a target is chosen
+ * by. */
 typedef struct
 {
   const char *service;
-  const char *data_centre;  /**< (nullable): ours; wins among equals */
-  const GPtrArray *tried;   /**< (nullable): targets that had it already */
-  gint64 now_ms;            /**< of the monotonic clock */
+  const char *data_centre;  /**< (nullable): this gateway's; preferred among
+                                 equally loaded targets */
+  const GPtrArray *tried;   /**< (nullable): #CfTarget that already had it */
+  gint64 now_ms;            /**< by the monotonic clock */
   guint n_gateways;         /**< gateways that send to these targets */
-  CfFleetPlace place;       /**< ours among them */
-  guint in_flight;          /**< requests of ours that all of them have */
-  guint limit;              /**< of @in_flight; 0: none */
-  gint64 max_conns;         /**< connections a target takes from all; 0: any */
-  const double *ring_start; /**< (nullable): where a search for the least
-                                 loaded begins, from 0 to below 1; by turns */
-  gboolean yields;          /**< leaves room for requests that can be in time */
-  gint64 stall_timeout_ms;  /**< a target that has work of ours and is quiet for
-                         longer  stands still; 0: quiet targets are not known */
+  CfFleetPlace place;       /**< this gateway's position among them */
+  guint in_flight;          /**< this gateway's requests at the service */
+  guint limit;              /**< concurrency limit, of @in_flight; 0: none */
+  gint64 max_conns;         /**< connections a target accepts from all
+                                 callers; 0: unlimited */
+  const double *ring_start; /**< (nullable): where among the targets the search
+                                 for the least loaded one begins, from 0 to
+                                 below 1; %NULL: round robin */
+  gboolean yields;          /**< leaves capacity to requests that can still meet
+                                 their objective */
+  gint64 stall_timeout_ms;  /**< a target that has requests of this gateway and
+                                 sends nothing for longer is stalled; 0: stalls
+                                 are not detected */
 } CfPickInput;
 
 /**
  * cf_balancer_max_in_flight:
- * @max_conns: connections a target takes from all callers; 0: any number
- * Returns: how many requests one of @n_gateways gateways gives a target of
- *   @slots at once: an even part and a quarter more, since callers are not
- *   spread evenly, but no more than its even part of the connections.  What
- *   is more than the slots would wait at the target, where the order cannot
- *   be chosen any more; what is more than the connections would be reset.
+ * @max_conns: connections a target accepts from all callers; 0: unlimited
+ * Returns: how many requests one of @n_gateways gateways may have in flight at
+ *   a target with @slots slots: an even share and a quarter more, since callers
+ *   are not spread evenly over the gateways, but no more than an even share of
+ *   the connections.  Requests beyond the slots would queue at the target,
+ *   where they can no longer be reordered; connections beyond the maximum would
+ *   be reset.
  */
 guint cf_balancer_max_in_flight (gint64 slots, gint64 max_conns,
                                  guint n_gateways);
 
 /**
  * cf_balancer_rate_limit_per_s:
- * Returns: requests a second that this gateway may send to the targets of
- *   @service which have named a limit.
+ * Returns: requests per second that this gateway may send to those targets of
+ *   @service that have a rate limit.
  */
 double cf_balancer_rate_limit_per_s (const CfTargetTable *t,
                                      const char *service, CfFleetPlace place);
 
 /**
  * cf_balancer_pick:
- * The target with the least of our requests for its slots; among equals one
- * in our own data centre, then the next from @ring_start on.  A target that is
- * leaving, ejected, stands still, has said that it is full or has got our part
- * of the rate that it named is passed over; when only ejected ones are left
- * these are used, since an ejection is a guess and no service should end by
- * guesses.
+ * Chooses the target with the fewest requests of this gateway per slot; among
+ * equals one in the gateway's own data centre, then the first one from
+ * @ring_start on.  Targets that are leaving, replaced, ejected, slow, stalled,
+ * full, or whose rate limit leaves this gateway nothing are passed over.  When
+ * less than half of the targets are healthy, ejected, slow and stalled ones are
+ * used too: an ejection may be wrong, and must not take a whole service down.
  *
- * @out: (out): the target, not referenced
+ * @out: (out) (nullable): the target, not referenced
  */
 CfPickResult cf_balancer_pick (CfTargetTable *t, const CfPickInput *in,
                                CfTarget **out);
--- a/gateway/concurrency-limit.c
+++ b/gateway/concurrency-limit.c
@@ -2,59 +2,62 @@
 
 #include "ablation.h"
 
-/** Samples a decision takes. */
-#define SAMPLES 8
-/** Of the objective, the mean time to the first event that is accepted; the
- * rest is for the deviation from it and the wait in the gateway. */
-#define ACCEPTED_PART_OF_AIM 0.5
-/** Where passes alone take longer than that, a lower limit gains nothing: only
- * what exceeds the time without a queue by this factor counts. */
-#define ACCEPTED_TIMES_UNQUEUED 1.3
-/** Of the limit, from how many requests in flight it binds. */
-#define BINDING_PART 0.9
-#define DECREASE 0.85
-#define INCREASE 1.05
-/** Bounds of the limit, in fair shares: the lowest one keeps engines at nine
- * tenths of their throughput, past the highest one it is lifted. */
-#define LEAST_SHARES 0.85
-#define MOST_SHARES 2.0
+#define SAMPLES_PER_DECISION 8
+/** The mean time to the first event may be this fraction of the objective; the
+ * rest is for the deviation from the mean and the wait in the gateway. */
+#define ACCEPTED_OBJECTIVE_FRACTION 0.5
+/** The mean may always exceed the time without a queue by this factor.  Where
+ * passes alone take longer than the objective allows, a lower limit would gain
+ * nothing. */
+#define ACCEPTED_UNQUEUED_FACTOR 1.3
+/** The limit is binding from this fraction of it in flight. */
+#define BINDING_FRACTION 0.9
+/** Bounds of the factor by which one decision changes the limit. */
+#define MAX_DECREASE_FACTOR 0.85
+#define MAX_INCREASE_FACTOR 1.05
+/** Bounds of the limit, in fair shares.  The lower one keeps engines at nine
+ * tenths of their throughput; above the upper one the limit is lifted. */
+#define MIN_FAIR_SHARES 0.85
+#define MAX_FAIR_SHARES 2.0
 
 static double
-accepted_ms (const CfFirstEventSample *e)
+get_accepted_ms (const CfFirstEventSample *e)
 {
-  return MAX ((double)e->aim_ms * ACCEPTED_PART_OF_AIM,
-              e->unqueued_ms * ACCEPTED_TIMES_UNQUEUED);
+  return MAX ((double)e->aim_ms * ACCEPTED_OBJECTIVE_FRACTION,
+              e->unqueued_ms * ACCEPTED_UNQUEUED_FACTOR);
 }
 
 static double
-least (const CfFirstEventSample *e)
+get_min_limit (const CfFirstEventSample *e)
 {
-  return MAX (e->fair_share * LEAST_SHARES, 1);
+  return MAX (e->fair_share * MIN_FAIR_SHARES, 1);
 }
 
-/* True if a lower limit would change anything. */
+/* True if a lower limit would reduce the requests in flight. */
 static gboolean
 is_binding (const CfConcurrencyLimit *l, const CfFirstEventSample *e)
 {
-  return e->in_flight >= (l->limit > 0 ? l->limit * BINDING_PART : least (e));
+  return e->in_flight
+         >= (l->limit > 0 ? l->limit * BINDING_FRACTION : get_min_limit (e));
 }
 
 static void
-decide (CfConcurrencyLimit *l, const CfFirstEventSample *e)
+update_limit (CfConcurrencyLimit *l, const CfFirstEventSample *e)
 {
-  double most = MAX (e->fair_share * MOST_SHARES, 1);
-  double gradient = CLAMP (accepted_ms (e) / l->mean_ms, DECREASE, INCREASE);
+  double max_limit = MAX (e->fair_share * MAX_FAIR_SHARES, 1);
+  double gradient = CLAMP (get_accepted_ms (e) / l->mean_ms,
+                           MAX_DECREASE_FACTOR, MAX_INCREASE_FACTOR);
   gboolean binding = is_binding (l, e);
 
   if (binding && gradient < 1)
     {
       double base = l->limit > 0 ? MIN (l->limit, e->in_flight) : e->in_flight;
 
-      l->limit = CLAMP (base * gradient, least (e), most);
+      l->limit = CLAMP (base * gradient, get_min_limit (e), max_limit);
     }
   else if (l->limit > 0)
-    l->limit *= binding ? gradient : INCREASE;
-  if (l->limit > most)
+    l->limit *= binding ? gradient : MAX_INCREASE_FACTOR;
+  if (l->limit > max_limit)
     l->limit = 0;
 }
 
@@ -64,15 +67,15 @@
 {
   gboolean was_limited = l->limit > 0;
 
-  /* What was sent before the last decision does not show its effect. */
+  /* Requests sent before the last decision do not show its effect. */
   if (CF_WITHOUT_CONCURRENCY_LIMIT || e->sent_ms < l->decided_ms
       || e->unqueued_ms <= 0)
     return FALSE;
   l->sum_ms += (double)(e->now_ms - e->sent_ms);
-  if (++l->n < SAMPLES)
+  if (++l->n < SAMPLES_PER_DECISION)
     return FALSE;
   l->mean_ms = l->sum_ms / l->n;
-  decide (l, e);
+  update_limit (l, e);
   l->sum_ms = 0;
   l->n = 0;
   l->decided_ms = e->now_ms;
--- a/gateway/concurrency-limit.h
+++ b/gateway/concurrency-limit.h
@@ -4,31 +4,32 @@
 
 /**
  * CfConcurrencyLimit:
- * Adaptive limit of the requests that this process has in flight at one
- * service.  A target queues what exceeds its slots in order of arrival, where
- * requests can neither be reordered nor refused; the limit keeps the backlog
- * in the gateways.  It follows the time from sending to the first event: each
- * decision takes the mean of a few streams that were sent since the one before.
+ * Adaptive limit on the requests that this process has in flight at one
+ * service.  A target queues requests beyond its slots in order of arrival, and
+ * they can then be neither reordered nor refused; the limit keeps the backlog
+ * in the gateways.  It is controlled by the time from sending to the first
+ * event: each decision uses the mean over a few streams that were sent after
+ * the previous decision.
  */
 typedef struct
 {
   double limit;      /**< requests in flight; 0: unlimited */
-  gint64 decided_ms; /**< when it was last decided on */
-  double sum_ms;     /**< of the samples since then */
-  guint n;           /**< number of them */
-  double mean_ms;    /**< of the samples of the last decision */
+  gint64 decided_ms; /**< when the last decision was made */
+  double sum_ms;     /**< sum of the samples since then */
+  guint n;           /**< number of these samples */
+  double mean_ms;    /**< mean of the samples of the last decision */
 } CfConcurrencyLimit;
 
-/** CfFirstEventSample: the first event of a stream, as the limit samples it. */
+/** CfFirstEventSample: the arrival of a stream's first event. */
 typedef struct
 {
   gint64 now_ms;
   gint64 sent_ms;
-  double unqueued_ms; /**< expected from sending, at a target with a free slot;
-                           0: not known */
-  gint64 aim_ms;      /**< objective for the first event */
-  guint in_flight;    /**< of ours at the service */
-  double fair_share;  /**< the service's slots, divided by the gateways */
+  double unqueued_ms; /**< expected time from sending to the first event, at a
+                           target with a free slot; 0: not known */
+  gint64 aim_ms;      /**< latency objective for the first event */
+  guint in_flight;    /**< this gateway's requests at the service */
+  double fair_share;  /**< the service's slots per gateway */
 } CfFirstEventSample;
 
 /**
@@ -38,5 +39,5 @@
 gboolean cf_concurrency_limit_add_sample (CfConcurrencyLimit *l,
                                           const CfFirstEventSample *e);
 
-/** cf_concurrency_limit_get: requests in flight; 0: unlimited. */
+/** cf_concurrency_limit_get: the limit in requests; 0: unlimited. */
 guint cf_concurrency_limit_get (const CfConcurrencyLimit *l);
--- a/gateway/crash-probe.c
+++ b/gateway/crash-probe.c
@@ -7,11 +7,12 @@
 #include <string.h>
 #include <unistd.h>
 
-/** How long a lost request waits for the result: some network round trips. */
-#define WAIT_S 0.05
-/** The rest of a time that is long enough for a first packet which is lost and
- * sent again after a second; targets that crash are away for longer. */
-#define REST_S 1.45
+/** How long a lost request waits for the result: a few network round trips. */
+#define WAITER_TIMEOUT_S 0.05
+/** How long the probe goes on after that.  The whole time allows for a lost SYN
+ * packet, which is sent again after a second; crashed targets are down for
+ * longer. */
+#define REMAINING_TIMEOUT_S 1.45
 
 struct CfCrashProbe
 {
@@ -77,7 +78,7 @@
 }
 
 static void
-end (CfCrashProbe *p, int err)
+finish_probe (CfCrashProbe *p, int err)
 {
   cf_log (LOG_NOTICE, CF_EV_TARGET_FAIL, "target=%s outcome=%s requests=%u",
           p->target->record.id,
@@ -95,7 +96,7 @@
 static void
 on_io (struct ev_loop *loop, ev_io *w, int revents)
 {
-  end (w->data, cf_socket_error (w->fd));
+  finish_probe (w->data, cf_socket_error (w->fd));
 }
 
 static void
@@ -105,16 +106,16 @@
 
   if (w->repeat > 0)
     {
-      end (p, ETIMEDOUT);
+      finish_probe (p, ETIMEDOUT);
       return;
     }
-  ev_timer_set (w, REST_S, REST_S);
+  ev_timer_set (w, REMAINING_TIMEOUT_S, REMAINING_TIMEOUT_S);
   ev_timer_start (loop, w);
   notify_waiters (p, FALSE);
 }
 
 static CfCrashProbe *
-find (const CfGateway *g, const CfTarget *t)
+find_probe (const CfGateway *g, const CfTarget *t)
 {
   CfCrashProbe *p;
 
@@ -125,7 +126,7 @@
 }
 
 static void
-join (CfCrashProbe *p, const CfLostRequest *l, CfCrashWaiter *w)
+add_request (CfCrashProbe *p, const CfLostRequest *l, CfCrashWaiter *w)
 {
   g_array_append_val (p->requests, *l);
   if (!w)
@@ -134,7 +135,7 @@
   TAILQ_INSERT_TAIL (&p->waiters, w, link);
 }
 
-/* Returns: (nullable): %NULL if no connection could be begun. */
+/* Returns: (nullable): %NULL if no connection attempt could be started. */
 static CfCrashProbe *
 new_probe (CfGateway *g, CfTarget *t)
 {
@@ -154,7 +155,7 @@
   p->requests = g_array_new (FALSE, FALSE, sizeof (CfLostRequest));
   TAILQ_INIT (&p->waiters);
   TAILQ_INSERT_TAIL (&g->probes, p, link);
-  ev_timer_init (&p->timer, on_timer, WAIT_S, 0);
+  ev_timer_init (&p->timer, on_timer, WAITER_TIMEOUT_S, 0);
   p->timer.data = p;
   ev_timer_start (g->loop, &p->timer);
   ev_io_init (&p->io, on_io, fd, EV_WRITE);
@@ -167,13 +168,13 @@
 cf_crash_probe_start (CfGateway *g, CfTarget *t, const CfLostRequest *l,
                       CfCrashWaiter *w)
 {
-  CfCrashProbe *p = find (g, t);
+  CfCrashProbe *p = find_probe (g, t);
 
   if (!p)
     p = new_probe (g, t);
   if (!p)
     return FALSE;
-  join (p, l, w);
+  add_request (p, l, w);
   return TRUE;
 }
 
--- a/gateway/crash-probe.h
+++ b/gateway/crash-probe.h
@@ -2,40 +2,43 @@
 
 #include "gateway.h"
 
-/** CfCrashWaiter: waits for the result of a probe; embedded in its owner. */
+/** CfCrashWaiter: a request that waits for the result of a probe; embedded in
+ * its owner. */
 struct CfCrashWaiter
 {
   TAILQ_ENTRY (CfCrashWaiter) link;
-  CfCrashProbe *probe; /**< %NULL: it does not wait */
-  /** The target has crashed, or not as far as is known in time. */
+  CfCrashProbe *probe; /**< %NULL: not waiting */
+  /** Called with the result.  @crashed is %FALSE also if the probe is still
+   * undecided after the time that requests wait for it. */
   void (*done) (CfCrashWaiter *w, gboolean crashed);
 };
 
-/** CfLostRequest: a request that was lost with its target's connection. */
+/** CfLostRequest: a request whose connection to the target ended before the
+ * answer was complete. */
 typedef struct
 {
   CfRequestDigest digest;
-  gint64 sent_ms; /**< to the target */
-  gint64 lost_ms;
+  gint64 sent_ms; /**< when it was sent to the target */
+  gint64 lost_ms; /**< when the connection ended */
 } CfLostRequest;
 
 /**
  * cf_crash_probe_start:
  * Finds out whether @t, which ended a connection in the middle of a request,
- * has crashed: it has if it refuses a new connection.  One that reset some of
- * its connections, or waited in vain for another target, accepts it.  If @t
- * has crashed, it is added to the request's record.
+ * has crashed: it has if it refuses a new connection.  A target that only reset
+ * some of its connections, or timed out waiting for another target, accepts it.
+ * A crash of @t is added to the request's crash record.
  *
- * Requests that @t is lost with while a probe of it is under way share its
- * result.
+ * All requests that @t loses while a probe of it is running share its result.
  * @w: (nullable): called back later, unless cf_crash_waiter_cancel() is called
- * Returns: %FALSE if it cannot be found out; @w is not called back.
+ * Returns: %FALSE if the probe could not be started; @w is not called back.
  */
 gboolean cf_crash_probe_start (CfGateway *g, CfTarget *t,
                                const CfLostRequest *l, CfCrashWaiter *w);
 
-/** cf_crash_waiter_cancel: @w does not wait any more. */
+/** cf_crash_waiter_cancel: @w will not be called back; safe if not waiting. */
 void cf_crash_waiter_cancel (CfCrashWaiter *w);
 
-/** cf_crash_probe_stop_all: drops those under way. */
+/** cf_crash_probe_stop_all: cancels the running probes; their waiters are not
+ * called back. */
 void cf_crash_probe_stop_all (CfGateway *g);
--- a/gateway/quarantine.c
+++ b/gateway/quarantine.c
@@ -2,15 +2,16 @@
 
 #include <string.h>
 
-/** Of the time that a rank waits for another, what it is silent for at least;
- * the last sign of work may have been on its way when the wait began. */
-#define STALLED_PART 0.9
+/** A rank that gives up waiting for another one has been silent for at least
+ * this fraction of the waiting time; its last output may still have been in
+ * transit when the wait began. */
+#define STALLED_FRACTION 0.9
 
 struct CfQuarantine
 {
   GHashTable *records; /* digest -> #CfCrashRecord */
-  GHashTable *changed; /* #CfRequestDigest, owned -> whether it was quarantined
-                          until it was cleared */
+  GHashTable *changed; /* #CfRequestDigest, owned -> whether the request was
+                          quarantined when it was cleared */
 };
 
 static void
@@ -52,7 +53,8 @@
 gboolean
 cf_quarantine_may_be_crash (gint64 quiet_ms, gint64 stall_ms)
 {
-  return stall_ms <= 0 || (double)quiet_ms < (double)stall_ms * STALLED_PART;
+  return stall_ms <= 0
+         || (double)quiet_ms < (double)stall_ms * STALLED_FRACTION;
 }
 
 static void
@@ -63,9 +65,9 @@
                         GINT_TO_POINTER (was_quarantined));
 }
 
-/* Fewest crashes first, then the longest not seen. */
+/* Eviction order: fewest crashes first, then least recently seen. */
 static gboolean
-goes_before (const CfCrashRecord *a, const CfCrashRecord *b)
+evicts_before (const CfCrashRecord *a, const CfCrashRecord *b)
 {
   return a->n != b->n ? a->n < b->n : a->seen_ms < b->seen_ms;
 }
@@ -73,16 +75,16 @@
 static void
 evict_one (CfQuarantine *q)
 {
-  const CfCrashRecord *worst = NULL;
+  const CfCrashRecord *victim = NULL;
   GHashTableIter it;
   gpointer v;
 
   g_hash_table_iter_init (&it, q->records);
   while (g_hash_table_iter_next (&it, NULL, &v))
-    if (!worst || goes_before (v, worst))
-      worst = v;
-  g_hash_table_remove (q->changed, &worst->digest);
-  g_hash_table_remove (q->records, &worst->digest);
+    if (!victim || evicts_before (v, victim))
+      victim = v;
+  g_hash_table_remove (q->changed, &victim->digest);
+  g_hash_table_remove (q->records, &victim->digest);
 }
 
 static CfCrashRecord *
@@ -101,10 +103,10 @@
 }
 
 static void
-renew (CfQuarantine *q, CfCrashRecord *r, gint64 seen_ms)
+update_last_seen (CfQuarantine *q, CfCrashRecord *r, gint64 seen_ms)
 {
   r->seen_ms = MAX (r->seen_ms, seen_ms);
-  /* Peers that get no attempts of it would forget it. */
+  /* Peers that receive no attempts of the request would expire its record. */
   if (r->seen_ms - r->notified_ms > CF_QUARANTINE_RETENTION_MS / 2)
     mark_changed (q, &r->digest, FALSE);
 }
@@ -128,23 +130,26 @@
 }
 
 static gboolean
-is_after (const CfCrash *c, const CfCrashRecord *r)
+is_later_attempt (const CfCrash *c, const CfCrashRecord *r)
 {
   return r->n == 0
          || c->sent_ms
                 >= r->crashes[r->n - 1].lost_ms + CF_QUARANTINE_MIN_INTERVAL_MS;
 }
 
-/* The first crash, then each first one of those whose attempt was sent after
- * it: as many as can follow one another. */
+/* Selects the longest sequence of crashes in which each attempt was sent after
+ * the previous crash: the earliest crash, then repeatedly the earliest one
+ * whose attempt was sent after the last one selected.  @candidates is sorted.
+ */
 static void
-take_in_sequence (CfCrashRecord *r, const GPtrArray *all)
+select_sequence (CfCrashRecord *r, const GPtrArray *candidates)
 {
-  for (guint i = 0; i < all->len && r->n < CF_QUARANTINE_CRASH_THRESHOLD; i++)
+  for (guint i = 0; i < candidates->len && r->n < CF_QUARANTINE_CRASH_THRESHOLD;
+       i++)
     {
-      const CfCrash *c = all->pdata[i];
+      const CfCrash *c = candidates->pdata[i];
 
-      if (!is_after (c, r) || has_target (r, c->target))
+      if (!is_later_attempt (c, r) || has_target (r, c->target))
         continue;
       r->crashes[r->n] = *c;
       r->crashes[r->n++].target = g_strdup (c->target);
@@ -157,25 +162,25 @@
 {
   CfCrashRecord *r = get_or_add (q, d);
   CfCrashRecord old = *r;
-  GPtrArray *all = g_ptr_array_new ();
+  GPtrArray *candidates = g_ptr_array_new ();
 
-  renew (q, r, seen_ms);
+  update_last_seen (q, r, seen_ms);
   for (guint i = 0; i < old.n; i++)
-    g_ptr_array_add (all, &old.crashes[i]);
+    g_ptr_array_add (candidates, &old.crashes[i]);
   for (guint i = 0; i < n; i++)
     if (!has_target (&old, crashes[i].target))
-      g_ptr_array_add (all, (gpointer)&crashes[i]);
-  if (all->len > old.n && old.n < CF_QUARANTINE_CRASH_THRESHOLD)
+      g_ptr_array_add (candidates, (gpointer)&crashes[i]);
+  if (candidates->len > old.n && old.n < CF_QUARANTINE_CRASH_THRESHOLD)
     {
-      g_ptr_array_sort (all, compare_lost);
+      g_ptr_array_sort (candidates, compare_lost);
       r->n = 0;
-      take_in_sequence (r, all);
+      select_sequence (r, candidates);
       for (guint i = 0; i < old.n; i++)
         g_free (old.crashes[i].target);
       if (r->n > old.n)
         mark_changed (q, d, FALSE);
     }
-  g_ptr_array_free (all, TRUE);
+  g_ptr_array_free (candidates, TRUE);
   return old.n < CF_QUARANTINE_CRASH_THRESHOLD
          && r->n == CF_QUARANTINE_CRASH_THRESHOLD;
 }
@@ -207,12 +212,12 @@
 
   if (!r)
     return FALSE;
-  renew (q, r, now_ms);
+  update_last_seen (q, r, now_ms);
   return r->n == CF_QUARANTINE_CRASH_THRESHOLD;
 }
 
 static gboolean
-is_old (gpointer key, gpointer value, gpointer now_ms)
+is_expired (gpointer key, gpointer value, gpointer now_ms)
 {
   const CfCrashRecord *r = value;
   gint64 now = *(const gint64 *)now_ms;
@@ -224,7 +229,7 @@
 void
 cf_quarantine_expire (CfQuarantine *q, gint64 now_ms)
 {
-  g_hash_table_foreach_remove (q->records, is_old, &now_ms);
+  g_hash_table_foreach_remove (q->records, is_expired, &now_ms);
 }
 
 void
@@ -243,14 +248,15 @@
 {
   GHashTableIter it;
   gpointer d;
-  gpointer was;
+  gpointer was_quarantined;
 
   g_hash_table_iter_init (&it, q->changed);
-  while (g_hash_table_iter_next (&it, &d, &was))
+  while (g_hash_table_iter_next (&it, &d, &was_quarantined))
     {
       CfCrashRecord *r = g_hash_table_lookup (q->records, d);
-      CfCrashRecord cleared = { .digest = *(const CfRequestDigest *)d,
-                                .was_quarantined = GPOINTER_TO_INT (was) };
+      CfCrashRecord cleared
+          = { .digest = *(const CfRequestDigest *)d,
+              .was_quarantined = GPOINTER_TO_INT (was_quarantined) };
 
       visit (data, r ? r : &cleared);
       if (r)
--- a/gateway/rate-limit.c
+++ b/gateway/rate-limit.c
@@ -2,26 +2,27 @@
 
 #include <math.h>
 
-/** Requests a second that make an owner of a part. */
-#define OWNER_PER_S 1.0
-/** What an owner may save up of its part, so that a short burst finds it. */
+/** There is one owner for each this many requests per second of the limit. */
+#define MIN_SHARE_PER_S 1.0
+/** An owner may save up its share of this time for a short burst. */
 #define BURST_S 0.25
-/** Peers' updates are delayed by the network, and ages are rounded; only what
- * is later by more than that replaces what this gateway knows. */
+/** Peers' updates are delayed by the network, and the ages in them are rounded;
+ * an update has to be newer by more than this to replace what this gateway
+ * knows. */
 #define PEER_SKEW_MS 100
-/** How long greetings name a limit that was lifted. */
-#define LIFTED_MS 10000
-/** A smaller change is announced with the next greeting. */
-#define CHANGE_PART 0.1
+/** How long hello messages include a limit that was lifted. */
+#define LIFTED_ANNOUNCE_MS 10000
+/** A smaller relative change is announced only with the next hello message. */
+#define NOTABLE_CHANGE_FRACTION 0.1
 
 static gboolean
 is_notable (double before, double after)
 {
-  return fabs (after - before) > CHANGE_PART * fmax (before, after);
+  return fabs (after - before) > NOTABLE_CHANGE_FRACTION * fmax (before, after);
 }
 
 static gboolean
-set (CfRateLimit *l, double per_s, gint64 heard_ms)
+set_rate (CfRateLimit *l, double per_s, gint64 heard_ms)
 {
   double before = l->per_s;
 
@@ -40,7 +41,7 @@
 {
   if (per_s == 0 && l->heard_ms == 0)
     return FALSE;
-  return set (l, per_s, now_ms);
+  return set_rate (l, per_s, now_ms);
 }
 
 gboolean
@@ -48,40 +49,40 @@
 {
   if (l->heard_ms != 0 && heard_ms <= l->heard_ms + PEER_SKEW_MS)
     return FALSE;
-  return set (l, per_s, heard_ms);
+  return set_rate (l, per_s, heard_ms);
 }
 
 gboolean
 cf_rate_limit_is_announced (const CfRateLimit *l, gint64 now_ms)
 {
   return l->per_s > 0
-         || (l->heard_ms != 0 && now_ms - l->heard_ms <= LIFTED_MS);
+         || (l->heard_ms != 0 && now_ms - l->heard_ms <= LIFTED_ANNOUNCE_MS);
 }
 
 double
 cf_rate_limit_share (const CfRateLimit *l, const char *id, CfFleetPlace place)
 {
   guint n = MAX (place.n, 1);
-  guint owners = (guint)CLAMP (l->per_s / OWNER_PER_S, 1.0, (double)n);
+  guint n_owners = (guint)CLAMP (l->per_s / MIN_SHARE_PER_S, 1.0, (double)n);
   guint first = g_str_hash (id) % n;
-  guint behind = (place.index % n + n - first) % n;
+  guint offset = (place.index % n + n - first) % n;
 
-  return behind < owners ? l->per_s / owners : 0;
+  return offset < n_owners ? l->per_s / n_owners : 0;
 }
 
 gboolean
 cf_rate_limit_may_send (CfRateLimit *l, const char *id, CfFleetPlace place,
                         gint64 now_ms)
 {
-  double part;
+  double share;
 
   if (l->per_s == 0)
     return TRUE;
-  part = cf_rate_limit_share (l, id, place);
-  l->tokens += part * (double)(now_ms - l->filled_ms) / 1000;
-  l->tokens = fmin (l->tokens, fmax (part * BURST_S, 1));
+  share = cf_rate_limit_share (l, id, place);
+  l->tokens += share * (double)(now_ms - l->filled_ms) / 1000;
+  l->tokens = fmin (l->tokens, fmax (share * BURST_S, 1));
   l->filled_ms = now_ms;
-  return part > 0 && l->tokens >= 1;
+  return share > 0 && l->tokens >= 1;
 }
 
 void
--- a/gateway/request-digest.c
+++ b/gateway/request-digest.c
@@ -11,7 +11,7 @@
   gsize len = sizeof all;
   CfRequestDigest d;
 
-  /* The zero bytes keep "ab" + "c" apart from "a" + "bc". */
+  /* The separating zero bytes distinguish "ab" + "c" from "a" + "bc". */
   if (org)
     g_checksum_update (sum, (const guchar *)org, (gssize)strlen (org));
   g_checksum_update (sum, (const guchar *)"", 1);
--- a/gateway/request-digest.h
+++ b/gateway/request-digest.h
@@ -3,15 +3,15 @@
 #include <glib.h>
 
 #define CF_REQUEST_DIGEST_BYTES 16
-/** Of its text, with the zero that ends it. */
+/** Size of a digest in hexadecimal, with the terminating zero byte. */
 #define CF_REQUEST_DIGEST_TEXT_SIZE (2 * CF_REQUEST_DIGEST_BYTES + 1)
 
 /**
  * CfRequestDigest:
  * Identifies a request across attempts and gateways: attempts of the same
  * organisation with the same path and body have the same digest, whatever
- * their request ids.  Cryptographic, so that no caller can craft a request
- * with the digest of another one's.
+ * their request ids.  The hash is cryptographic, so that no caller can craft a
+ * request with the digest of another caller's.
  */
 typedef struct
 {
@@ -31,6 +31,7 @@
 void cf_request_digest_print (const CfRequestDigest *d,
                               char out[CF_REQUEST_DIGEST_TEXT_SIZE]);
 
-/** cf_request_digest_hash, cf_request_digest_equal: for hash tables. */
+/** cf_request_digest_hash, cf_request_digest_equal: functions for a GHashTable
+ * whose keys are digests. */
 guint cf_request_digest_hash (gconstpointer d);
 gboolean cf_request_digest_equal (gconstpointer a, gconstpointer b);
--- a/gateway/stream-latency.c
+++ b/gateway/stream-latency.c
@@ -2,104 +2,111 @@
 
 #include <math.h>
 
-/** Weight of a new event: with some 1,000 events a second, the mean of about
- * the last 0.1 s, one or two passes of all streams. */
-#define EVENT_WEIGHT 0.01
-/** Weight of a new first event: the mean of about the last 16. */
-#define FIRST_WEIGHT 0.06
-/** Deviations beyond the mean that five of six stay within. */
-#define FIRST_DEVIATIONS 1.5
-/** Streams that an engine works on at once, until its pace is seen. */
-#define USUAL_BATCH 8
-/** Pauses grow while more streams come, experts are copied or demand shifts:
- * by half where passes of 70 ms became 105 ms. */
-#define WHOLE_MARGIN 1.5
-/** The slowest pace of so long is remembered, twice: longer than the lull in
- * which gateways that are stopped in turn, each for some 8 s, refuse what they
- * will not end.  Passes of 40 ms became 25 in one, then 52. */
-#define SPAN_MS 15000L
-/** Longest pause that counts as a pace: a rank at five times its time makes
- * passes of 300 to 500 ms, a group that misses a rank stands still for 1.5 s
- * and more. */
-#define PASS_MOST_MS 1000
-/** More than any time limit; what is longer is no time to reckon with. */
-#define WHOLE_MOST_MS 1e9
-
-/** Pauses that a target may take without standing still.  Streams of one
- * target all write in the same pass, so the least loaded one shows a sign
- * each pass; a prompt that is read alone takes two or three. */
+/** EWMA weight of a new event: at some 1,000 events per second, the mean covers
+ * about the last 0.1 s, one or two passes of all streams. */
+#define EVENT_EWMA_WEIGHT 0.01
+/** EWMA weight of a new first event: the mean covers about the last 16. */
+#define FIRST_EVENT_EWMA_WEIGHT 0.06
+/** Five of six first events come within the mean plus this many mean
+ * deviations. */
+#define FIRST_EVENT_DEVIATIONS 1.5
+/** Assumed batch size of an engine until its pass time has been observed. */
+#define TYPICAL_BATCH 8
+/** Safety factor for passes that get slower during a stream, as more streams
+ * arrive, experts are copied or demand shifts: 70 ms passes may become 105 ms.
+ */
+#define TOTAL_MARGIN 1.5
+/** Length of a window of the slowest pause; the last two windows count.  It is
+ * longer than the lull while gateways are restarted one after another, each for
+ * some 8 s, and refuse requests that they could not complete: in such a lull,
+ * 40 ms passes become 25 ms, and 52 ms after it. */
+#define WINDOW_MS 15000L
+/** Longer pauses are stalls rather than slow passes: a rank that is five times
+ * slower makes passes of 300 to 500 ms, while a group with a rank missing
+ * stalls for 1.5 s or more. */
+#define MAX_PASS_MS 1000
+/** Cap for estimates, longer than any timeout. */
+#define MAX_TOTAL_MS 1e9
+
+/** A target that sends nothing for this many mean pauses is stalled.  All
+ * streams of a target write in the same pass, so even the least loaded target
+ * sends something each pass; processing a prompt alone takes two or three. */
 #define STALL_PAUSES 4
-/** Under light load, passes of 40 ms and the reading of a long prompt. */
-#define STALL_LEAST_MS 300
+/** Minimum stall timeout: under light load, 40 ms passes and the processing of
+ * a long prompt. */
+#define MIN_STALL_MS 300
 
 static void
-blend (double *mean, double value, double weight)
+update_ewma (double *mean, double value, double weight)
 {
   *mean = *mean > 0 ? *mean + (value - *mean) * weight : value;
 }
 
 static void
-remember_slowest (CfStreamLatency *p, gint64 now)
+update_slowest (CfStreamLatency *p, gint64 now)
 {
-  if (now - p->span_at_ms >= SPAN_MS)
+  if (now - p->window_start_ms >= WINDOW_MS)
     {
-      p->slowest_ms[1]
-          = now - p->span_at_ms < 2 * SPAN_MS ? p->slowest_ms[0] : 0;
-      p->slowest_ms[0] = 0;
-      p->span_at_ms = now;
+      p->slowest_pause_ms[1] = now - p->window_start_ms < 2 * WINDOW_MS
+                                   ? p->slowest_pause_ms[0]
+                                   : 0;
+      p->slowest_pause_ms[0] = 0;
+      p->window_start_ms = now;
     }
-  p->slowest_ms[0] = MAX (p->slowest_ms[0], p->steady_ms);
+  p->slowest_pause_ms[0] = MAX (p->slowest_pause_ms[0], p->unstalled_pause_ms);
 }
 
 void
 cf_stream_latency_add_event (CfStreamLatency *p, gint64 now, gint64 pause_ms)
 {
-  if (pause_ms <= PASS_MOST_MS)
+  if (pause_ms <= MAX_PASS_MS)
     {
-      blend (&p->steady_ms, (double)pause_ms, EVENT_WEIGHT);
-      remember_slowest (p, now);
+      update_ewma (&p->unstalled_pause_ms, (double)pause_ms, EVENT_EWMA_WEIGHT);
+      update_slowest (p, now);
     }
-  blend (&p->pause_ms, (double)pause_ms, EVENT_WEIGHT);
+  update_ewma (&p->pause_ms, (double)pause_ms, EVENT_EWMA_WEIGHT);
 }
 
 void
 cf_stream_latency_add_first_event (CfStreamLatency *p, gint64 ms)
 {
-  double off = p->first_ms > 0 ? fabs ((double)ms - p->first_ms) : 0;
+  double deviation = p->first_ms > 0 ? fabs ((double)ms - p->first_ms) : 0;
 
-  blend (&p->first_ms, (double)ms, FIRST_WEIGHT);
-  blend (&p->first_dev_ms, off, FIRST_WEIGHT);
+  update_ewma (&p->first_ms, (double)ms, FIRST_EVENT_EWMA_WEIGHT);
+  update_ewma (&p->first_deviation_ms, deviation, FIRST_EVENT_EWMA_WEIGHT);
 }
 
 gint64
 cf_stream_latency_stall_timeout_ms (const CfStreamLatency *p)
 {
-  return MAX (STALL_LEAST_MS, (gint64)(STALL_PAUSES * p->pause_ms));
+  return MAX (MIN_STALL_MS, (gint64)(STALL_PAUSES * p->pause_ms));
 }
 
-/* A pass of the engine: all its streams write one event in it. */
+/* Duration of a typical pass of the engine, in which all its streams write one
+ * event. */
 static double
-usual_pass_ms (const CfStreamLatency *p, const CfEngineModel *e)
+get_typical_pass_ms (const CfStreamLatency *p, const CfEngineModel *e)
 {
   if (p->pause_ms > 0)
     return p->pause_ms;
-  return e ? e->stride * (e->step_ms + e->per_seq_ms * USUAL_BATCH) : 0;
+  return e ? e->stride * (e->step_ms + e->per_seq_ms * TYPICAL_BATCH) : 0;
 }
 
 static double
-read_ms (const CfEngineModel *e, const CfStreamSize *size)
+get_prompt_ms (const CfEngineModel *e, const CfStreamSize *size)
 {
   return e && e->read_per_ms > 0 ? (double)size->prompt / e->read_per_ms : 0;
 }
 
-/* The pass that is under way, the prompt, and its own first pass. */
+/* The first event takes the rest of the current pass, the processing of the
+ * prompt, and the stream's own first pass. */
 double
 cf_stream_latency_unqueued_ms (const CfStreamLatency *p, const CfEngineModel *e,
                                const CfStreamSize *size)
 {
-  double pass = usual_pass_ms (p, e);
+  double pass = get_typical_pass_ms (p, e);
 
-  return pass > 0 ? 2 * pass + read_ms (e, size) : 0;
+  return pass > 0 ? 2 * pass + get_prompt_ms (e, size) : 0;
 }
 
 gint64
@@ -108,7 +115,8 @@
                                   const CfStreamSize *size)
 {
   if (p->first_ms > 0)
-    return (gint64)(p->first_ms + FIRST_DEVIATIONS * p->first_dev_ms);
+    return (gint64)(p->first_ms
+                    + FIRST_EVENT_DEVIATIONS * p->first_deviation_ms);
   return (gint64)cf_stream_latency_unqueued_ms (p, e, size);
 }
 
@@ -125,27 +133,28 @@
   if (size->answer > 0)
     answer = MIN (answer, (double)size->answer);
   return (gint64)(cf_stream_latency_unqueued_ms (p, e, size)
-                  + usual_pass_ms (p, e) * answer / e->stride);
+                  + get_typical_pass_ms (p, e) * answer / e->stride);
 }
 
-/* A pass of an engine whose slots are all taken. */
+/* Duration of a pass of an engine with all slots in use. */
 static double
-full_pass_ms (const CfEngineModel *e)
+get_full_pass_ms (const CfEngineModel *e)
 {
-  return e->stride * (e->step_ms + e->per_seq_ms * MAX (e->slots, USUAL_BATCH));
+  return e->stride
+         * (e->step_ms + e->per_seq_ms * MAX (e->slots, TYPICAL_BATCH));
 }
 
-/* The slowest pass to reckon with: what a lull shows now is left out. */
+/* Duration of the slowest pass to be expected, regardless of a current lull. */
 static double
-slow_pass_ms (const CfStreamLatency *p, const CfEngineModel *e, gint64 now)
+get_slow_pass_ms (const CfStreamLatency *p, const CfEngineModel *e, gint64 now)
 {
-  gint64 age = now - p->span_at_ms;
-  double pass = MAX (usual_pass_ms (p, e), full_pass_ms (e));
+  gint64 age = now - p->window_start_ms;
+  double pass = MAX (get_typical_pass_ms (p, e), get_full_pass_ms (e));
 
-  if (age < 2 * SPAN_MS)
-    pass = MAX (pass, p->slowest_ms[0]);
-  if (age < SPAN_MS)
-    pass = MAX (pass, p->slowest_ms[1]);
+  if (age < 2 * WINDOW_MS)
+    pass = MAX (pass, p->slowest_pause_ms[0]);
+  if (age < WINDOW_MS)
+    pass = MAX (pass, p->slowest_pause_ms[1]);
   return pass;
 }
 
@@ -160,12 +169,12 @@
 
   if (!e || e->stride < 1)
     return -1;
-  pass = WHOLE_MARGIN * slow_pass_ms (p, e, now);
+  pass = TOTAL_MARGIN * get_slow_pass_ms (p, e, now);
   if (pass <= 0)
     return -1;
   if (answer <= 0)
     answer = e->usual_answer;
   first = MAX ((double)cf_stream_latency_first_event_ms (p, e, size),
-               2 * pass + read_ms (e, size));
-  return (gint64)MIN (first + pass * ceil (answer / e->stride), WHOLE_MOST_MS);
+               2 * pass + get_prompt_ms (e, size));
+  return (gint64)MIN (first + pass * ceil (answer / e->stride), MAX_TOTAL_MS);
 }
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -3,43 +3,44 @@
 #include "log.h"
 #include "platform/names.h"
 
-/** What the news of a removal and a request sent before it may take on
- * their ways. */
-#define WAYS_MS 200
-/** Targets that live have written their entries again two seconds after
- * the store's return; a little more for the way of the news. */
-#define LAPSE_GRACE_MS (2000 + WAYS_MS)
-
-/** Missed: an entry that went missing just after an outage. */
+/** Upper bound for the propagation of a removal to this gateway, and for the
+ * transit of a request that was sent before the removal arrived. */
+#define PROPAGATION_MS 200
+/** Live targets have rewritten their entries two seconds after the store's
+ * return; the rest is for the propagation. */
+#define RETURN_GRACE_MS (2000 + PROPAGATION_MS)
+
+/** MissingEntry: an entry that was found missing just after an outage of the
+ * store. */
 typedef struct
 {
-  gint64 rev;      /**< the store's revision at which it was missed */
-  gint64 until_ms; /**< its target gets no work after that, be the grace
-                        longer */
-} Missed;
+  gint64 rev;      /**< the store's revision at which it was missing */
+  gint64 until_ms; /**< its target gets no work after this, even if the grace
+                        period is longer */
+} MissingEntry;
 
-/** What is known of entries that went missing just after an outage. */
+/** The grace period after an outage of the store. */
 static struct
 {
-  GHashTable *missing; /**< id -> #Missed */
+  GHashTable *missing; /**< id -> #MissingEntry */
   gint64 since_ms;     /**< when the store was back */
-  gint64 until_ms;     /**< the end of the grace; 0 if none runs */
+  gint64 until_ms;     /**< the end of the grace period; 0: there was none */
   ev_timer timer;
-} lapse;
+} grace;
 
 static gboolean
-in_grace (const CfGateway *g)
+is_in_grace (const CfGateway *g)
 {
-  return lapse.until_ms > cf_gateway_now (g);
+  return grace.until_ms > cf_gateway_now (g);
 }
 
 static gint64
-due_ms (const Missed *m)
+get_due_ms (const MissingEntry *m)
 {
-  return MIN (m->until_ms, lapse.until_ms);
+  return MIN (m->until_ms, grace.until_ms);
 }
 
-/* Has the timer end at the first that is due. */
+/* Sets the timer to when the first missing entry is due. */
 static void
 start_timer (CfGateway *g)
 {
@@ -47,87 +48,89 @@
   GHashTableIter it;
   gpointer m;
 
-  ev_timer_stop (g->loop, &lapse.timer);
-  g_hash_table_iter_init (&it, lapse.missing);
+  ev_timer_stop (g->loop, &grace.timer);
+  g_hash_table_iter_init (&it, grace.missing);
   while (g_hash_table_iter_next (&it, NULL, &m))
-    first = MIN (first, due_ms (m));
+    first = MIN (first, get_due_ms (m));
   if (first == G_MAXINT64)
     return;
   first = MAX (first - cf_gateway_now (g), 1);
-  ev_timer_set (&lapse.timer, (double)first / 1000, 0);
-  ev_timer_start (g->loop, &lapse.timer);
+  ev_timer_set (&grace.timer, (double)first / 1000, 0);
+  ev_timer_start (g->loop, &grace.timer);
 }
 
-/* A removal that the store tells after its return is no lapse that it has
- * not noticed: until when its target may get work. */
+/* Returns until when the target of an entry that was removed after the store's
+ * return may get work.  Such an entry did not expire during the outage; its
+ * target is draining. */
 static gint64
-drained_ms (const CfGateway *g)
+get_drain_end_ms (const CfGateway *g)
 {
-  return cf_gateway_now (g) + MAX (g->set.drain_ms - WAYS_MS, 0);
+  return cf_gateway_now (g) + MAX (g->set.drain_ms - PROPAGATION_MS, 0);
 }
 
 static void
-miss (CfGateway *g, const char *id, gint64 rev, gint64 until_ms)
+mark_missing (CfGateway *g, const char *id, gint64 rev, gint64 until_ms)
 {
-  const Missed *before = g_hash_table_lookup (lapse.missing, id);
-  Missed *m;
+  const MissingEntry *before = g_hash_table_lookup (grace.missing, id);
+  MissingEntry *m;
 
-  if (!in_grace (g))
+  if (!is_in_grace (g))
     {
       cf_gateway_drop_target (g, id, rev, "store");
       return;
     }
-  m = g_new (Missed, 1);
+  m = g_new (MissingEntry, 1);
   m->rev = rev;
   m->until_ms = before ? MIN (before->until_ms, until_ms) : until_ms;
-  g_hash_table_replace (lapse.missing, g_strdup (id), m);
+  g_hash_table_replace (grace.missing, g_strdup (id), m);
   cf_log (
       LOG_NOTICE, CF_EV_TARGET_LIST,
       "target=%s outcome=missing action=wait-for-return ms=%" G_GINT64_FORMAT,
-      id, due_ms (m) - cf_gateway_now (g));
+      id, get_due_ms (m) - cf_gateway_now (g));
   start_timer (g);
 }
 
-/* An entry was removed.  What the store tells first after an outage may have
- * lapsed meanwhile. */
+/* Handles the removal of an entry.  The entries that the store's first report
+ * after an outage removes may have expired during the outage. */
 static void
-removed (CfGateway *g, const char *id, gint64 rev)
+on_removed (CfGateway *g, const char *id, gint64 rev)
 {
-  gboolean at_return = cf_gateway_now (g) == lapse.since_ms;
+  gboolean is_first_report = cf_gateway_now (g) == grace.since_ms;
 
-  miss (g, id, rev, at_return ? G_MAXINT64 : drained_ms (g));
+  mark_missing (g, id, rev,
+                is_first_report ? G_MAXINT64 : get_drain_end_ms (g));
 }
 
 static void
 on_item (CfGateway *g, const CfStoreItem *it)
 {
   const char *id = cf_platform_target_id (it->key);
-  CfTargetUpdate news = { .id = id };
+  CfTargetUpdate update = { .id = id };
 
   if (!id)
     {
       cf_gateway_reject_target (g, it->key, it->rev, "store",
-                                "the key holds no id of a target");
+                                "the key contains no target id");
       return;
     }
   if (it->unreadable)
     {
-      g_hash_table_remove (lapse.missing, id);
+      g_hash_table_remove (grace.missing, id);
       cf_gateway_reject_target (g, id, it->rev, "store",
                                 "the value is not base64");
       return;
     }
   if (!it->value)
     {
-      removed (g, id, it->rev);
+      on_removed (g, id, it->rev);
       return;
     }
-  g_hash_table_remove (lapse.missing, id);
-  news.json = g_bytes_get_data (it->value, &news.n);
-  news.rev = it->rev;
-  news.created = it->created;
-  news.now_ms = cf_gateway_now (g);
-  cf_gateway_take_target (g, &news, "store");
+  g_hash_table_remove (grace.missing, id);
+  update.json = g_bytes_get_data (it->value, &update.n);
+  update.rev = it->rev;
+  update.created = it->created;
+  update.now_ms = cf_gateway_now (g);
+  cf_gateway_take_target (g, &update, "store");
 }
 
 static void
@@ -140,7 +143,7 @@
 static void
 on_snapshot (CfGateway *g, GHashTable *seen, gint64 as_of)
 {
-  GPtrArray *gone = g_ptr_array_new_with_free_func (g_free);
+  GPtrArray *missing_ids = g_ptr_array_new_with_free_func (g_free);
   GHashTableIter it;
   gpointer id;
 
@@ -150,12 +153,12 @@
       char *key = g_strconcat (PF_KEY_TARGETS, id, NULL);
 
       if (!g_hash_table_contains (seen, key))
-        g_ptr_array_add (gone, g_strdup (id));
+        g_ptr_array_add (missing_ids, g_strdup (id));
       g_free (key);
     }
-  for (guint i = 0; i < gone->len; i++)
-    miss (g, gone->pdata[i], as_of, G_MAXINT64);
-  g_ptr_array_free (gone, TRUE);
+  for (guint i = 0; i < missing_ids->len; i++)
+    mark_missing (g, missing_ids->pdata[i], as_of, G_MAXINT64);
+  g_ptr_array_free (missing_ids, TRUE);
   on_fresh (g, as_of);
 }
 
@@ -166,14 +169,14 @@
   gint64 now = cf_gateway_now (g);
   GHashTableIter it;
   gpointer id;
-  gpointer missed;
+  gpointer entry;
 
-  g_hash_table_iter_init (&it, lapse.missing);
-  while (g_hash_table_iter_next (&it, &id, &missed))
+  g_hash_table_iter_init (&it, grace.missing);
+  while (g_hash_table_iter_next (&it, &id, &entry))
     {
-      const Missed *m = missed;
+      const MissingEntry *m = entry;
 
-      if (due_ms (m) > now)
+      if (get_due_ms (m) > now)
         continue;
       cf_gateway_drop_target (g, id, m->rev,
                               m->until_ms > now ? "lapsed" : "drained");
@@ -188,8 +191,8 @@
   g->targets_store_up = up;
   if (!up || g_hash_table_size (g->targets.by_id) == 0)
     return;
-  lapse.since_ms = cf_gateway_now (g);
-  lapse.until_ms = lapse.since_ms + LAPSE_GRACE_MS;
+  grace.since_ms = cf_gateway_now (g);
+  grace.until_ms = grace.since_ms + RETURN_GRACE_MS;
   start_timer (g);
 }
 
@@ -199,9 +202,9 @@
 void
 cf_target_feed_start (CfStoreWatch *w, CfGateway *g)
 {
-  lapse.missing
+  grace.missing
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  ev_timer_init (&lapse.timer, on_due, 0, 0);
-  lapse.timer.data = g;
+  ev_timer_init (&grace.timer, on_due, 0, 0);
+  grace.timer.data = g;
   cf_store_watch_start (w, g, PF_KEY_TARGETS, &feed_calls);
 }
--- a/gateway/target-feed.h
+++ b/gateway/target-feed.h
@@ -4,8 +4,8 @@
 
 /**
  * cf_target_feed_start:
- * Keeps the gateway's table of targets as the store lists them.  Entries
- * that lapsed while the store was away get time to come back before their
- * target is taken as gone.
+ * Keeps the gateway's table of targets up to date with the store's list.
+ * Entries that expired during an outage of the store get a grace period to come
+ * back before their target is dropped.
  */
 void cf_target_feed_start (CfStoreWatch *w, CfGateway *g);
--- a/gateway/target.c
+++ b/gateway/target.c
@@ -5,8 +5,8 @@
 #include <math.h>
 #include <string.h>
 
-/** A change of slowdown that matters. */
-#define PACE_STEP 0.1
+/** Smaller changes of a slowdown are ignored. */
+#define MIN_SLOWDOWN_CHANGE 0.1
 
 CfTarget *
 cf_target_new (CfTargetRecord *r)
@@ -96,8 +96,8 @@
   t->by_addr = g_hash_table_new (g_str_hash, g_str_equal);
   t->by_service
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_array);
-  /* Gateways that start together and know the same targets would all begin at
-   * the same one, and crowd a few at a time. */
+  /* Without a random start, gateways that start together and know the same
+   * targets would all begin at the same one and overload a few at a time. */
   t->next_start = g_random_int ();
   t->is_configured = NULL;
   t->is_configured_data = NULL;
@@ -112,7 +112,7 @@
 }
 
 static GPtrArray *
-service_array (CfTargetTable *t, const char *service)
+get_service_array (CfTargetTable *t, const char *service)
 {
   GPtrArray *a = g_hash_table_lookup (t->by_service, service);
 
@@ -124,7 +124,7 @@
   return a;
 }
 
-/* Gateways agree on the order, and so on the ring that it makes. */
+/* Sorts by id, so that all gateways agree on the ring of targets. */
 static void
 insert_by_id (GPtrArray *a, CfTarget *n)
 {
@@ -151,10 +151,12 @@
          || t->is_configured (t->is_configured_data, n->record.service);
 }
 
-/* Of two starts listed at one address, the one listed later is there; a
- * record of a service that nothing names says nothing of an address. */
+/* Whether @other rather than @n is the instance at their common address: the
+ * one listed later.  A record of a service that is not configured may be
+ * corrupt, and loses to one of a configured service. */
 static gboolean
-is_behind (const CfTargetTable *t, const CfTarget *n, const CfTarget *other)
+has_older_claim (const CfTargetTable *t, const CfTarget *n,
+                 const CfTarget *other)
 {
   gboolean named = is_configured (t, n);
 
@@ -164,11 +166,11 @@
 }
 
 static void
-take_address (CfTargetTable *t, CfTarget *n)
+claim_address (CfTargetTable *t, CfTarget *n)
 {
   CfTarget *other = g_hash_table_lookup (t->by_addr, n->record.addr);
 
-  n->replaced = other && is_behind (t, n, other);
+  n->replaced = other && has_older_claim (t, n, other);
   if (n->replaced)
     return;
   if (other)
@@ -177,23 +179,23 @@
 }
 
 static CfTargetChange
-add_target (CfTargetTable *t, CfTargetRecord *r, const CfTargetUpdate *news)
+add_target (CfTargetTable *t, CfTargetRecord *r, const CfTargetUpdate *update)
 {
   CfTarget *n = cf_target_new (r);
 
   if (!n)
     return CF_TARGET_BAD;
-  n->json = g_strndup (news->json, news->n);
-  n->rev = news->rev;
-  n->created = news->created;
-  take_address (t, n);
+  n->json = g_strndup (update->json, update->n);
+  n->rev = update->rev;
+  n->created = update->created;
+  claim_address (t, n);
   g_hash_table_insert (t->by_id, n->record.id, n);
-  insert_by_id (service_array (t, n->record.service), n);
+  insert_by_id (get_service_array (t, n->record.service), n);
   return CF_TARGET_NEW;
 }
 
 static CfTargetChange
-update_target (CfTarget *n, CfTargetRecord *r, const CfTargetUpdate *news)
+update_target (CfTarget *n, CfTargetRecord *r, const CfTargetUpdate *update)
 {
   CfTargetChange c = CF_TARGET_SAME;
 
@@ -205,16 +207,17 @@
   n->record.slots = r->slots;
   n->record.warmup_ms = r->warmup_ms;
   n->record.incarnation = r->incarnation;
-  n->rev = news->rev;
+  n->rev = update->rev;
   g_free (n->json);
-  n->json = g_strndup (news->json, news->n);
+  n->json = g_strndup (update->json, update->n);
   cf_target_record_clear (r);
   return c;
 }
 
-/* Whether @r is of an incarnation before that of @n. */
+/* Whether @r is to be dropped as a late record of an older incarnation than
+ * that of @n. */
 static gboolean
-is_older (CfTarget *n, const CfTargetRecord *r, gint64 now)
+is_stale_incarnation (CfTarget *n, const CfTargetRecord *r, gint64 now)
 {
   if (r->incarnation >= n->record.incarnation)
     {
@@ -226,10 +229,10 @@
   return now - n->older_since_ms < CF_TARGET_OLDER_INCARNATION_MS;
 }
 
-/* Whether @r is of another start than @n, by what it says, or by an address
- * or a service that one start cannot change. */
+/* Whether @r belongs to another instance than @n: by its incarnation, or by its
+ * address or service, which an instance never changes. */
 static gboolean
-is_other_start (const CfTarget *n, const CfTargetRecord *r)
+is_other_instance (const CfTarget *n, const CfTargetRecord *r)
 {
   return (n->record.incarnation && r->incarnation != n->record.incarnation)
          || strcmp (n->record.addr, r->addr) != 0
@@ -238,37 +241,37 @@
 
 CfTargetChange
 cf_target_table_put (CfTargetTable *t, CfTargetRecord *r,
-                     const CfTargetUpdate *news)
+                     const CfTargetUpdate *update)
 {
   CfTarget *n = g_hash_table_lookup (t->by_id, r->id);
   CfTargetChange c = CF_TARGET_NEW;
 
-  if (n && news->rev < n->rev)
+  if (n && update->rev < n->rev)
     {
       cf_target_record_clear (r);
       return CF_TARGET_SAME;
     }
-  /* A target says its incarnation always or never. */
+  /* Once an id's records have an incarnation, one without it is invalid. */
   if (n && n->record.incarnation && !r->incarnation)
     {
       cf_target_table_remove (t, r->id);
       cf_target_record_clear (r);
       return CF_TARGET_BAD;
     }
-  if (n && is_older (n, r, news->now_ms))
+  if (n && is_stale_incarnation (n, r, update->now_ms))
     {
       cf_target_record_clear (r);
       return CF_TARGET_STALE;
     }
-  if (n && !is_other_start (n, r))
-    return update_target (n, r, news);
+  if (n && !is_other_instance (n, r))
+    return update_target (n, r, update);
   if (n)
     {
       if (n->record.incarnation)
         c = CF_TARGET_RESTARTED;
       cf_target_table_remove (t, r->id);
     }
-  return add_target (t, r, news) == CF_TARGET_BAD ? CF_TARGET_BAD : c;
+  return add_target (t, r, update) == CF_TARGET_BAD ? CF_TARGET_BAD : c;
 }
 
 void
@@ -280,7 +283,7 @@
   g_hash_table_remove_all (t->by_addr);
   g_hash_table_iter_init (&it, t->by_id);
   while (g_hash_table_iter_next (&it, NULL, &v))
-    take_address (t, v);
+    claim_address (t, v);
 }
 
 gint64
@@ -301,7 +304,7 @@
 cf_target_set_slowdown (CfTarget *t, double slowdown, gint64 now)
 {
   t->slowdown_updated_ms = now;
-  if (fabs (t->slowdown - slowdown) < PACE_STEP)
+  if (fabs (t->slowdown - slowdown) < MIN_SLOWDOWN_CHANGE)
     return FALSE;
   t->slowdown = slowdown;
   return TRUE;
@@ -320,7 +323,7 @@
 
   if (!n)
     return FALSE;
-  g_ptr_array_remove (service_array (t, n->record.service), n);
+  g_ptr_array_remove (get_service_array (t, n->record.service), n);
   if (cf_target_table_lookup_addr (t, n->record.addr) == n)
     g_hash_table_remove (t->by_addr, n->record.addr);
   g_hash_table_remove (t->by_id, id);
--- a/gateway/target.h
+++ b/gateway/target.h
@@ -14,84 +14,85 @@
 /**
  * CfTarget:
  * One incarnation of a target, as the platform lists it, with what this
- * process knows from using it: a start under the same id has one of its own,
- * so nothing believed of the start before clings to it.  Shared by
- * reference: work in progress keeps the target it was sent to, also after it
- * has left the list.  Made and freed here alone; what is counted of its work
- * changes by cf_target_request_started(), cf_target_request_ended() and
- * cf_target_record_progress().
+ * process has observed of it.  Each incarnation under the same id has a
+ * #CfTarget of its own, so that nothing observed of one is applied to the next.
+ * Reference-counted: requests keep the target they were sent to, also after it
+ * has been removed from the list.  Created and freed in this module only; the
+ * counters of its requests are changed by cf_target_request_started(),
+ * cf_target_request_ended() and cf_target_record_progress().
  */
 typedef struct
 {
   gint ref_count;
   CfTargetRecord record;
   struct sockaddr_in addr;
-  char *json;              /**< @record as the store holds it, for peers */
+  char *json;              /**< @record in the store's form, for peers */
   gint64 rev;              /**< store revision of @record */
   gint64 created;          /**< store revision at which it was first listed */
-  gboolean replaced;       /**< another start has its address now */
+  gboolean replaced;       /**< another instance has its address now */
   gboolean listed;         /**< still on the platform's list */
-  guint in_flight;         /**< requests of ours it has */
+  guint in_flight;         /**< this process's requests at it */
   gint64 busy_since_ms;    /**< when @in_flight last rose from 0 */
-  gint64 last_progress_ms; /**< when it last sent a part of an answer */
-  CfUpstreamList idle;     /**< connections of ours, last used first */
-  CfUpstreamList busy;     /**< and those that carry a request */
+  gint64 last_progress_ms; /**< when it last sent part of an answer */
+  CfUpstreamList idle;     /**< unused connections to it, last used first */
+  CfUpstreamList busy;     /**< connections that carry a request */
   CfOutlier outlier;
-  double slowdown; /**< how many times as long as usual its work takes */
-  gint64 slowdown_updated_ms;  /**< when @slowdown was last told; 0: never */
-  gint64 slowdown_observed_ms; /**< when an agent of ours told it; 0: never */
-  gint64 full_until_ms;        /**< it said it was full; not asked before */
-  CfRateLimit limit;           /**< the rate that it takes from all gateways */
-  gint64 older_since_ms; /**< since when the list shows an older incarnation
-                              under its id; 0: it does not */
+  double slowdown; /**< how many times longer than usual its work takes */
+  gint64 slowdown_updated_ms; /**< when @slowdown was last reported; 0: never */
+  gint64 slowdown_observed_ms; /**< when an agent last reported it to this
+                                    process; 0: never */
+  gint64 full_until_ms;        /**< no requests until then, as it was full */
+  CfRateLimit limit;     /**< the rate that it accepts from all gateways */
+  gint64 older_since_ms; /**< since when the list has shown an older
+                              incarnation under its id; 0: it does not */
 } CfTarget;
 
 /**
  * cf_target_new:
- * @r: taken over, also on failure; a listed target with no connections and
- *   no work of ours
- * Returns: (nullable): %NULL if its address cannot be read; see
- *   cf_last_error().
+ * @r: taken over, also on failure
+ * Returns: (nullable): a listed target without connections or requests; %NULL
+ *   if its address cannot be parsed, see cf_last_error().
  */
 CfTarget *cf_target_new (CfTargetRecord *r);
 
 /**
  * cf_target_new_at:
- * A target at @addr that no list names: a rank beside its agent, a gateway
- * as its callers see it.
+ * Creates a target at @addr that is in no list, such as the rank that an agent
+ * runs beside, or a gateway from its callers' side.
  * Returns: (nullable): as cf_target_new()
  */
 CfTarget *cf_target_new_at (const char *addr);
 
 CfTarget *cf_target_ref (CfTarget *t);
 
-/** cf_target_unref: frees @t with its last reference; each connection to it
- * holds one, so that none is left then. */
+/** cf_target_unref: frees @t with its last reference.  Each connection to it
+ * holds a reference, so that no connection is left then. */
 void cf_target_unref (CfTarget *t);
 
-/** cf_target_request_started: a request of ours is sent to @t. */
+/** cf_target_request_started: counts a request that is sent to @t. */
 void cf_target_request_started (CfTarget *t, gint64 now_ms);
 
-/** cf_target_request_ended: and is over, however it ended. */
+/** cf_target_request_ended: counts the end of a request, answered or not. */
 void cf_target_request_ended (CfTarget *t);
 
-/** cf_target_record_progress: a part of an answer came from @t. */
+/** cf_target_record_progress: records that @t sent part of an answer. */
 void cf_target_record_progress (CfTarget *t, gint64 now_ms);
 
 /**
  * CfTargetTable:
- * All listed targets, by id and by service.  The list keeps the entry of a
- * start that crashed until its lease runs out; when the next start at that
- * address is listed beside it, only the newer one gets work.
+ * All listed targets, by id, by address and by service.  The list keeps the
+ * entry of an instance that crashed until its lease expires; when the next
+ * instance at that address is listed beside it, only the newer one gets work.
  */
 typedef struct
 {
-  GHashTable *by_id;      /**< id -> #CfTarget */
-  GHashTable *by_addr;    /**< address -> #CfTarget, the newest there */
-  GHashTable *by_service; /**< service -> GPtrArray of #CfTarget, by id */
-  guint next_start;       /**< where a search for the least loaded begins */
-  /** Whether a service is named by the configuration: a record of any other
-   * may be spoiled, and takes no address from a target. */
+  GHashTable *by_id;   /**< id -> #CfTarget */
+  GHashTable *by_addr; /**< address -> #CfTarget, the newest there */
+  GHashTable
+      *by_service;  /**< service -> GPtrArray of #CfTarget, sorted by id */
+  guint next_start; /**< where the next search for the least loaded begins */
+  /** (nullable): whether @service is in the configuration.  A record of any
+   * other service may be corrupt, and takes no address from a target. */
   gboolean (*is_configured) (const void *data, const char *service);
   const void *is_configured_data;
 } CfTargetTable;
@@ -99,78 +100,82 @@
 void cf_target_table_init (CfTargetTable *t);
 void cf_target_table_clear (CfTargetTable *t);
 
-/** CfTargetChange: what a record changed. */
+/** CfTargetChange: the effect of a record on the table. */
 typedef enum
 {
-  CF_TARGET_SAME,      /**< nothing that matters */
-  CF_TARGET_NEW,       /**< a target came */
-  CF_TARGET_LEAVING,   /**< it wants no new work from now on */
-  CF_TARGET_UPDATED,   /**< something else */
-  CF_TARGET_RESTARTED, /**< a newer incarnation came under its id */
-  CF_TARGET_STALE,     /**< news of an older incarnation; dropped */
-  /** Its address cannot be read, or it says no incarnation though it did
-   * before: it is not listed, or not any more. */
+  CF_TARGET_SAME,      /**< no relevant change */
+  CF_TARGET_NEW,       /**< a target was added */
+  CF_TARGET_LEAVING,   /**< the target takes no new requests from now on */
+  CF_TARGET_UPDATED,   /**< another field changed */
+  CF_TARGET_RESTARTED, /**< another incarnation replaced it under its id */
+  CF_TARGET_STALE,     /**< a record of an older incarnation; dropped */
+  /** The address cannot be parsed, or the incarnation is missing though earlier
+   * records had one: the target is not added, or is removed. */
   CF_TARGET_BAD,
 } CfTargetChange;
 
-/** CfTargetUpdate: a target's record, as the store or a peer tells it. */
+/** CfTargetUpdate: a target's record, as received from the store or a peer. */
 typedef struct
 {
   const char *id;
   const char *json; /**< @n bytes */
   gsize n;
-  gint64 rev;     /**< the store's revision of it */
-  gint64 created; /**< the store's revision at which it was first listed */
-  gint64 now_ms;  /**< when it was heard, by the steady clock */
+  gint64 rev;     /**< store revision of the record */
+  gint64 created; /**< store revision at which it was first listed */
+  gint64 now_ms;  /**< when it was received, by the monotonic clock */
 } CfTargetUpdate;
 
-/** News of an older incarnation that keep coming for so long are believed:
- * the VM's clock went back between two starts.  A write of a target that has
- * crashed since is done within some seconds, also by
- * a store that is late. */
+/** If the list shows an older incarnation for this long, it is accepted: the
+ * VM's clock was set back between two incarnations.  A delayed write of one
+ * that has crashed since arrives within a few seconds, also from a slow store.
+ */
 #define CF_TARGET_OLDER_INCARNATION_MS 8000
 
 /**
  * cf_target_table_put:
+ * Adds or updates a target.  A record of an older revision than the known one
+ * is dropped, as is one of an older incarnation until the list has shown that
+ * for %CF_TARGET_OLDER_INCARNATION_MS.
  * @r: taken over
- * @news: what @r was read from; one older than the known one is dropped,
- *   as is one of an older incarnation, until the list has shown that one for
- *   %CF_TARGET_OLDER_INCARNATION_MS
+ * @update: what @r was parsed from
  */
 CfTargetChange cf_target_table_put (CfTargetTable *t, CfTargetRecord *r,
-                                    const CfTargetUpdate *news);
+                                    const CfTargetUpdate *update);
 
 /**
  * cf_target_silence_ms:
- * Returns: for how long it has had work of ours without any sign of it; 0
- *   if it has none.
+ * Returns: for how long @t has had requests of this process without sending
+ *   anything; 0 if it has none.
  */
 gint64 cf_target_silence_ms (const CfTarget *t, gint64 now_ms);
 
-/** cf_target_is_older_incarnation: whether @incarnation is of a start before
- * @t. */
+/** cf_target_is_older_incarnation: whether @incarnation is known and older than
+ * that of @t. */
 gboolean cf_target_is_older_incarnation (const CfTarget *t, gint64 incarnation);
 
 /**
  * cf_target_set_slowdown:
- * Returns: %TRUE if it changed by enough to matter.
+ * Returns: %TRUE if it changed by enough to be applied.
  */
 gboolean cf_target_set_slowdown (CfTarget *t, double slowdown, gint64 now_ms);
 
-/** cf_target_table_services_changed: the services that are named have changed.
- */
+/** cf_target_table_services_changed: reassigns the addresses after the set of
+ * configured services has changed. */
 void cf_target_table_services_changed (CfTargetTable *t);
 
 /** cf_target_table_lookup_addr: (nullable): the newest target at @addr. */
 CfTarget *cf_target_table_lookup_addr (const CfTargetTable *t,
                                        const char *addr);
 
-/** cf_target_table_remove: @id is gone; %FALSE if it was not listed. */
+/** cf_target_table_remove: removes the target @id; %FALSE if it was not listed.
+ */
 gboolean cf_target_table_remove (CfTargetTable *t, const char *id);
 
-/** cf_target_table_slots: slots of the targets of @service that take work. */
+/** cf_target_table_slots: the sum of the slots of those targets of @service
+ * that take new requests. */
 gint64 cf_target_table_slots (const CfTargetTable *t, const char *service);
 
-/** cf_target_table_service: (nullable): the targets of @service. */
+/** cf_target_table_service: (nullable): the targets of @service, sorted by id.
+ */
 const GPtrArray *cf_target_table_service (const CfTargetTable *t,
                                           const char *service);
--- a/gateway/wait-queue.c
+++ b/gateway/wait-queue.c
@@ -2,31 +2,34 @@
 
 #include "ablation.h"
 
-/** Of callers' patience, the part a request may wait for room: the rest is
- * needed for its prompt to be read beside others. */
-#define WAIT_PART_OF_PATIENCE 0.6
-/** Of the time left, the part it may wait, so that a refusal still leaves
- * its caller time to come back. */
-#define WAIT_PART_OF_LEFT 0.33
-/** Of the objective, how much of it is taken for the first event while
- * nothing is known of its service's pace. */
-#define FIRST_PART_UNKNOWN 0.4
-/** The same at most: an estimate beyond the objective would make every request
- * late on arrival, and the order one of arrival. */
-#define FIRST_PART_OF_AIM 0.75
-/** Back-off asked of callers when all targets are full. */
-#define FULL_BUSY_MS 400
-/** The same when a service has an outage: a rank is back some 0.5 s after a
- * crash at the soonest, and its group opens 0.6 s after that.  Callers come
- * back once or twice; sooner they would only be refused again. */
-#define OUTAGE_BUSY_MS 1000
-/** The same in an outage that lasts: as late as a caller may be told. */
-#define LONG_OUTAGE_BUSY_MS 4000
-/** The same in overload: past most bursts.  Callers come back once or twice,
- * and sooner they would only be refused again. */
-#define OVERLOAD_BUSY_MS 800
-/** Callers honour a Retry-After of up to a third of the time they have. */
-#define RETRY_AFTER_PART 0.32
+/** A request may wait in the queue for this fraction of the time after which
+ * callers give up without a first event; the rest is needed to process its
+ * prompt along with others. */
+#define WAIT_FIRST_EVENT_FRACTION 0.6
+/** It may wait for this fraction of the remaining time, so that a refusal still
+ * leaves its caller time to retry. */
+#define WAIT_DEADLINE_FRACTION 0.33
+/** The fraction of the objective that the first event is assumed to take while
+ * its service's latency is unknown. */
+#define UNKNOWN_FIRST_EVENT_FRACTION 0.4
+/** The maximum of that fraction, whatever the estimate: with an estimate beyond
+ * the objective every request would be late on arrival, and the queue would be
+ * first come, first served. */
+#define MAX_FIRST_EVENT_FRACTION 0.75
+/** Minimum back-off requested of callers when all targets are full. */
+#define FULL_BACKOFF_MS 400
+/** The same during an outage of the service: a rank is back 0.5 s after a crash
+ * at the earliest, and its group opens 0.6 s after that.  Callers retry only
+ * once or twice; if they retried earlier they would only be refused again. */
+#define OUTAGE_BACKOFF_MS 1000
+/** The same during a long outage: the longest back-off that a caller may be
+ * given. */
+#define LONG_OUTAGE_BACKOFF_MS 4000
+/** The same in overload: longer than most bursts.  Callers retry only once or
+ * twice; if they retried earlier they would only be refused again. */
+#define OVERLOAD_BACKOFF_MS 800
+/** Callers honour a Retry-After of up to a third of their remaining time. */
+#define RETRY_AFTER_FRACTION 0.32
 
 void
 cf_wait_queue_init (CfWaitQueue *q)
@@ -35,16 +38,16 @@
   q->n = 0;
 }
 
-/* Goes behind all that are as urgent or more. */
+/* Inserts @w behind all waiters that are as urgent or more urgent. */
 static void
 insert_in_order (CfWaitQueue *q, CfWaiter *w)
 {
-  CfWaiter *at;
+  CfWaiter *other;
 
-  TAILQ_FOREACH (at, &q->waiters, link)
-  if (at->priority > w->priority)
+  TAILQ_FOREACH (other, &q->waiters, link)
+  if (other->priority > w->priority)
     {
-      TAILQ_INSERT_BEFORE (at, w, link);
+      TAILQ_INSERT_BEFORE (other, w, link);
       return;
     }
   TAILQ_INSERT_TAIL (&q->waiters, w, link);
@@ -79,9 +82,11 @@
   q->n--;
 }
 
-/* True if @w goes before @best, (nullable), among those that are late. */
+/* Whether the late waiter @w is to be sent before @best (nullable): it can
+ * still be answered by its deadline, and has less time to spare for that than
+ * @best, which has the same priority. */
 static gboolean
-is_shorter_of_time (const CfWaiter *w, const CfWaiter *best, gint64 now_ms)
+has_less_slack (const CfWaiter *w, const CfWaiter *best, gint64 now_ms)
 {
   if (now_ms > w->deadline_send_by_ms)
     return FALSE;
@@ -93,37 +98,38 @@
 CfWaiter *
 cf_wait_queue_first (const CfWaitQueue *q, gint64 now_ms, gboolean overloaded)
 {
-  CfWaiter *first = NULL;
+  CfWaiter *on_time = NULL;
   CfWaiter *late = NULL;
   CfWaiter *w;
 
   TAILQ_FOREACH (w, &q->waiters, link)
   {
-    if (first && w->priority > first->priority)
+    if (on_time && w->priority > on_time->priority)
       break;
     if (now_ms > w->objective_send_by_ms)
       {
-        if (is_shorter_of_time (w, late, now_ms))
+        if (has_less_slack (w, late, now_ms))
           late = w;
         continue;
       }
-    first = w;
+    on_time = w;
     if (!overloaded)
       break;
   }
-  if (first)
-    return first;
+  if (on_time)
+    return on_time;
   return late ? late : TAILQ_FIRST (&q->waiters);
 }
 
 gint64
 cf_waiter_objective_send_by_ms (gint64 start_ms, gint64 aim_ms, gint64 first_ms)
 {
-  double most = (double)aim_ms * FIRST_PART_OF_AIM;
-  double first = first_ms > 0 ? MIN ((double)first_ms, most)
-                              : (double)aim_ms * FIRST_PART_UNKNOWN;
+  double max_ms = (double)aim_ms * MAX_FIRST_EVENT_FRACTION;
+  double expected_ms = first_ms > 0
+                           ? MIN ((double)first_ms, max_ms)
+                           : (double)aim_ms * UNKNOWN_FIRST_EVENT_FRACTION;
 
-  return start_ms + (gint64)((double)aim_ms - first);
+  return start_ms + (gint64)((double)aim_ms - expected_ms);
 }
 
 gboolean
@@ -135,36 +141,37 @@
 }
 
 gint64
-cf_wait_queue_max_wait_ms (gint64 patience_ms, gint64 left_ms)
+cf_wait_queue_max_wait_ms (gint64 first_event_timeout_ms, gint64 remaining_ms)
 {
-  double by_patience = (double)patience_ms * WAIT_PART_OF_PATIENCE;
-  double by_left = (double)left_ms * WAIT_PART_OF_LEFT;
+  double first_event_bound
+      = (double)first_event_timeout_ms * WAIT_FIRST_EVENT_FRACTION;
+  double deadline_bound = (double)remaining_ms * WAIT_DEADLINE_FRACTION;
 
-  return (gint64)MIN (by_patience, by_left);
+  return (gint64)MIN (first_event_bound, deadline_bound);
 }
 
 gint64
-cf_wait_queue_backoff_ms (CfNoCapacity why)
+cf_wait_queue_backoff_ms (CfNoCapacity cause)
 {
-  switch (why)
+  switch (cause)
     {
     case CF_NO_CAPACITY_FULL:
-      return FULL_BUSY_MS;
+      return FULL_BACKOFF_MS;
     case CF_NO_CAPACITY_OVERLOAD:
-      return OVERLOAD_BUSY_MS;
+      return OVERLOAD_BACKOFF_MS;
     case CF_NO_CAPACITY_OUTAGE:
-      return OUTAGE_BUSY_MS;
+      return OUTAGE_BACKOFF_MS;
     case CF_NO_CAPACITY_LONG_OUTAGE:
-      return LONG_OUTAGE_BUSY_MS;
+      return LONG_OUTAGE_BACKOFF_MS;
     }
-  return FULL_BUSY_MS;
+  return FULL_BACKOFF_MS;
 }
 
 gint64
-cf_retry_after_ms (gint64 left_ms, gint64 busy_ms, guint spread)
+cf_retry_after_ms (gint64 remaining_ms, gint64 backoff_ms, guint spread)
 {
-  gint64 most = (gint64)((double)left_ms * RETRY_AFTER_PART);
-  gint64 at = busy_ms + (gint64)(spread % (guint)MAX (busy_ms, 1));
+  gint64 max_ms = (gint64)((double)remaining_ms * RETRY_AFTER_FRACTION);
+  gint64 after_ms = backoff_ms + (gint64)(spread % (guint)MAX (backoff_ms, 1));
 
-  return CLAMP (at, 0, MAX (most, 0));
+  return CLAMP (after_ms, 0, MAX (max_ms, 0));
 }
--- a/gateway/wait-queue.h
+++ b/gateway/wait-queue.h
@@ -7,26 +7,29 @@
 
 typedef TAILQ_HEAD (CfWaiterList, CfWaiter) CfWaiterList;
 
-/** CfWaiter: a request that waits for room at a target; embedded in it. */
+/** CfWaiter: a request that waits for capacity at a target; embedded in its
+ * owner. */
 struct CfWaiter
 {
   TAILQ_ENTRY (CfWaiter) link;
   gint64 priority; /**< 0 is the most urgent */
-  gint64 since_ms;
-  gint64 objective_send_by_ms; /**< started by then, it meets its objective */
-  gint64 deadline_send_by_ms;  /**< started by then, its answer is whole before
-                            its  deadline */
+  gint64 since_ms; /**< when it was queued */
+  gint64
+      objective_send_by_ms; /**< latest time to send it to meet its objective */
+  gint64 deadline_send_by_ms; /**< latest time to send it for its answer to be
+                                   complete by its deadline */
   gboolean queued;
   void *owner;
 };
 
 /**
  * CfWaitQueue:
- * Requests of one service that wait for room.  Those that can still meet
- * their objective come first, by priority, then by arrival.  Of the others
- * the one with the least time to spare comes first, if its answer can still
- * be whole: one with more time left is refused with time to come back.
- * Bounded; for bursts that are over sooner than callers lose patience.
+ * Requests of one service that wait for capacity.  Those that can still meet
+ * their objective come first, by priority, then by arrival.  Of the late ones,
+ * the one with the least slack comes first, if its answer can still be complete
+ * by its deadline: one with more slack still has time to retry if it is
+ * refused. The queue is bounded; it absorbs bursts that end before callers give
+ * up.
  */
 typedef struct
 {
@@ -38,9 +41,11 @@
 
 /**
  * cf_wait_queue_add:
- * @max: how many may wait
- * @evicted: (out): (nullable): the last in order, which had to make room
- * Returns: %FALSE if @w itself finds no room.
+ * @max: maximum length of the queue
+ * @evicted: (out) (nullable): the least urgent waiter, if it was removed to
+ *   make room for @w
+ * Returns: %FALSE if the queue is full and @w is not more urgent than any other
+ *   waiter.
  */
 gboolean cf_wait_queue_add (CfWaitQueue *q, CfWaiter *w, guint max,
                             CfWaiter **evicted);
@@ -49,17 +54,19 @@
 
 /**
  * cf_wait_queue_first:
- * @overloaded: more comes than can be served: the newest in time goes first,
- *   since the oldest would each be served just as it becomes late
- * Returns: (nullable): who gets the next room.
+ * @overloaded: more requests arrive than can be served: of the most urgent
+ *   ones that can still meet their objective the newest goes first, since in
+ *   order of arrival each would be sent just as it becomes late
+ * Returns: (nullable): the waiter to be sent next.
  */
 CfWaiter *cf_wait_queue_first (const CfWaitQueue *q, gint64 now_ms,
                                gboolean overloaded);
 
 /**
  * cf_waiter_objective_send_by_ms:
- * @first_ms: expected from sending to the first event; 0: not known
- * Returns: when a request that came at @start_ms has to be sent at the latest
+ * @aim_ms: latency objective for the first event
+ * @first_ms: expected time from sending to the first event; 0: not known
+ * Returns: the latest time to send a request that arrived at @start_ms for it
  *   to meet its objective.
  */
 gint64 cf_waiter_objective_send_by_ms (gint64 start_ms, gint64 aim_ms,
@@ -67,44 +74,47 @@
 
 /**
  * cf_waiter_has_to_yield:
- * @pause_ms: pause between events at its service now
- * @gap_aim_ms: objective for it; 0: none
- * Returns: whether it should leave room for others.  After an outage or a
- *   burst those that waited are late whatever is done for them.  Served all
- *   at once they fill every batch, and those that come after them are late
- *   as well, for ten seconds after an outage of two.  So they leave room,
- *   while passes are short enough for others to be in time.
+ * @pause_ms: current pause between events at its service
+ * @gap_aim_ms: objective for that pause; 0: none
+ * Returns: whether @w should leave capacity to other requests.  After an outage
+ *   or a burst, requests that waited are late in any case.  If they were all
+ *   sent at once they would fill every batch, and later requests would be late
+ *   as well: for ten seconds after an outage of two.  So late requests yield
+ *   while passes are short enough for others to meet their objectives.
  */
 gboolean cf_waiter_has_to_yield (const CfWaiter *w, gint64 now_ms,
                                  double pause_ms, gint64 gap_aim_ms);
 
 /**
  * cf_wait_queue_max_wait_ms:
- * @patience_ms: how long callers wait for a first sign of an answer
- * @left_ms: time left until the request's deadline
- * Returns: how long it should wait for room at most.
+ * @first_event_timeout_ms: how long callers wait for the first part of an
+ *   answer
+ * @remaining_ms: time left until the request's deadline
+ * Returns: how long a request should wait in the queue at most.
  */
-gint64 cf_wait_queue_max_wait_ms (gint64 patience_ms, gint64 left_ms);
+gint64 cf_wait_queue_max_wait_ms (gint64 first_event_timeout_ms,
+                                  gint64 remaining_ms);
 
-/** CfNoCapacity: why a service has no room for a request. */
+/** CfNoCapacity: why a service has no capacity for a request. */
 typedef enum
 {
   CF_NO_CAPACITY_FULL,        /**< its targets are full */
-  CF_NO_CAPACITY_OVERLOAD,    /**< more comes than can be served */
-  CF_NO_CAPACITY_OUTAGE,      /**< its targets take no work */
-  CF_NO_CAPACITY_LONG_OUTAGE, /**< they have not for long */
+  CF_NO_CAPACITY_OVERLOAD,    /**< more requests arrive than can be served */
+  CF_NO_CAPACITY_OUTAGE,      /**< its targets refuse all work */
+  CF_NO_CAPACITY_LONG_OUTAGE, /**< they have done so for long */
 } CfNoCapacity;
 
-/** cf_wait_queue_backoff_ms: when those that are refused may find room. */
-gint64 cf_wait_queue_backoff_ms (CfNoCapacity why);
+/** cf_wait_queue_backoff_ms: how soon there may be capacity for a refused
+ * request. */
+gint64 cf_wait_queue_backoff_ms (CfNoCapacity cause);
 
 /**
  * cf_retry_after_ms:
- * @left_ms: time the caller has left
- * @busy_ms: when room is expected
- * @spread: a number that differs from caller to caller
- * Returns: when the caller should come back: past @busy_ms, spread over as
- *   long again so that not all come at once, and within the part of its
- *   time that callers accept.
+ * @remaining_ms: time left until the request's deadline
+ * @backoff_ms: how soon there may be capacity
+ * @spread: a random number for the jitter
+ * Returns: the time after which the caller should retry: from @backoff_ms to
+ *   twice that, so that not all callers retry at once, but no more than the
+ *   part of its remaining time that callers accept.
  */
-gint64 cf_retry_after_ms (gint64 left_ms, gint64 busy_ms, guint spread);
+gint64 cf_retry_after_ms (gint64 remaining_ms, gint64 backoff_ms, guint spread);
--- a/retry-budget.h
+++ b/retry-budget.h
@@ -5,34 +5,37 @@
 
 /**
  * CfRetryBudget:
- * Limits an entry's retries to a share of its requests, so that retries
- * do not multiply the load on targets that are failing: a token bucket
- * that each request fills a little and each retry takes one from.
+ * Limits a process's retries to a share of its requests, so that retries do
+ * not multiply the load on failing targets.  A token bucket: each request adds
+ * a fraction of a token, and each retry takes one.
  */
 typedef struct
 {
   pthread_mutex_t lock;
   double tokens;
-  double per_request;
-  double max;
+  double per_request; /**< tokens that each request adds */
+  double max;         /**< capacity of the bucket */
 } CfRetryBudget;
 
 /**
  * cf_retry_budget_init:
- * @percent: retries for 100 requests
- * @slack: retries beyond that share, at start and at most saved up
+ * @percent: retries per 100 requests
+ * @slack: capacity of the bucket, which is full at the start: retries allowed
+ *   beyond that share
  */
 void cf_retry_budget_init (CfRetryBudget *b, gint64 percent, gint64 slack);
 void cf_retry_budget_clear (CfRetryBudget *b);
 
-/** cf_retry_budget_set_slack: from now on; what is saved up is cut to it. */
+/** cf_retry_budget_set_slack: changes the capacity; excess tokens are dropped.
+ */
 void cf_retry_budget_set_slack (CfRetryBudget *b, gint64 slack);
 
-/** cf_retry_budget_add_request: a request came in. */
+/** cf_retry_budget_add_request: adds the fraction of a token for a request. */
 void cf_retry_budget_add_request (CfRetryBudget *b);
 
-/** cf_retry_budget_has_token: whether cf_retry_budget_take() would be %TRUE. */
+/** cf_retry_budget_has_token: whether cf_retry_budget_take() would succeed. */
 gboolean cf_retry_budget_has_token (CfRetryBudget *b);
 
-/** cf_retry_budget_take: %TRUE if a retry may be sent now. */
+/** cf_retry_budget_take: takes a token for a retry; %FALSE if there is none and
+ * the retry may not be sent. */
 gboolean cf_retry_budget_take (CfRetryBudget *b);
