--- a/t/t-balancer.c
+++ b/t/t-balancer.c
@@ -1,4 +1,4 @@
-/* The table of targets, and which of them gets a request. */
+/* Target table, wait queue, and the choice of a target for a request. */
 #include "gateway/balancer.h"
 #include "gateway/rank.h"
 #include "gateway/wait-queue.h"
@@ -57,12 +57,12 @@
   cf_target_table_clear (&table);
 }
 
-START_TEST (the_least_loaded_is_picked)
+START_TEST (least_loaded_target_is_picked)
 {
   CfTarget *t;
 
   ck_assert_int_eq (pick (0, NULL, &t), CF_PICK_OK);
-  ck_assert_str_eq (t->record.id, "a"); /* ours among equals */
+  ck_assert_str_eq (t->record.id, "a"); /* the one in dc1, among equals */
   t_set_in_flight (get ("a"), 2, 0);
   t_set_in_flight (get ("b"), 1, 0);
   t_set_in_flight (get ("c"), 3, 0);
@@ -86,7 +86,7 @@
 }
 END_TEST
 
-START_TEST (slow_targets_get_less)
+START_TEST (slow_target_gets_fewer_requests)
 {
   get ("a")->slowdown = 4;
   for (int i = 0; i < 10; i++)
@@ -100,9 +100,9 @@
 }
 END_TEST
 
-/* A slow rank holds up all of its group; while most targets are sound, room
- * at one of them is waited for. */
-START_TEST (slow_targets_get_nothing_while_others_are_full)
+/* A slow rank holds up its whole group; while most targets are healthy,
+ * requests wait for capacity at one of them. */
+START_TEST (slow_target_is_avoided_while_others_are_full)
 {
   CfTarget *t;
 
@@ -113,7 +113,7 @@
   t_set_in_flight (get ("b"), 4, 0);
   ck_assert_int_eq (pick (0, NULL, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "b");
-  /* Most are slow: these are what there is. */
+  /* Most targets are slow, so that a slow one is used. */
   t_set_in_flight (get ("b"), 5, 0);
   get ("c")->slowdown = 12;
   ck_assert_int_eq (pick (0, NULL, &t), CF_PICK_OK);
@@ -121,18 +121,17 @@
 }
 END_TEST
 
-/* A VM that stands still takes requests and runs none of them: four seconds
- * of that left 40 requests there whose callers had gone. */
-/* Ranks of a group that was never whole refused at once and were always the
- * least loaded: a third of the requests of their data centre were lost. */
-START_TEST (ranks_of_a_broken_group_get_nothing)
+/* Ranks of an incomplete group refuse at once and so always are the least
+ * loaded: without this check, a third of the requests of their data centre were
+ * lost. */
+START_TEST (ranks_of_broken_group_are_avoided)
 {
   const CfRankStatus s = { .pace = 1 };
   CfTarget *t;
 
   get ("b")->in_flight = 1;
   get ("c")->in_flight = 1;
-  /* One whose rank is replaced is whole again soon. */
+  /* A group whose rank is being replaced is complete again soon. */
   get ("a")->slowdown = cf_rank_routing_pace (&s, 2000);
   ck_assert_int_eq (pick (100, NULL, &t), CF_PICK_OK);
   ck_assert_ptr_eq (t, get ("a"));
@@ -145,7 +144,9 @@
 }
 END_TEST
 
-START_TEST (targets_that_stand_still_get_no_new_work)
+/* A frozen VM accepts requests and processes none of them: in a stall of four
+ * seconds, 40 requests whose callers had gone piled up there. */
+START_TEST (stalled_targets_get_no_requests)
 {
   CfPickInput in = { .service = "s",
                      .data_centre = "dc1",
@@ -161,7 +162,7 @@
   cf_target_record_progress (get ("c"), 950);
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_OK);
   ck_assert_str_ne (t->record.id, "a");
-  /* It shows a sign, or has no work of ours to show one of. */
+  /* It is not stalled if it has sent something or has no requests. */
   cf_target_record_progress (get ("a"), 900);
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "a");
@@ -169,71 +170,73 @@
   t_set_in_flight (get ("a"), 0, 0);
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "a");
-  /* All stand still: nothing better is left. */
+  /* All are stalled: one of them is used. */
   in.now_ms = 5000;
   t_set_in_flight (get ("a"), 1, 0);
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_OK);
 }
 END_TEST
 
-/* Requests that are late already do not fill a target. */
-START_TEST (late_ones_leave_room)
+/* Late requests do not use all of a target's capacity. */
+START_TEST (late_requests_leave_capacity)
 {
   const CfPickInput in
       = { .service = "other", .n_gateways = 1, .yields = TRUE };
   CfTarget *t;
 
-  t_set_in_flight (get ("x"), 2, 0); /* of 5 */
+  t_set_in_flight (get ("x"), 2, 0); /* of 5 that it may have */
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_OK);
   t_set_in_flight (get ("x"), 3, 0);
   ck_assert_int_eq (cf_balancer_pick (&table, &in, &t), CF_PICK_FULL);
 }
 END_TEST
 
-/* All gateways together fill a target's slots, not its queue. */
-/* 35 gateways and 192 targets of 6 slots: a part of 33 slots in all, and one
- * request at each target.  Late ones fill 24 of them, others go on. */
-START_TEST (late_ones_leave_room_in_a_large_fleet)
+/* With 35 gateways and 192 targets of 6 slots, a gateway's share is 33 slots in
+ * total, and one request at each target.  Late requests are sent while at most
+ * 24 are in flight; beyond that only others are. */
+START_TEST (late_requests_leave_capacity_in_large_fleet)
 {
-  CfTargetTable row;
+  CfTargetTable targets;
   CfPickInput in = { .service = "s", .now_ms = 100, .n_gateways = 35 };
   CfTarget *t;
 
-  cf_target_table_init (&row);
-  t_put_targets (&row, 192, 6);
+  cf_target_table_init (&targets);
+  t_put_targets (&targets, 192, 6);
   in.yields = TRUE;
   in.in_flight = 24;
-  ck_assert_int_eq (cf_balancer_pick (&row, &in, &t), CF_PICK_OK);
+  ck_assert_int_eq (cf_balancer_pick (&targets, &in, &t), CF_PICK_OK);
   in.in_flight = 25;
-  ck_assert_int_eq (cf_balancer_pick (&row, &in, &t), CF_PICK_FULL);
+  ck_assert_int_eq (cf_balancer_pick (&targets, &in, &t), CF_PICK_FULL);
   in.yields = FALSE;
-  ck_assert_int_eq (cf_balancer_pick (&row, &in, &t), CF_PICK_OK);
-  cf_target_table_clear (&row);
+  ck_assert_int_eq (cf_balancer_pick (&targets, &in, &t), CF_PICK_OK);
+  cf_target_table_clear (&targets);
 }
 END_TEST
 
-START_TEST (slots_are_shared_over_the_fleet)
+/* All gateways together fill a target's slots, but not its queue. */
+START_TEST (slots_are_divided_among_gateways)
 {
   ck_assert_uint_eq (cf_balancer_max_in_flight (12, 0, 1), 15);
   ck_assert_uint_eq (cf_balancer_max_in_flight (12, 0, 3), 5);
   ck_assert_uint_eq (cf_balancer_max_in_flight (6, 0, 4), 2);
   ck_assert_uint_eq (cf_balancer_max_in_flight (6, 0, 40), 1);
-  /* Few connections: no gateway may use more than its part of them. */
+  /* Few connections: a gateway uses no more than its share of them. */
   ck_assert_uint_eq (cf_balancer_max_in_flight (12, 9, 3), 3);
   ck_assert_uint_eq (cf_balancer_max_in_flight (12, 408, 3), 5);
   ck_assert_uint_eq (cf_balancer_max_in_flight (12, 2, 4), 1);
 }
 END_TEST
 
-/* After a crash the entry of the start before stays listed for a while. */
-START_TEST (only_the_newest_start_at_an_address_gets_work)
+/* After a crash, the entry of the previous instance stays listed for a while.
+ */
+START_TEST (only_newest_instance_at_address_gets_requests)
 {
   CfTarget *t;
 
   put ("b2", "s", "dc2", "1.1.1.2:1", FALSE, 7);
   ck_assert (get ("b")->replaced);
   ck_assert (!get ("b2")->replaced);
-  /* Whichever the list names first. */
+  /* The order in which the list names the two does not matter. */
   put ("c0", "s", "dc2", "1.1.1.3:1", FALSE, 2);
   ck_assert (get ("c0")->replaced);
   ck_assert (!get ("c")->replaced);
@@ -243,7 +246,7 @@
       ck_assert (!t->replaced);
       cf_target_request_started (t, 0);
     }
-  /* The address goes to another service. */
+  /* The address is taken over by another service. */
   put ("a2", "other", "dc1", "1.1.1.1:1", FALSE, 9);
   ck_assert (get ("a")->replaced);
   ck_assert_ptr_eq (cf_target_table_lookup_addr (&table, "1.1.1.1:1"),
@@ -254,7 +257,7 @@
 }
 END_TEST
 
-START_TEST (leaving_and_tried_ones_get_nothing)
+START_TEST (leaving_and_tried_targets_are_excluded)
 {
   GPtrArray *tried = g_ptr_array_new ();
   CfTarget *t;
@@ -273,7 +276,7 @@
 }
 END_TEST
 
-START_TEST (full_ones_make_a_request_wait)
+START_TEST (full_targets_are_not_picked)
 {
   CfTarget *t;
 
@@ -285,8 +288,8 @@
 }
 END_TEST
 
-/* An ejection is a guess: when all are ejected they are used. */
-START_TEST (ejected_ones_are_the_last_resort)
+/* An ejection may be wrong: when all targets are ejected they are used. */
+START_TEST (ejected_targets_are_last_resort)
 {
   CfTarget *t;
 
@@ -305,7 +308,7 @@
 }
 END_TEST
 
-START_TEST (old_and_bad_records_are_dropped)
+START_TEST (stale_and_invalid_records_are_dropped)
 {
   ck_assert_int_eq (put ("a", "s", "dc1", "1.1.1.1:1", TRUE, 0),
                     CF_TARGET_SAME);
@@ -319,7 +322,7 @@
 }
 END_TEST
 
-START_TEST (work_outlives_its_listing)
+START_TEST (removed_target_stays_valid_while_referenced)
 {
   CfTarget *t = cf_target_ref (get ("a"));
 
@@ -330,7 +333,7 @@
 }
 END_TEST
 
-START_TEST (urgent_ones_wait_in_front)
+START_TEST (urgent_waiters_come_first)
 {
   CfWaitQueue q;
   CfWaiter w[4] = {
@@ -342,7 +345,7 @@
   for (int i = 0; i < 3; i++)
     ck_assert (cf_wait_queue_add (&q, &w[i], 3, &evicted));
   ck_assert_ptr_eq (TAILQ_FIRST (&q.waiters), &w[1]);
-  /* Full: the last of the least urgent makes room for a more urgent one. */
+  /* Full: a more urgent waiter evicts the last of the least urgent ones. */
   ck_assert (cf_wait_queue_add (&q, &w[3], 3, &evicted));
   ck_assert_ptr_eq (evicted, &w[2]);
   ck_assert_ptr_eq (TAILQ_FIRST (&q.waiters), &w[3]);
@@ -352,48 +355,48 @@
 }
 END_TEST
 
-START_TEST (those_that_can_be_in_time_come_first)
+START_TEST (on_time_waiters_come_first)
 {
   CfWaitQueue q;
-  CfWaiter old = { .priority = 1, .objective_send_by_ms = 100 };
-  CfWaiter young = { .priority = 1, .objective_send_by_ms = 400 };
+  CfWaiter older = { .priority = 1, .objective_send_by_ms = 100 };
+  CfWaiter newer = { .priority = 1, .objective_send_by_ms = 400 };
   CfWaiter *evicted;
 
   cf_wait_queue_init (&q);
-  cf_wait_queue_add (&q, &old, 9, &evicted);
-  cf_wait_queue_add (&q, &young, 9, &evicted);
-  ck_assert_ptr_eq (cf_wait_queue_first (&q, 100, FALSE), &old);
-  ck_assert_ptr_eq (cf_wait_queue_first (&q, 101, FALSE), &young);
-  ck_assert_ptr_eq (cf_wait_queue_first (&q, 401, FALSE), &old);
-  cf_wait_queue_remove (&q, &old);
-  cf_wait_queue_remove (&q, &young);
+  cf_wait_queue_add (&q, &older, 9, &evicted);
+  cf_wait_queue_add (&q, &newer, 9, &evicted);
+  ck_assert_ptr_eq (cf_wait_queue_first (&q, 100, FALSE), &older);
+  ck_assert_ptr_eq (cf_wait_queue_first (&q, 101, FALSE), &newer);
+  ck_assert_ptr_eq (cf_wait_queue_first (&q, 401, FALSE), &older);
+  cf_wait_queue_remove (&q, &older);
+  cf_wait_queue_remove (&q, &newer);
   ck_assert_ptr_null (cf_wait_queue_first (&q, 401, FALSE));
 }
 END_TEST
 
-/* The oldest in time would each be served just as it becomes late. */
-START_TEST (in_overload_the_newest_goes_first)
+/* In order of arrival, each request would be sent just as it becomes late. */
+START_TEST (newest_waiter_goes_first_in_overload)
 {
   CfWaitQueue q;
   CfWaiter late = { .priority = 0, .objective_send_by_ms = 50 };
-  CfWaiter old = { .priority = 1, .objective_send_by_ms = 300 };
-  CfWaiter young = { .priority = 1, .objective_send_by_ms = 400 };
+  CfWaiter older = { .priority = 1, .objective_send_by_ms = 300 };
+  CfWaiter newer = { .priority = 1, .objective_send_by_ms = 400 };
   CfWaiter low = { .priority = 2, .objective_send_by_ms = 500 };
   CfWaiter *evicted;
 
   cf_wait_queue_init (&q);
   cf_wait_queue_add (&q, &late, 9, &evicted);
-  cf_wait_queue_add (&q, &old, 9, &evicted);
-  cf_wait_queue_add (&q, &young, 9, &evicted);
+  cf_wait_queue_add (&q, &older, 9, &evicted);
+  cf_wait_queue_add (&q, &newer, 9, &evicted);
   cf_wait_queue_add (&q, &low, 9, &evicted);
-  ck_assert_ptr_eq (cf_wait_queue_first (&q, 100, TRUE), &young);
-  ck_assert_ptr_eq (cf_wait_queue_first (&q, 100, FALSE), &old);
+  ck_assert_ptr_eq (cf_wait_queue_first (&q, 100, TRUE), &newer);
+  ck_assert_ptr_eq (cf_wait_queue_first (&q, 100, FALSE), &older);
   ck_assert_ptr_eq (cf_wait_queue_first (&q, 401, TRUE), &low);
   ck_assert_ptr_eq (cf_wait_queue_first (&q, 501, TRUE), &late);
 }
 END_TEST
 
-START_TEST (a_fresh_request_is_not_late_on_arrival)
+START_TEST (new_request_is_not_late_on_arrival)
 {
   ck_assert_int_gt (cf_waiter_objective_send_by_ms (1000, 500, 1700), 1000);
   ck_assert_int_eq (cf_waiter_objective_send_by_ms (1000, 500, 200), 1300);
@@ -401,29 +404,29 @@
 }
 END_TEST
 
-/* Requests that are late already fill a part of the limit only. */
-START_TEST (a_limit_bounds_requests_in_flight)
+/* Late requests use only part of the limit. */
+START_TEST (concurrency_limit_bounds_requests_in_flight)
 {
-  CfTargetTable row;
+  CfTargetTable targets;
   CfPickInput in = { .service = "s", .n_gateways = 1, .limit = 20 };
   CfTarget *t;
 
-  cf_target_table_init (&row);
-  t_put_targets (&row, 8, 12);
+  cf_target_table_init (&targets);
+  t_put_targets (&targets, 8, 12);
   in.in_flight = 19;
-  ck_assert_int_eq (cf_balancer_pick (&row, &in, &t), CF_PICK_OK);
+  ck_assert_int_eq (cf_balancer_pick (&targets, &in, &t), CF_PICK_OK);
   in.yields = TRUE;
-  ck_assert_int_eq (cf_balancer_pick (&row, &in, &t), CF_PICK_FULL);
+  ck_assert_int_eq (cf_balancer_pick (&targets, &in, &t), CF_PICK_FULL);
   in.in_flight = 16;
-  ck_assert_int_eq (cf_balancer_pick (&row, &in, &t), CF_PICK_OK);
+  ck_assert_int_eq (cf_balancer_pick (&targets, &in, &t), CF_PICK_OK);
   in.yields = FALSE;
   in.in_flight = 20;
-  ck_assert_int_eq (cf_balancer_pick (&row, &in, &t), CF_PICK_FULL);
-  cf_target_table_clear (&row);
+  ck_assert_int_eq (cf_balancer_pick (&targets, &in, &t), CF_PICK_FULL);
+  cf_target_table_clear (&targets);
 }
 END_TEST
 
-START_TEST (callers_come_back_within_what_they_accept)
+START_TEST (retry_after_is_bounded_by_remaining_time)
 {
   for (guint spread = 0; spread < 1000; spread += 7)
     {
@@ -437,8 +440,9 @@
 }
 END_TEST
 
-/* Gateways that do not see one another's load pile it on a few targets. */
-START_TEST (a_fleet_fills_targets_evenly)
+/* Gateways do not see one another's load, and would overload a few targets if
+ * they all searched from the same one. */
+START_TEST (gateways_load_targets_evenly)
 {
   enum
   {
@@ -452,20 +456,20 @@
     {
       double start = (double)g / N_GATEWAYS;
       CfPickInput in = { .service = "s", .n_gateways = N_GATEWAYS };
-      CfTargetTable row;
+      CfTargetTable targets;
 
       in.ring_start = &start;
-      cf_target_table_init (&row);
-      t_put_targets (&row, N_TARGETS, 6);
+      cf_target_table_init (&targets);
+      t_put_targets (&targets, N_TARGETS, 6);
       for (int i = 0; i < N_EACH; i++)
         {
           CfTarget *t;
 
-          ck_assert_int_eq (cf_balancer_pick (&row, &in, &t), CF_PICK_OK);
+          ck_assert_int_eq (cf_balancer_pick (&targets, &in, &t), CF_PICK_OK);
           cf_target_request_started (t, 0);
           sum[atoi (t->record.id + 1)]++;
         }
-      cf_target_table_clear (&row);
+      cf_target_table_clear (&targets);
     }
   for (int i = 0; i < N_TARGETS; i++)
     {
@@ -475,8 +479,8 @@
 }
 END_TEST
 
-/* "a" has got its part of the rate that it names, and "b" and "c" are gone. */
-START_TEST (a_target_past_its_rate_is_passed_over)
+/* First "a" alone has used up its rate limit, then "b" and "c" are gone too. */
+START_TEST (rate_limited_target_is_skipped)
 {
   CfTarget *t = NULL;
 
@@ -505,29 +509,29 @@
   TCase *t = tcase_create ("balancer");
 
   tcase_add_checked_fixture (t, setup, teardown);
-  tcase_add_test (t, the_least_loaded_is_picked);
+  tcase_add_test (t, least_loaded_target_is_picked);
   tcase_add_test (t, load_is_spread_evenly);
-  tcase_add_test (t, a_fleet_fills_targets_evenly);
-  tcase_add_test (t, slow_targets_get_less);
-  tcase_add_test (t, slow_targets_get_nothing_while_others_are_full);
-  tcase_add_test (t, ranks_of_a_broken_group_get_nothing);
-  tcase_add_test (t, targets_that_stand_still_get_no_new_work);
-  tcase_add_test (t, late_ones_leave_room);
-  tcase_add_test (t, late_ones_leave_room_in_a_large_fleet);
-  tcase_add_test (t, slots_are_shared_over_the_fleet);
-  tcase_add_test (t, a_target_past_its_rate_is_passed_over);
-  tcase_add_test (t, only_the_newest_start_at_an_address_gets_work);
-  tcase_add_test (t, leaving_and_tried_ones_get_nothing);
-  tcase_add_test (t, full_ones_make_a_request_wait);
-  tcase_add_test (t, ejected_ones_are_the_last_resort);
-  tcase_add_test (t, old_and_bad_records_are_dropped);
-  tcase_add_test (t, work_outlives_its_listing);
-  tcase_add_test (t, urgent_ones_wait_in_front);
-  tcase_add_test (t, those_that_can_be_in_time_come_first);
-  tcase_add_test (t, in_overload_the_newest_goes_first);
-  tcase_add_test (t, a_fresh_request_is_not_late_on_arrival);
-  tcase_add_test (t, a_limit_bounds_requests_in_flight);
-  tcase_add_test (t, callers_come_back_within_what_they_accept);
+  tcase_add_test (t, gateways_load_targets_evenly);
+  tcase_add_test (t, slow_target_gets_fewer_requests);
+  tcase_add_test (t, slow_target_is_avoided_while_others_are_full);
+  tcase_add_test (t, ranks_of_broken_group_are_avoided);
+  tcase_add_test (t, stalled_targets_get_no_requests);
+  tcase_add_test (t, late_requests_leave_capacity);
+  tcase_add_test (t, late_requests_leave_capacity_in_large_fleet);
+  tcase_add_test (t, slots_are_divided_among_gateways);
+  tcase_add_test (t, rate_limited_target_is_skipped);
+  tcase_add_test (t, only_newest_instance_at_address_gets_requests);
+  tcase_add_test (t, leaving_and_tried_targets_are_excluded);
+  tcase_add_test (t, full_targets_are_not_picked);
+  tcase_add_test (t, ejected_targets_are_last_resort);
+  tcase_add_test (t, stale_and_invalid_records_are_dropped);
+  tcase_add_test (t, removed_target_stays_valid_while_referenced);
+  tcase_add_test (t, urgent_waiters_come_first);
+  tcase_add_test (t, on_time_waiters_come_first);
+  tcase_add_test (t, newest_waiter_goes_first_in_overload);
+  tcase_add_test (t, new_request_is_not_late_on_arrival);
+  tcase_add_test (t, concurrency_limit_bounds_requests_in_flight);
+  tcase_add_test (t, retry_after_is_bounded_by_remaining_time);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-concurrency-limit.c
+++ b/t/t-concurrency-limit.c
@@ -1,9 +1,9 @@
-/* When a limit of requests in flight comes into force, and how far it goes. */
+/* The adaptive concurrency limit: when it is set and lifted, and its bounds. */
 #include "gateway/concurrency-limit.h"
 #include "harness.h"
 
-#define SHARE 60.0
-#define AIM_MS 500
+#define FAIR_SHARE 60.0
+#define OBJECTIVE_MS 500
 #define UNQUEUED_MS 200.0
 
 static CfConcurrencyLimit limit;
@@ -16,13 +16,14 @@
   now = 1000;
 }
 
-/* @n streams, one after the other, each with its first event after @ms. */
+/* Adds @n streams, one after the other, with the first event after @ms each. */
 static void
-sample (int n, gint64 ms, guint in_flight)
+add_streams (int n, gint64 ms, guint in_flight)
 {
   for (int i = 0; i < n; i++)
     {
-      CfFirstEventSample e = { .aim_ms = AIM_MS, .fair_share = SHARE };
+      CfFirstEventSample e
+          = { .aim_ms = OBJECTIVE_MS, .fair_share = FAIR_SHARE };
 
       e.sent_ms = now;
       now += ms;
@@ -33,45 +34,46 @@
     }
 }
 
-START_TEST (fast_first_events_are_not_limited)
+START_TEST (no_limit_while_first_events_are_fast)
 {
-  sample (100, 250, 100);
+  add_streams (100, 250, 100);
   ck_assert_uint_eq (cf_concurrency_limit_get (&limit), 0);
 }
 END_TEST
 
-START_TEST (a_queue_at_the_targets_is_limited)
+START_TEST (queueing_at_targets_sets_limit)
 {
-  sample (20, 1200, 100);
+  add_streams (20, 1200, 100);
   ck_assert_uint_gt (cf_concurrency_limit_get (&limit), 0);
   ck_assert_uint_lt (cf_concurrency_limit_get (&limit), 100);
 }
 END_TEST
 
-START_TEST (a_deep_queue_is_limited_at_once)
+START_TEST (deep_queue_sets_limit_at_once)
 {
-  sample (8, 1200, (guint)(10 * SHARE));
+  add_streams (8, 1200, (guint)(10 * FAIR_SHARE));
   ck_assert_uint_gt (cf_concurrency_limit_get (&limit), 0);
-  ck_assert_uint_le (cf_concurrency_limit_get (&limit), 2 * SHARE);
+  ck_assert_uint_le (cf_concurrency_limit_get (&limit), 2 * FAIR_SHARE);
 }
 END_TEST
 
-START_TEST (a_limit_keeps_most_of_the_fair_share)
+START_TEST (limit_keeps_most_of_fair_share)
 {
-  sample (8, 1200, 100);
+  add_streams (8, 1200, 100);
   for (int i = 0; i < 100; i++)
-    sample (8, 1200, cf_concurrency_limit_get (&limit));
-  ck_assert_uint_ge (cf_concurrency_limit_get (&limit), SHARE * 0.8);
+    add_streams (8, 1200, cf_concurrency_limit_get (&limit));
+  ck_assert_uint_ge (cf_concurrency_limit_get (&limit), FAIR_SHARE * 0.8);
 }
 END_TEST
 
-/* They were sent before the limit, and would lower it once more each. */
-START_TEST (streams_sent_before_a_decision_do_not_count)
+/* Streams sent before a decision do not show its effect; if they counted, the
+ * same backlog would lower the limit again and again. */
+START_TEST (streams_sent_before_decision_are_ignored)
 {
-  CfFirstEventSample e = { .aim_ms = AIM_MS, .fair_share = SHARE };
+  CfFirstEventSample e = { .aim_ms = OBJECTIVE_MS, .fair_share = FAIR_SHARE };
   guint before;
 
-  sample (8, 1200, 100);
+  add_streams (8, 1200, 100);
   before = cf_concurrency_limit_get (&limit);
   e.sent_ms = now - 1;
   e.now_ms = now + 1500;
@@ -83,19 +85,19 @@
 }
 END_TEST
 
-START_TEST (a_limit_that_is_not_felt_is_lifted)
+START_TEST (non_binding_limit_is_lifted)
 {
-  sample (8, 1200, 100);
+  add_streams (8, 1200, 100);
   ck_assert_uint_gt (cf_concurrency_limit_get (&limit), 0);
-  sample (8 * 40, 400, 20);
+  add_streams (8 * 40, 400, 20);
   ck_assert_uint_eq (cf_concurrency_limit_get (&limit), 0);
 }
 END_TEST
 
-/* No lower limit would bring them into time. */
-START_TEST (slow_passes_alone_are_not_limited)
+/* Passes that are slow without any queue cannot be sped up by a limit. */
+START_TEST (slow_passes_alone_set_no_limit)
 {
-  CfFirstEventSample e = { .aim_ms = AIM_MS, .fair_share = SHARE };
+  CfFirstEventSample e = { .aim_ms = OBJECTIVE_MS, .fair_share = FAIR_SHARE };
 
   for (int i = 0; i < 100; i++)
     {
@@ -116,13 +118,13 @@
   TCase *t = tcase_create ("concurrency-limit");
 
   tcase_add_checked_fixture (t, setup, NULL);
-  tcase_add_test (t, fast_first_events_are_not_limited);
-  tcase_add_test (t, a_queue_at_the_targets_is_limited);
-  tcase_add_test (t, a_deep_queue_is_limited_at_once);
-  tcase_add_test (t, a_limit_keeps_most_of_the_fair_share);
-  tcase_add_test (t, streams_sent_before_a_decision_do_not_count);
-  tcase_add_test (t, a_limit_that_is_not_felt_is_lifted);
-  tcase_add_test (t, slow_passes_alone_are_not_limited);
+  tcase_add_test (t, no_limit_while_first_events_are_fast);
+  tcase_add_test (t, queueing_at_targets_sets_limit);
+  tcase_add_test (t, deep_queue_sets_limit_at_once);
+  tcase_add_test (t, limit_keeps_most_of_fair_share);
+  tcase_add_test (t, streams_sent_before_decision_are_ignored);
+  tcase_add_test (t, non_binding_limit_is_lifted);
+  tcase_add_test (t, slow_passes_alone_set_no_limit);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-outage.c
+++ b/t/t-outage.c
@@ -1,8 +1,8 @@
-/* When requests are kept back from targets that refuse all work. */
+/* Outages: when requests are held back from targets that refuse all work. */
 #include "gateway/outage.h"
 #include "harness.h"
 
-START_TEST (nothing_is_held_in_calm)
+START_TEST (no_request_is_blocked_without_outage)
 {
   CfOutage o = { 0 };
 
@@ -12,7 +12,7 @@
 }
 END_TEST
 
-START_TEST (one_request_at_a_time_is_sent_to_see)
+START_TEST (one_probe_is_sent_per_interval)
 {
   CfOutage o = { 0 };
   int sent = 0;
@@ -30,7 +30,7 @@
 }
 END_TEST
 
-START_TEST (work_done_ends_it)
+START_TEST (answer_ends_outage)
 {
   CfOutage o = { 0 };
 
@@ -42,7 +42,7 @@
 }
 END_TEST
 
-START_TEST (what_is_recent_is_so_only_after_an_outage)
+START_TEST (recent_end_needs_an_outage)
 {
   CfOutage o = { 0 };
 
@@ -52,13 +52,13 @@
   ck_assert (!cf_outage_has_ended_recently (&o, 1100));
   cf_outage_record_answer (&o, 1700);
   ck_assert (cf_outage_has_ended_recently (&o, 1800));
-  /* What is answered later begins no new span. */
+  /* A later answer does not make the end recent again. */
   cf_outage_record_answer (&o, 2100);
   ck_assert (!cf_outage_has_ended_recently (&o, 2300));
 }
 END_TEST
 
-START_TEST (an_outage_is_long_past_the_time_a_group_takes_to_form)
+START_TEST (outage_is_long_after_group_should_have_formed)
 {
   CfOutage o = { 0 };
 
@@ -77,11 +77,11 @@
   Suite *s = suite_create ("outage");
   TCase *tc = tcase_create ("core");
 
-  tcase_add_test (tc, nothing_is_held_in_calm);
-  tcase_add_test (tc, one_request_at_a_time_is_sent_to_see);
-  tcase_add_test (tc, work_done_ends_it);
-  tcase_add_test (tc, an_outage_is_long_past_the_time_a_group_takes_to_form);
-  tcase_add_test (tc, what_is_recent_is_so_only_after_an_outage);
+  tcase_add_test (tc, no_request_is_blocked_without_outage);
+  tcase_add_test (tc, one_probe_is_sent_per_interval);
+  tcase_add_test (tc, answer_ends_outage);
+  tcase_add_test (tc, outage_is_long_after_group_should_have_formed);
+  tcase_add_test (tc, recent_end_needs_an_outage);
   suite_add_tcase (s, tc);
   return t_run (s);
 }
--- a/t/t-outlier.c
+++ b/t/t-outlier.c
@@ -1,5 +1,5 @@
 /*
- * Outlier ejection: after failures in a row, for longer each time, until a
+ * Outlier ejection: after consecutive failures, for longer each time, until a
  * success.
  */
 #include "harness.h"
@@ -7,7 +7,7 @@
 
 #include <check.h>
 
-START_TEST (test_ejected_after_failures_in_a_row)
+START_TEST (test_ejected_after_consecutive_failures)
 {
   CfOutlier o = { 0 };
 
@@ -24,7 +24,7 @@
 }
 END_TEST
 
-START_TEST (test_each_ejection_in_a_row_is_longer)
+START_TEST (test_consecutive_ejections_get_longer)
 {
   CfOutlier o = { 0 };
   gint64 now = 0;
@@ -37,12 +37,13 @@
   ck_assert_int_eq (cf_outlier_record_failure (&o, now + 1), 0);
   for (int i = 0; i < 10; i++)
     {
-      gint64 ms;
+      gint64 duration_ms;
 
       now += last;
-      ms = cf_outlier_record_failure (&o, now);
-      ck_assert_int_eq (ms, MIN (last * 2, CF_OUTLIER_MAX_EJECTION_MS));
-      last = ms;
+      duration_ms = cf_outlier_record_failure (&o, now);
+      ck_assert_int_eq (duration_ms,
+                        MIN (last * 2, CF_OUTLIER_MAX_EJECTION_MS));
+      last = duration_ms;
     }
   now += last;
   cf_outlier_record_success (&o);
@@ -51,14 +52,14 @@
 }
 END_TEST
 
-START_TEST (test_ejected_at_once_when_known_to_be_of_no_use)
+START_TEST (test_unusable_target_is_ejected_at_once)
 {
   CfOutlier o = { 0 };
 
   ck_assert_int_eq (cf_outlier_eject (&o, 1000), CF_OUTLIER_BASE_EJECTION_MS);
   ck_assert (cf_outlier_is_ejected (&o, 1001));
   ck_assert_int_eq (cf_outlier_eject (&o, 1001), 0);
-  /* Still of no use when it is tried again: for twice as long. */
+  /* Still unusable after the ejection: ejected for twice as long. */
   ck_assert_int_eq (cf_outlier_eject (&o, 1000 + CF_OUTLIER_BASE_EJECTION_MS),
                     2 * CF_OUTLIER_BASE_EJECTION_MS);
 }
@@ -70,9 +71,9 @@
   Suite *s = suite_create ("outlier");
   TCase *tc = tcase_create ("core");
 
-  tcase_add_test (tc, test_ejected_after_failures_in_a_row);
-  tcase_add_test (tc, test_ejected_at_once_when_known_to_be_of_no_use);
-  tcase_add_test (tc, test_each_ejection_in_a_row_is_longer);
+  tcase_add_test (tc, test_ejected_after_consecutive_failures);
+  tcase_add_test (tc, test_unusable_target_is_ejected_at_once);
+  tcase_add_test (tc, test_consecutive_ejections_get_longer);
   suite_add_tcase (s, tc);
   return t_run (s);
 }
--- a/t/t-overload.c
+++ b/t/t-overload.c
@@ -1,6 +1,7 @@
 /*
- * Outages and bursts, played over the decisions alone: gateways before a group
- * of ranks that make each pass together, and what callers get afterwards.
+ * Simulated outages and bursts: the gateways' real decisions with a model of a
+ * group of ranks that make each pass together, and how many callers are served
+ * on time afterwards.
  */
 #include "gateway/balancer.h"
 #include "gateway/concurrency-limit.h"
@@ -14,141 +15,147 @@
 
 #define GATEWAYS_MAX 35
 #define RANKS_MAX 192
-#define SECONDS 26
-#define OUTAGE_FROM 5000
-#define BURST_FROM 5000
-#define PATIENCE_MS 2400
-#define LEFT_MS 8000
-/* Of what full batches bear, the usual peak of the users' deployments. */
-#define PEAK_PART 0.83
+#define DURATION_S 26
+#define OUTAGE_START_MS 5000
+#define BURST_START_MS 5000
+#define FIRST_EVENT_TIMEOUT_MS 2400
+#define DEADLINE_MS 8000
+/* The usual peak load of users' deployments, as a fraction of the capacity with
+ * full batches. */
+#define PEAK_FRACTION 0.83
 #define RECOVERY_S 3
 
-/* What is played: a fleet before a rank group, and its callers. */
+/* A simulated scenario: gateways in front of a rank group, and the load. */
 typedef struct
 {
-  int gateways;
+  int n_gateways;
   int ranks;
   int slots;
   int events;
   double step_ms;
   double per_seq_ms;
   int stride;
-  double skew_times; /* a pass against one at even load: the map's skew, on the
-                        part of the work that experts do */
-  double read_ms;    /* what reading a prompt adds to a pass of all: its part of
-                        a rank's work, spread over the ranks */
+  double skew_factor; /* duration of a pass relative to one at even load: the
+                        expert map's skew, for the experts' part of the work */
+  double prompt_ms; /* added to a pass of all ranks by each prompt: its part of
+                     a rank's work, divided by the ranks */
   gint64 aim_ms;
   gint64 gap_aim_ms;
   double per_s;
-  gint64 outage_to; /* from OUTAGE_FROM on */
-  double spread;    /* of a pass, the part that all ranks share evenly */
-  double burst;     /* times the traffic from BURST_FROM on; 0: no burst */
-  gint64 burst_to;
-  gboolean callers_leave;  /* after PATIENCE_MS without an event */
-  gboolean callers_return; /* once, if refused */
-} Load;
-
-/* Engines of 12, 10 and 6 slots, with the objectives of their streams. */
+  gint64 outage_end_ms;   /* an outage lasts from OUTAGE_START_MS to this */
+  double shared_fraction; /* fraction of a pass that all ranks share evenly */
+  double burst_factor;    /* factor of the load from BURST_START_MS on; 0: no
+                      burst */
+  gint64 burst_end_ms;
+  gboolean callers_time_out; /* after FIRST_EVENT_TIMEOUT_MS without an event */
+  gboolean callers_retry;    /* once, when refused */
+} Scenario;
+
+/* Engines with 12, 10 and 6 slots, and the objectives for their streams. */
 #define SLOTS_12                                                               \
   .slots = 12, .events = 24, .step_ms = 4.55, .per_seq_ms = 0.905,             \
-  .stride = 4, .skew_times = 1.21, .aim_ms = 500, .gap_aim_ms = 120
+  .stride = 4, .skew_factor = 1.21, .aim_ms = 500, .gap_aim_ms = 120
 #define SLOTS_10                                                               \
   .slots = 10, .events = 19, .step_ms = 4.55, .per_seq_ms = 1.09, .stride = 5, \
-  .skew_times = 1.25, .aim_ms = 500, .gap_aim_ms = 150, .spread = 0.85
+  .skew_factor = 1.25, .aim_ms = 500, .gap_aim_ms = 150,                       \
+  .shared_fraction = 0.85
 #define SLOTS_6                                                                \
   .slots = 6, .events = 15, .step_ms = 4.55, .per_seq_ms = 1.99, .stride = 6,  \
-  .skew_times = 1.25, .aim_ms = 600, .gap_aim_ms = 200, .spread = 0.85
+  .skew_factor = 1.25, .aim_ms = 600, .gap_aim_ms = 200,                       \
+  .shared_fraction = 0.85
 
-/* Nine tenths of what full batches bear: a backlog goes down slowly. */
-static const Load small = { SLOTS_12,       .gateways = 4, .ranks = 16,
-                            .read_ms = 1.2, .per_s = 92,   .outage_to = 7000 };
+/* Load of nine tenths of the capacity: a backlog is worked off slowly. */
+static const Scenario small
+    = { SLOTS_12,         .n_gateways = 4, .ranks = 16,
+        .prompt_ms = 1.2, .per_s = 92,     .outage_end_ms = 7000 };
 
 /* The same with more gateways than a target has slots. */
-static const Load large = { SLOTS_6,        .gateways = 35, .ranks = 192,
-                            .read_ms = 0.1, .per_s = 500,   .outage_to = 9000 };
+static const Scenario large
+    = { SLOTS_6,          .n_gateways = 35, .ranks = 192,
+        .prompt_ms = 0.1, .per_s = 500,     .outage_end_ms = 9000 };
 
 typedef struct
 {
   CfWaiter waiter;
   gint64 start_ms;
   gint64 sent_ms;
-  gint64 last_ms; /* of its last event */
-  gint64 longest_ms;
+  gint64 last_ms;    /* when its last event came */
+  gint64 longest_ms; /* longest pause between two events */
   gint64 first_ms;
   int events;
   CfTarget *target;
   struct Gateway *gateway;
   int rank;
-  gboolean begun;    /* it has one of the rank's slots */
-  gboolean returned; /* it was refused once, and is late for sure */
-  gint64 returns_ms;
+  gboolean has_slot; /* it has one of the rank's slots */
+  gboolean is_retry; /* it was refused once, and counts as late */
+  gint64 retry_at_ms;
 } Stream;
 
 typedef struct Gateway
 {
   CfTargetTable table;
   CfWaitQueue queue;
-  CfStreamLatency pace;
+  CfStreamLatency latency;
   CfConcurrencyLimit limit;
   double ring_start;
   guint in_flight;
 } Gateway;
 
-/* By second of arrival. */
+/* Counters by second of arrival. */
 typedef struct
 {
-  int asked[SECONDS];
-  int in_time[SECONDS];
-  int late[SECONDS];
-  int refused[SECONDS];
+  int arrived[DURATION_S];
+  int on_time[DURATION_S];
+  int late[DURATION_S];
+  int refused[DURATION_S];
 } Tally;
 
-static const Load *load;
-static Gateway gws[GATEWAYS_MAX];
-static GPtrArray *running;     /* of Stream: at a rank, begun or not */
-static GPtrArray *away;        /* of Stream: refused, coming back */
-static int writing[RANKS_MAX]; /* of them, those that are begun */
+static const Scenario *scenario;
+static Gateway gateways[GATEWAYS_MAX];
+static GPtrArray *running;     /* of Stream: at a rank, with a slot or queued */
+static GPtrArray *backing_off; /* of Stream: refused, to be retried */
+static int n_writing[RANKS_MAX]; /* streams with a slot, by rank */
 static Tally tally;
 static gboolean with_yielding;
-static gboolean with_random_turns;
+static gboolean with_random_start;
 static gboolean with_limit;
 static gboolean with_ring;
 
 static void
-begin (const Load *l)
+init_scenario (const Scenario *spec)
 {
-  load = l;
-  for (int g = 0; g < load->gateways; g++)
+  scenario = spec;
+  for (int g = 0; g < scenario->n_gateways; g++)
     {
-      cf_target_table_init (&gws[g].table);
-      cf_wait_queue_init (&gws[g].queue);
-      gws[g].pace = (CfStreamLatency){ 0 };
-      gws[g].limit = (CfConcurrencyLimit){ 0 };
-      gws[g].ring_start = (double)g / load->gateways;
-      gws[g].in_flight = 0;
-      if (!with_random_turns)
-        gws[g].table.next_start = 0;
-      t_put_targets (&gws[g].table, load->ranks, load->slots);
+      cf_target_table_init (&gateways[g].table);
+      cf_wait_queue_init (&gateways[g].queue);
+      gateways[g].latency = (CfStreamLatency){ 0 };
+      gateways[g].limit = (CfConcurrencyLimit){ 0 };
+      gateways[g].ring_start = (double)g / scenario->n_gateways;
+      gateways[g].in_flight = 0;
+      if (!with_random_start)
+        gateways[g].table.next_start = 0;
+      t_put_targets (&gateways[g].table, scenario->ranks, scenario->slots);
     }
   running = g_ptr_array_new_with_free_func (g_free);
-  away = g_ptr_array_new_with_free_func (g_free);
+  backing_off = g_ptr_array_new_with_free_func (g_free);
   memset (&tally, 0, sizeof tally);
-  memset (writing, 0, sizeof writing);
+  memset (n_writing, 0, sizeof n_writing);
 }
 
 static void
-end (void)
+clear_scenario (void)
 {
-  for (int g = 0; g < load->gateways; g++)
-    cf_target_table_clear (&gws[g].table);
+  for (int g = 0; g < scenario->n_gateways; g++)
+    cf_target_table_clear (&gateways[g].table);
   g_ptr_array_free (running, TRUE);
-  g_ptr_array_free (away, TRUE);
+  g_ptr_array_free (backing_off, TRUE);
 }
 
 static gboolean
-is_out (gint64 now)
+is_outage (gint64 now)
 {
-  return now >= OUTAGE_FROM && now < load->outage_to;
+  return now >= OUTAGE_START_MS && now < scenario->outage_end_ms;
 }
 
 static gboolean
@@ -156,15 +163,15 @@
 {
   CfPickInput in = { .service = "s", .now_ms = now };
 
-  if (is_out (now))
+  if (is_outage (now))
     return FALSE;
-  in.n_gateways = load->gateways;
+  in.n_gateways = scenario->n_gateways;
   in.in_flight = g->in_flight;
   in.limit = cf_concurrency_limit_get (&g->limit);
   in.ring_start = with_ring ? &g->ring_start : NULL;
   in.yields = with_yielding
-              && cf_waiter_has_to_yield (&s->waiter, now, g->pace.pause_ms,
-                                         load->gap_aim_ms);
+              && cf_waiter_has_to_yield (&s->waiter, now, g->latency.pause_ms,
+                                         scenario->gap_aim_ms);
   if (cf_balancer_pick (&g->table, &in, &s->target) != CF_PICK_OK)
     return FALSE;
   cf_target_request_started (s->target, now);
@@ -177,7 +184,7 @@
 }
 
 static int
-second_of (const Stream *s)
+get_arrival_second (const Stream *s)
 {
   return (int)(s->start_ms / 1000);
 }
@@ -191,45 +198,45 @@
 static void
 refuse (Stream *s, gint64 now)
 {
-  gint64 busy_ms = cf_wait_queue_backoff_ms (is_overloaded (s->gateway)
-                                                 ? CF_NO_CAPACITY_OVERLOAD
-                                                 : CF_NO_CAPACITY_FULL);
-  gint64 retry_ms = cf_retry_after_ms (s->start_ms + LEFT_MS - now, busy_ms,
-                                       g_random_int ());
+  gint64 backoff_ms = cf_wait_queue_backoff_ms (is_overloaded (s->gateway)
+                                                    ? CF_NO_CAPACITY_OVERLOAD
+                                                    : CF_NO_CAPACITY_FULL);
+  gint64 retry_ms = cf_retry_after_ms (s->start_ms + DEADLINE_MS - now,
+                                       backoff_ms, g_random_int ());
 
-  if (!load->callers_return || s->returned)
+  if (!scenario->callers_retry || s->is_retry)
     {
-      tally.refused[second_of (s)]++;
+      tally.refused[get_arrival_second (s)]++;
       g_free (s);
       return;
     }
-  s->returned = TRUE;
-  s->returns_ms = now + retry_ms;
-  g_ptr_array_add (away, s);
+  s->is_retry = TRUE;
+  s->retry_at_ms = now + retry_ms;
+  g_ptr_array_add (backing_off, s);
 }
 
-/* Gateways cannot tell a request that returns from a new one. */
+/* Gateways treat a retried request like a new one. */
 static void
-arrive (Gateway *g, Stream *s, gint64 now)
+on_arrival (Gateway *g, Stream *s, gint64 now)
 {
   CfWaiter *evicted;
-  gint64 first
-      = cf_stream_latency_first_event_ms (&g->pace, NULL, &(CfStreamSize){ 0 });
+  gint64 first = cf_stream_latency_first_event_ms (&g->latency, NULL,
+                                                   &(CfStreamSize){ 0 });
 
   s->waiter.owner = s;
   s->gateway = g;
-  if (!s->returned)
+  if (!s->is_retry)
     {
       s->start_ms = now;
-      tally.asked[second_of (s)]++;
+      tally.arrived[get_arrival_second (s)]++;
     }
-  if (!is_out (now) && !g->queue.n && send_to_target (g, s, now))
+  if (!is_outage (now) && !g->queue.n && send_to_target (g, s, now))
     return;
   s->waiter.since_ms = now;
   s->waiter.objective_send_by_ms
-      = cf_waiter_objective_send_by_ms (now, load->aim_ms, first);
+      = cf_waiter_objective_send_by_ms (now, scenario->aim_ms, first);
   if (!cf_wait_queue_add (&g->queue, &s->waiter,
-                          (guint)(load->ranks * load->slots), &evicted))
+                          (guint)(scenario->ranks * scenario->slots), &evicted))
     refuse (s, now);
   if (evicted)
     refuse (evicted->owner, now);
@@ -252,7 +259,8 @@
   for (w = TAILQ_FIRST (&g->queue.waiters); w; w = next)
     {
       next = TAILQ_NEXT (w, link);
-      if (now - w->since_ms <= cf_wait_queue_max_wait_ms (PATIENCE_MS, LEFT_MS))
+      if (now - w->since_ms
+          <= cf_wait_queue_max_wait_ms (FIRST_EVENT_TIMEOUT_MS, DEADLINE_MS))
         continue;
       cf_wait_queue_remove (&g->queue, w);
       refuse (w->owner, now);
@@ -260,177 +268,187 @@
 }
 
 static void
-end_stream (Stream *s)
+on_stream_end (Stream *s)
 {
-  gboolean in_time = !s->returned && s->first_ms <= load->aim_ms
-                     && s->longest_ms <= load->gap_aim_ms;
+  gboolean on_time = !s->is_retry && s->first_ms <= scenario->aim_ms
+                     && s->longest_ms <= scenario->gap_aim_ms;
 
-  if (in_time)
-    tally.in_time[second_of (s)]++;
+  if (on_time)
+    tally.on_time[get_arrival_second (s)]++;
   else
-    tally.late[second_of (s)]++;
+    tally.late[get_arrival_second (s)]++;
   cf_target_request_ended (s->target);
   s->gateway->in_flight--;
-  writing[s->rank]--;
+  n_writing[s->rank]--;
 }
 
-/* Gives free slots to those that wait at the ranks; how many a rank writes, as
- * far as a pass goes by the fullest one and by the mean. */
+/* Assigns free slots to the streams queued at the ranks.  Returns the number of
+ * streams per rank that determines the duration of a pass: between the mean and
+ * the maximum. */
 static double
-begin_streams (void)
+assign_slots (void)
 {
-  int most = 0;
+  int max_writing = 0;
   int sum = 0;
 
   for (guint i = 0; i < running->len; i++)
     {
       Stream *s = running->pdata[i];
 
-      if (!s->begun && writing[s->rank] < load->slots)
+      if (!s->has_slot && n_writing[s->rank] < scenario->slots)
         {
-          s->begun = TRUE;
-          writing[s->rank]++;
+          s->has_slot = TRUE;
+          n_writing[s->rank]++;
         }
-      most = MAX (most, writing[s->rank]);
+      max_writing = MAX (max_writing, n_writing[s->rank]);
     }
-  for (int r = 0; r < load->ranks; r++)
-    sum += writing[r];
-  return load->spread * sum / load->ranks + (1 - load->spread) * most;
+  for (int r = 0; r < scenario->ranks; r++)
+    sum += n_writing[r];
+  return scenario->shared_fraction * sum / scenario->ranks
+         + (1 - scenario->shared_fraction) * max_writing;
 }
 
-/* Its caller gave it up before its first event. */
+/* The caller gave up before the first event. */
 static void
-leave (Stream *s)
+on_caller_timeout (Stream *s)
 {
-  tally.late[second_of (s)]++;
+  tally.late[get_arrival_second (s)]++;
   cf_target_request_ended (s->target);
   s->gateway->in_flight--;
 }
 
 static void
-sample_limit (Stream *s, gint64 now)
+add_limit_sample (Stream *s, gint64 now)
 {
   Gateway *g = s->gateway;
   CfFirstEventSample e = { .now_ms = now, .sent_ms = s->sent_ms };
 
   e.unqueued_ms
-      = cf_stream_latency_unqueued_ms (&g->pace, NULL, &(CfStreamSize){ 0 });
-  e.aim_ms = load->aim_ms;
+      = cf_stream_latency_unqueued_ms (&g->latency, NULL, &(CfStreamSize){ 0 });
+  e.aim_ms = scenario->aim_ms;
   e.in_flight = g->in_flight;
-  e.fair_share = (double)load->ranks * load->slots / load->gateways;
+  e.fair_share
+      = (double)scenario->ranks * scenario->slots / scenario->n_gateways;
   cf_concurrency_limit_add_sample (&g->limit, &e);
 }
 
-/* One pass of the group: every running stream writes an event at its end. */
+/* Runs one pass of the group, at whose end every stream with a slot writes an
+ * event.  Returns the end of the pass. */
 static gint64
-pass (gint64 now, int read)
+run_pass (gint64 now, int n_prompts)
 {
-  double n = begin_streams ();
-  gint64 end = now
-               + (gint64)(load->stride * (load->step_ms + load->per_seq_ms * n)
-                              * load->skew_times
-                          + load->read_ms * read);
+  double n = assign_slots ();
+  gint64 end_ms
+      = now
+        + (gint64)(scenario->stride
+                       * (scenario->step_ms + scenario->per_seq_ms * n)
+                       * scenario->skew_factor
+                   + scenario->prompt_ms * n_prompts);
 
   for (guint i = 0; i < running->len;)
     {
       Stream *s = running->pdata[i];
 
-      if (!s->begun && load->callers_leave && end - s->start_ms > PATIENCE_MS)
+      if (!s->has_slot && scenario->callers_time_out
+          && end_ms - s->start_ms > FIRST_EVENT_TIMEOUT_MS)
         {
-          leave (s);
+          on_caller_timeout (s);
           g_ptr_array_remove_index (running, i);
           continue;
         }
-      if (!s->begun)
+      if (!s->has_slot)
         {
           i++;
           continue;
         }
       if (s->events++ == 0)
         {
-          s->first_ms = end - s->start_ms;
-          cf_stream_latency_add_first_event (&s->gateway->pace,
-                                             end - s->sent_ms);
+          s->first_ms = end_ms - s->start_ms;
+          cf_stream_latency_add_first_event (&s->gateway->latency,
+                                             end_ms - s->sent_ms);
           if (with_limit)
-            sample_limit (s, end);
+            add_limit_sample (s, end_ms);
         }
       else
         {
-          s->longest_ms = MAX (s->longest_ms, end - s->last_ms);
-          cf_stream_latency_add_event (&s->gateway->pace, end,
-                                       end - s->last_ms);
+          s->longest_ms = MAX (s->longest_ms, end_ms - s->last_ms);
+          cf_stream_latency_add_event (&s->gateway->latency, end_ms,
+                                       end_ms - s->last_ms);
         }
-      s->last_ms = end;
-      if (s->events < load->events)
+      s->last_ms = end_ms;
+      if (s->events < scenario->events)
         {
           i++;
           continue;
         }
-      end_stream (s);
+      on_stream_end (s);
       g_ptr_array_remove_index (running, i);
     }
-  return end;
+  return end_ms;
 }
 
 static double
-rate_at (gint64 now)
+get_rate (gint64 now)
 {
-  gboolean burst = load->burst > 0 && now >= BURST_FROM && now < load->burst_to;
+  gboolean is_burst = scenario->burst_factor > 0 && now >= BURST_START_MS
+                      && now < scenario->burst_end_ms;
 
-  return load->per_s * (burst ? load->burst : 1);
+  return scenario->per_s * (is_burst ? scenario->burst_factor : 1);
 }
 
 static void
-return_callers (GRand *rand, gint64 now)
+retry_callers (GRand *rand, gint64 now)
 {
-  for (guint i = 0; i < away->len;)
+  for (guint i = 0; i < backing_off->len;)
     {
-      Stream *s = away->pdata[i];
+      Stream *s = backing_off->pdata[i];
 
-      if (s->returns_ms > now)
+      if (s->retry_at_ms > now)
         {
           i++;
           continue;
         }
-      g_ptr_array_steal_index (away, i);
-      arrive (&gws[g_rand_int_range (rand, 0, load->gateways)], s, now);
+      g_ptr_array_steal_index (backing_off, i);
+      on_arrival (&gateways[g_rand_int_range (rand, 0, scenario->n_gateways)],
+                  s, now);
     }
 }
 
-/* Arrivals over all gateways until the end, then passes on. */
+/* Simulates @spec: arrivals at random gateways, and the passes of the group. */
 static void
-play (const Load *l)
+run_scenario (const Scenario *spec)
 {
   GRand *rand = g_rand_new_with_seed (7);
-  gint64 pass_ends = 0;
-  int read = 0;
+  gint64 pass_end_ms = 0;
+  int n_prompts = 0;
 
-  begin (l);
-  for (gint64 now = 0; now < SECONDS * 1000; now++)
+  init_scenario (spec);
+  for (gint64 now = 0; now < DURATION_S * 1000; now++)
     {
-      if (g_rand_double (rand) < rate_at (now) / 1000.0)
+      if (g_rand_double (rand) < get_rate (now) / 1000.0)
         {
-          arrive (&gws[g_rand_int_range (rand, 0, load->gateways)],
-                  g_new0 (Stream, 1), now);
-          read++;
+          on_arrival (
+              &gateways[g_rand_int_range (rand, 0, scenario->n_gateways)],
+              g_new0 (Stream, 1), now);
+          n_prompts++;
         }
-      return_callers (rand, now);
+      retry_callers (rand, now);
       if (now % 50 == 0)
-        for (int g = 0; g < load->gateways; g++)
-          serve_waiters (&gws[g], now);
-      if (now < pass_ends || running->len == 0)
+        for (int g = 0; g < scenario->n_gateways; g++)
+          serve_waiters (&gateways[g], now);
+      if (now < pass_end_ms || running->len == 0)
         continue;
-      pass_ends = pass (now, read);
-      read = 0;
-      for (int g = 0; g < load->gateways; g++)
-        serve_waiters (&gws[g], now);
+      pass_end_ms = run_pass (now, n_prompts);
+      n_prompts = 0;
+      for (int g = 0; g < scenario->n_gateways; g++)
+        serve_waiters (&gateways[g], now);
     }
   g_rand_free (rand);
-  end ();
+  clear_scenario ();
 }
 
 static double
-part (const int *what, int from, int to)
+get_fraction (const int *what, int from, int to)
 {
   int n = 0;
   int of = 0;
@@ -438,114 +456,118 @@
   for (int i = from; i < to; i++)
     {
       n += what[i];
-      of += tally.asked[i];
+      of += tally.arrived[i];
     }
   return (double)n / of;
 }
 
-/* Late requests of a backlog that fill every batch make later ones late. */
-START_TEST (a_backlog_does_not_make_all_late)
+/* Without yielding, the late requests of a backlog fill every batch and make
+ * later requests late as well. */
+START_TEST (backlog_does_not_make_all_requests_late)
 {
   double before;
   double after;
 
-  with_random_turns = FALSE;
+  with_random_start = FALSE;
   with_yielding = FALSE;
-  play (&small);
-  before = part (tally.in_time, 10, 20);
+  run_scenario (&small);
+  before = get_fraction (tally.on_time, 10, 20);
   with_yielding = TRUE;
-  play (&small);
-  after = part (tally.in_time, 10, 20);
-  ck_assert_double_gt (part (tally.in_time, 1, 4), 0.9);
+  run_scenario (&small);
+  after = get_fraction (tally.on_time, 10, 20);
+  ck_assert_double_gt (get_fraction (tally.on_time, 1, 4), 0.9);
   ck_assert_double_lt (before, 0.45);
   ck_assert_double_gt (after, 0.6);
 }
 END_TEST
 
-/* Gateways that take targets in next_start from the same one on move in step.
- */
-START_TEST (a_large_fleet_does_not_crowd_the_same_targets)
+/* Gateways that go round robin from the same target on move in lock step, and
+ * overload the same targets. */
+START_TEST (large_fleet_does_not_overload_same_targets)
 {
   double before;
 
   with_yielding = TRUE;
-  with_random_turns = FALSE;
-  play (&large);
-  before = part (tally.in_time, 1, 4);
+  with_random_start = FALSE;
+  run_scenario (&large);
+  before = get_fraction (tally.on_time, 1, 4);
   g_random_set_seed (7);
-  with_random_turns = TRUE;
-  play (&large);
+  with_random_start = TRUE;
+  run_scenario (&large);
   ck_assert_double_lt (before, 0.4);
-  ck_assert_double_gt (part (tally.in_time, 1, 4), 0.9);
+  ck_assert_double_gt (get_fraction (tally.on_time, 1, 4), 0.9);
 }
 END_TEST
 
-/* Where a gateway's part of one target's slots is a single request. */
-START_TEST (late_ones_leave_room_in_a_large_fleet)
+/* A gateway's share of one target's slots is a single request here. */
+START_TEST (late_requests_leave_capacity_in_large_fleet)
 {
   double before;
 
-  with_random_turns = TRUE;
+  with_random_start = TRUE;
   with_yielding = FALSE;
   g_random_set_seed (7);
-  play (&large);
-  before = part (tally.in_time, 10, 20);
+  run_scenario (&large);
+  before = get_fraction (tally.on_time, 10, 20);
   with_yielding = TRUE;
   g_random_set_seed (7);
-  play (&large);
-  ck_assert_double_gt (part (tally.in_time, 10, 20), before + 0.02);
+  run_scenario (&large);
+  ck_assert_double_gt (get_fraction (tally.on_time, 10, 20), before + 0.02);
 }
 END_TEST
 
-/* Fleets of one shape each; rates are set by the cases. */
-static const Load fleets[] = {
-  { SLOTS_12, .gateways = 3, .ranks = 8, .read_ms = 2.4 },
-  { SLOTS_12, .gateways = 4, .ranks = 16, .read_ms = 1.2 },
-  { SLOTS_10, .gateways = 12, .ranks = 72, .read_ms = 0.2 },
-  { SLOTS_10, .gateways = 16, .ranks = 72, .read_ms = 0.2 },
-  { SLOTS_6, .gateways = 35, .ranks = 192, .read_ms = 0.1 },
+/* Deployments of different sizes; the tests set the load. */
+static const Scenario fleets[] = {
+  { SLOTS_12, .n_gateways = 3, .ranks = 8, .prompt_ms = 2.4 },
+  { SLOTS_12, .n_gateways = 4, .ranks = 16, .prompt_ms = 1.2 },
+  { SLOTS_10, .n_gateways = 12, .ranks = 72, .prompt_ms = 0.2 },
+  { SLOTS_10, .n_gateways = 16, .ranks = 72, .prompt_ms = 0.2 },
+  { SLOTS_6, .n_gateways = 35, .ranks = 192, .prompt_ms = 0.1 },
 };
 
-/* Streams a second that full batches bear. */
+/* Streams per second that the ranks can serve with full batches. */
 static double
-capacity (const Load *l)
+get_capacity (const Scenario *spec)
 {
-  double streams = (double)l->ranks * l->slots / l->events; /* a pass */
-  double write
-      = l->stride * (l->step_ms + l->per_seq_ms * l->slots) * l->skew_times;
+  double streams
+      = (double)spec->ranks * spec->slots / spec->events; /* per pass */
+  double write = spec->stride * (spec->step_ms + spec->per_seq_ms * spec->slots)
+                 * spec->skew_factor;
 
-  return 1000 * streams / (write + l->read_ms * streams);
+  return 1000 * streams / (write + spec->prompt_ms * streams);
 }
 
-/* With all mechanisms on; the same arrivals each time. */
+/* Simulates @spec with all mechanisms on, and the same arrivals each time. */
 static void
-play_as_released (const Load *l)
+run_with_all_mechanisms (const Scenario *spec)
 {
   g_random_set_seed (7);
   with_limit = TRUE;
   with_ring = TRUE;
   with_yielding = TRUE;
-  with_random_turns = TRUE;
-  play (l);
+  with_random_start = TRUE;
+  run_scenario (spec);
 }
 
 static double
-in_time_after_burst (const Load *of, double peaks, double times, gint64 for_ms)
-{
-  Load l = *of;
-
-  l.per_s = capacity (of) * PEAK_PART * peaks;
-  l.burst = times;
-  l.burst_to = BURST_FROM + for_ms;
-  l.callers_leave = TRUE;
-  l.callers_return = TRUE;
-  play_as_released (&l);
-  return part (tally.in_time, (int)(l.burst_to / 1000) + RECOVERY_S,
-               SECONDS - 3);
+get_on_time_after_burst (const Scenario *of, double peaks, double times,
+                         gint64 for_ms)
+{
+  Scenario spec = *of;
+
+  spec.per_s = get_capacity (of) * PEAK_FRACTION * peaks;
+  spec.burst_factor = times;
+  spec.burst_end_ms = BURST_START_MS + for_ms;
+  spec.callers_time_out = TRUE;
+  spec.callers_retry = TRUE;
+  run_with_all_mechanisms (&spec);
+  return get_fraction (tally.on_time,
+                       (int)(spec.burst_end_ms / 1000) + RECOVERY_S,
+                       DURATION_S - 3);
 }
 
 static void
-check_bursts (const Load *l, double peaks)
+check_bursts (const Scenario *spec, double peaks)
 {
   static const struct
   {
@@ -555,62 +577,62 @@
 
   for (guint i = 0; i < G_N_ELEMENTS (bursts); i++)
     {
-      double in_time
-          = in_time_after_burst (l, peaks, bursts[i].times, bursts[i].for_ms);
+      double on_time = get_on_time_after_burst (spec, peaks, bursts[i].times,
+                                                bursts[i].for_ms);
 
-      ck_assert_msg (in_time >= 0.9,
+      ck_assert_msg (on_time >= 0.9,
                      "%d gateways, %.1f times for %" G_GINT64_FORMAT
                      " ms at %.1f of the peak: %.2f in time",
-                     l->gateways, bursts[i].times, bursts[i].for_ms, peaks,
-                     in_time);
+                     spec->n_gateways, bursts[i].times, bursts[i].for_ms, peaks,
+                     on_time);
     }
 }
 
-START_TEST (overload_ends_within_3_s_of_its_burst)
+START_TEST (overload_ends_within_3_s_of_burst)
 {
   check_bursts (&fleets[_i], 0.9);
   check_bursts (&fleets[_i], 1.0);
 }
 END_TEST
 
-START_TEST (overload_above_the_usual_peak_ends_within_3_s)
+START_TEST (overload_above_usual_peak_ends_within_3_s)
 {
   check_bursts (&fleets[_i], 1.1);
 }
 END_TEST
 
-/* Streams in time a second. */
+/* Streams per second that meet their objectives. */
 static double
-goodput (const Load *of, double per_s)
+get_goodput (const Scenario *of, double per_s)
 {
-  Load l = *of;
+  Scenario spec = *of;
 
-  l.per_s = per_s;
-  l.callers_leave = TRUE;
-  play_as_released (&l);
-  return part (tally.in_time, 8, SECONDS - 3) * per_s;
+  spec.per_s = per_s;
+  spec.callers_time_out = TRUE;
+  run_with_all_mechanisms (&spec);
+  return get_fraction (tally.on_time, 8, DURATION_S - 3) * per_s;
 }
 
-START_TEST (goodput_at_twice_the_knee_is_that_at_the_knee)
+START_TEST (goodput_at_twice_the_knee_is_kept)
 {
-  const Load *l = &fleets[_i];
+  const Scenario *spec = &fleets[_i];
   double knee = 0;
   double knee_per_s = 0;
   double twice;
 
   for (int percent = 60; percent <= 100; percent += 5)
     {
-      double per_s = capacity (l) * percent / 100;
-      double good = goodput (l, per_s);
+      double per_s = get_capacity (spec) * percent / 100;
+      double good = get_goodput (spec, per_s);
 
       if (good <= knee)
         continue;
       knee = good;
       knee_per_s = per_s;
     }
-  twice = goodput (l, 2 * knee_per_s);
+  twice = get_goodput (spec, 2 * knee_per_s);
   ck_assert_msg (twice >= 0.9 * knee, "%d gateways: %.0f/s in time, %.0f/s",
-                 l->gateways, knee, twice);
+                 spec->n_gateways, knee, twice);
 }
 END_TEST
 
@@ -632,14 +654,12 @@
   TCase *tc = tcase_create ("core");
 
   tcase_set_timeout (tc, 60);
-  tcase_add_test (tc, a_backlog_does_not_make_all_late);
-  tcase_add_test (tc, a_large_fleet_does_not_crowd_the_same_targets);
-  tcase_add_test (tc, late_ones_leave_room_in_a_large_fleet);
+  tcase_add_test (tc, backlog_does_not_make_all_requests_late);
+  tcase_add_test (tc, large_fleet_does_not_overload_same_targets);
+  tcase_add_test (tc, late_requests_leave_capacity_in_large_fleet);
   suite_add_tcase (s, tc);
-  add_fleets (s, "burst", overload_ends_within_3_s_of_its_burst);
-  add_fleets (s, "burst-above-peak",
-              overload_above_the_usual_peak_ends_within_3_s);
-  add_fleets (s, "twice-the-knee",
-              goodput_at_twice_the_knee_is_that_at_the_knee);
+  add_fleets (s, "burst", overload_ends_within_3_s_of_burst);
+  add_fleets (s, "burst-above-peak", overload_above_usual_peak_ends_within_3_s);
+  add_fleets (s, "twice-the-knee", goodput_at_twice_the_knee_is_kept);
   return t_run (s);
 }
--- a/t/t-quarantine.c
+++ b/t/t-quarantine.c
@@ -1,6 +1,7 @@
 /*
- * Requests that crash the targets that run them, and targets that do so for
- * other reasons: what the gateways of a fleet still send.
+ * Quarantine: a fleet of gateways stops sending a request that crashes its
+ * targets, but not requests that were running when targets crashed for other
+ * reasons.
  */
 #include "gateway/peer-crashes.h"
 #include "harness.h"
@@ -16,14 +17,14 @@
 #define RANK_1 (BASE + 3)
 #define N_RANKS 4
 #define N_TARGETS (N_DESKS + N_RANKS)
-/** The first three are seeds, which alone the others have links to. */
+/** The first three are seeds; the other gateways have links only to these. */
 #define N_GATEWAYS 5
-/** Crashes of targets after which a request is not sent any more. */
+/** Target crashes after which a request is quarantined. */
 #define CRASHES 3
-/** Within this time all gateways know what one has learned. */
-#define SPREAD_MS 500
-/** Until a crashed target's next start is up and known. */
-#define RELIST_MS 400
+/** Time for an update to propagate from one gateway to all others. */
+#define PROPAGATION_MS 500
+/** Time until a crashed target has restarted and is listed again. */
+#define RESTART_MS 400
 
 static pid_t gateways[N_GATEWAYS + 1];
 
@@ -35,12 +36,12 @@
     gateways[n] = p_ready_gateway (BASE, n);
   for (int i = 0; i < N_TARGETS; i++)
     g_free (p_test (DESK_1 + i, "POST /test/crasher", "boom"));
-  usleep (SPREAD_MS * 1000);
+  usleep (PROPAGATION_MS * 1000);
 }
 
-/* Attempt number @k at gateway @n; its status. */
+/* Sends attempt number @k to gateway @n; returns the status. */
 static int
-ask (int n, int k, const char *method_and_path, const char *body)
+send_attempt (int n, int k, const char *method_and_path, const char *body)
 {
   g_autofree char *id = g_strdup_printf ("%s-%d-%d", body, n, k);
   g_autofree char *req = p_request (method_and_path, id,
@@ -50,58 +51,61 @@
   return p_status (a);
 }
 
-/* Targets that crashed so far; waits until the last one is up again. */
+/* Waits until the last crashed target is up again; returns the number of
+ * crashes so far. */
 static double
-crashes (void)
+count_crashes (void)
 {
-  usleep (RELIST_MS * 1000);
+  usleep (RESTART_MS * 1000);
   return p_runs (DESK_1, N_TARGETS, "crashes");
 }
 
-/* Attempts at gateway @n until @want targets have crashed. */
+/* Sends attempts to gateway @n until there were @want crashes. */
 static void
 crash_targets (int n, int want)
 {
-  for (int k = 0; k < 2 * CRASHES && crashes () < want; k++)
+  for (int k = 0; k < 2 * CRASHES && count_crashes () < want; k++)
     {
-      ask (n, k, "POST /order/a", "boom");
+      send_attempt (n, k, "POST /order/a", "boom");
     }
-  ck_assert_double_eq (crashes (), want);
+  ck_assert_double_eq (count_crashes (), want);
 }
 
-START_TEST (a_crashing_request_is_not_sent_after_three_crashes)
+START_TEST (crashing_request_is_quarantined_after_three_crashes)
 {
   crash_targets (1, CRASHES);
   for (int k = 0; k < 4; k++)
     {
-      ck_assert_int_eq (ask (1, 100 + k, "POST /order/a", "boom"), 503);
-      ck_assert_int_eq (ask (1, 200 + k, "POST /order/a", "fine"), 200);
+      ck_assert_int_eq (send_attempt (1, 100 + k, "POST /order/a", "boom"),
+                        503);
+      ck_assert_int_eq (send_attempt (1, 200 + k, "POST /order/a", "fine"),
+                        200);
     }
-  ck_assert_double_eq (crashes (), CRASHES);
+  ck_assert_double_eq (count_crashes (), CRASHES);
 }
 END_TEST
 
-START_TEST (crashes_seen_by_one_gateway_bind_all)
+START_TEST (quarantine_applies_to_all_gateways)
 {
   crash_targets (1, 1);
   crash_targets (2, 2);
   crash_targets (4, CRASHES);
-  usleep (SPREAD_MS * 1000);
+  usleep (PROPAGATION_MS * 1000);
   for (int n = 1; n <= N_GATEWAYS; n++)
-    ck_assert_int_eq (ask (n, 100, "POST /order/a", "boom"), 503);
-  ck_assert_double_eq (crashes (), CRASHES);
+    ck_assert_int_eq (send_attempt (n, 100, "POST /order/a", "boom"), 503);
+  ck_assert_double_eq (count_crashes (), CRASHES);
 }
 END_TEST
 
 START_TEST (a_restarted_gateway_learns_of_crashes)
 {
   crash_targets (1, CRASHES);
-  usleep (SPREAD_MS * 1000);
+  usleep (PROPAGATION_MS * 1000);
   p_signal (gateways[1], SIGKILL);
   gateways[1] = p_ready_gateway (BASE, 1);
-  usleep (2 * SPREAD_MS * 1000);
-  ck_assert_int_eq (ask (1, 100, "POST /order/a", "boom"), 503);
-  ck_assert_double_eq (crashes (), CRASHES);
+  usleep (2 * PROPAGATION_MS * 1000);
+  ck_assert_int_eq (send_attempt (1, 100, "POST /order/a", "boom"), 503);
+  ck_assert_double_eq (count_crashes (), CRASHES);
 }
 END_TEST
 
@@ -109,40 +113,40 @@
 {
   for (int i = 0; i < N_RANKS; i++)
     p_agent (BASE, RANK_1 + i);
-  usleep (2 * SPREAD_MS * 1000);
+  usleep (2 * PROPAGATION_MS * 1000);
   crash_targets (1, CRASHES);
-  usleep (SPREAD_MS * 1000);
+  usleep (PROPAGATION_MS * 1000);
   for (int n = 1; n <= N_GATEWAYS; n++)
     p_signal (gateways[n], SIGKILL);
   for (int n = 1; n <= N_GATEWAYS; n++)
     gateways[n] = p_ready_gateway (BASE, n);
-  usleep (2 * SPREAD_MS * 1000);
+  usleep (2 * PROPAGATION_MS * 1000);
   for (int n = 1; n <= N_GATEWAYS; n++)
-    ck_assert_int_eq (ask (n, 100, "POST /order/a", "boom"), 503);
-  ck_assert_double_eq (crashes (), CRASHES);
+    ck_assert_int_eq (send_attempt (n, 100, "POST /order/a", "boom"), 503);
+  ck_assert_double_eq (count_crashes (), CRASHES);
 }
 END_TEST
 
-START_TEST (a_suspected_stream_is_not_retried)
+START_TEST (suspected_stream_is_not_retried)
 {
-  ask (1, 1, "POST /chat/a", "boom");
-  ck_assert_double_ge (crashes (), 1);
-  ask (2, 1, "POST /chat/a", "boom");
-  ck_assert_double_le (crashes (), CRASHES);
-  ask (3, 1, "POST /chat/a", "boom");
-  ck_assert_double_eq (crashes (), CRASHES);
+  send_attempt (1, 1, "POST /chat/a", "boom");
+  ck_assert_double_ge (count_crashes (), 1);
+  send_attempt (2, 1, "POST /chat/a", "boom");
+  ck_assert_double_le (count_crashes (), CRASHES);
+  send_attempt (3, 1, "POST /chat/a", "boom");
+  ck_assert_double_eq (count_crashes (), CRASHES);
 }
 END_TEST
 
-START_TEST (a_request_that_also_succeeds_is_sent_on)
+START_TEST (request_that_also_succeeds_is_not_quarantined)
 {
   for (int k = 0; k < 3 * CRASHES; k++)
     {
       p_fault (DESK_1, 1, "lost", 1);
       p_fault (DESK_1 + 1, 1, "lost", 1);
-      ask (1, k, "POST /quote/a", "q");
+      send_attempt (1, k, "POST /quote/a", "q");
       p_fault (DESK_1, N_DESKS, "none", 0);
-      ck_assert_int_eq (ask (1, 100 + k, "POST /quote/a", "q"), 200);
+      ck_assert_int_eq (send_attempt (1, 100 + k, "POST /quote/a", "q"), 200);
     }
 }
 END_TEST
@@ -155,7 +159,7 @@
   return cf_request_digest ("org", "/a", body, strlen (body));
 }
 
-START_TEST (digests_tell_requests_apart)
+START_TEST (different_requests_have_different_digests)
 {
   CfRequestDigest a = cf_request_digest ("o", "/p", "body", 4);
   CfRequestDigest others[] = { cf_request_digest ("x", "/p", "body", 4),
@@ -171,8 +175,8 @@
 }
 END_TEST
 
-/* A rank that waited 1.5 s for a crashed one ends its connections too. */
-START_TEST (a_rank_that_gives_up_waiting_has_not_crashed)
+/* A rank that waited 1.5 s for a crashed one closes its connections too. */
+START_TEST (rank_that_times_out_waiting_has_not_crashed)
 {
   ck_assert (cf_quarantine_may_be_crash (0, 1500));
   ck_assert (cf_quarantine_may_be_crash (495, 1500));
@@ -182,10 +186,11 @@
 }
 END_TEST
 
-/* The target @name crashed at @lost_ms, under an attempt sent 5 ms before. */
+/* Adds a crash of the target @name at @lost_ms, during an attempt that was sent
+ * 5 ms earlier. */
 static gboolean
-add (CfQuarantine *q, const CfRequestDigest *d, const char *name,
-     gint64 lost_ms)
+add_crash (CfQuarantine *q, const CfRequestDigest *d, const char *name,
+           gint64 lost_ms)
 {
   CfCrash c = { (char *)name, lost_ms - 5, lost_ms };
 
@@ -198,35 +203,35 @@
   CfRequestDigest d = digest_of (1);
 
   for (int i = 0; i < CRASHES; i++)
-    ck_assert (!add (q, &d, "i-1/1", 10 + 200 * i));
-  ck_assert (!add (q, &d, "i-1/2", 800));
+    ck_assert (!add_crash (q, &d, "i-1/1", 10 + 200 * i));
+  ck_assert (!add_crash (q, &d, "i-1/2", 800));
   ck_assert (!cf_quarantine_check (q, &d, 800));
-  ck_assert (add (q, &d, "i-2/1", 1000));
+  ck_assert (add_crash (q, &d, "i-2/1", 1000));
   ck_assert (cf_quarantine_check (q, &d, 1000));
-  ck_assert (!add (q, &d, "i-3/1", 1200));
+  ck_assert (!add_crash (q, &d, "i-3/1", 1200));
   ck_assert (cf_quarantine_clear (q, &d));
   ck_assert (!cf_quarantine_check (q, &d, 1300));
   cf_quarantine_free (q);
 }
 END_TEST
 
-START_TEST (crashes_at_the_same_time_count_once)
+START_TEST (simultaneous_crashes_count_once)
 {
   CfQuarantine *q = cf_quarantine_new ();
   CfRequestDigest d = digest_of (1);
 
-  ck_assert (!add (q, &d, "i-1/1", 100));
-  ck_assert (!add (q, &d, "i-2/1", 100));
-  ck_assert (!add (q, &d, "i-3/1", 102));
-  ck_assert (!add (q, &d, "i-4/1", 150));
+  ck_assert (!add_crash (q, &d, "i-1/1", 100));
+  ck_assert (!add_crash (q, &d, "i-2/1", 100));
+  ck_assert (!add_crash (q, &d, "i-3/1", 102));
+  ck_assert (!add_crash (q, &d, "i-4/1", 150));
   ck_assert_uint_eq (cf_quarantine_crashes (q, &d), 1);
-  ck_assert (!add (q, &d, "i-5/1", 300));
-  ck_assert (add (q, &d, "i-6/1", 500));
+  ck_assert (!add_crash (q, &d, "i-5/1", 300));
+  ck_assert (add_crash (q, &d, "i-6/1", 500));
   cf_quarantine_free (q);
 }
 END_TEST
 
-/* Crashes that gateways saw one after another, whichever is heard of first. */
+/* Consecutive crashes that arrive in any order from other gateways. */
 START_TEST (crashes_count_in_any_order)
 {
   const char *const names[] = { "i-1/1", "i-2/1", "i-3/1" };
@@ -239,15 +244,15 @@
       CfRequestDigest d = digest_of (1);
 
       for (int i = 0; i < CRASHES; i++)
-        add (q, &d, names[orders[o][i]], 100 + 200 * orders[o][i]);
+        add_crash (q, &d, names[orders[o][i]], 100 + 200 * orders[o][i]);
       ck_assert (cf_quarantine_check (q, &d, 700));
       cf_quarantine_free (q);
     }
 }
 END_TEST
 
-/* An attacker's many requests do not push out one that is quarantined. */
-START_TEST (what_is_remembered_is_bounded)
+/* An attacker's many requests do not evict one that is quarantined. */
+START_TEST (number_of_records_is_bounded)
 {
   CfQuarantine *q = cf_quarantine_new ();
   CfRequestDigest bad = digest_of (-1);
@@ -256,13 +261,13 @@
     {
       g_autofree char *target = g_strdup_printf ("i-%d/1", i);
 
-      add (q, &bad, target, -1000 + 200 * i);
+      add_crash (q, &bad, target, -1000 + 200 * i);
     }
   for (int i = 0; i < 2 * CF_QUARANTINE_MAX_RECORDS; i++)
     {
       CfRequestDigest d = digest_of (i);
 
-      add (q, &d, "i-9/1", 1 + i);
+      add_crash (q, &d, "i-9/1", 1 + i);
     }
   ck_assert_uint_eq (cf_quarantine_size (q), CF_QUARANTINE_MAX_RECORDS);
   ck_assert (cf_quarantine_check (q, &bad, 1));
@@ -274,8 +279,8 @@
 }
 END_TEST
 
-/* Peers would take it for one that was answered. */
-START_TEST (an_evicted_request_is_not_announced_as_cleared)
+/* Peers would otherwise treat it as answered. */
+START_TEST (evicted_request_is_not_announced_as_cleared)
 {
   CfQuarantine *q = cf_quarantine_new ();
   CfPeerMsg all;
@@ -285,7 +290,7 @@
     {
       CfRequestDigest d = digest_of (i);
 
-      add (q, &d, "i-9/1", 1 + i);
+      add_crash (q, &d, "i-9/1", 1 + i);
     }
   cf_peer_crashes_changed (q, 2000, &all, &held);
   ck_assert_uint_eq (all.u.crashes->len, CF_QUARANTINE_MAX_RECORDS);
@@ -297,15 +302,15 @@
 }
 END_TEST
 
-START_TEST (a_request_is_not_quarantined_for_ever)
+START_TEST (quarantine_expires)
 {
   CfQuarantine *q = cf_quarantine_new ();
   CfRequestDigest d = digest_of (1);
   gint64 now = 410;
 
-  add (q, &d, "i-1/1", 10);
-  add (q, &d, "i-2/1", 210);
-  add (q, &d, "i-3/1", 410);
+  add_crash (q, &d, "i-1/1", 10);
+  add_crash (q, &d, "i-2/1", 210);
+  add_crash (q, &d, "i-3/1", 410);
   for (; now < 410 + CF_QUARANTINE_MAX_AGE_MS; now += 1000)
     {
       ck_assert (cf_quarantine_check (q, &d, now));
@@ -317,9 +322,9 @@
 }
 END_TEST
 
-/* Sends what changed at @from to @to; how many records that were. */
+/* Sends the changed records of @from to @to; returns the number of records. */
 static guint
-notify (CfQuarantine *from, CfQuarantine *to, gint64 now_ms)
+send_update (CfQuarantine *from, CfQuarantine *to, gint64 now_ms)
 {
   CfPeerMsg all;
   CfPeerMsg held;
@@ -333,34 +338,35 @@
   return n;
 }
 
-/* Updates that cross one another end in the same sets, and then stop. */
-START_TEST (peers_agree_and_fall_silent)
+/* Updates that cross on the way lead to the same records, and then stop. */
+START_TEST (peers_converge_and_stop_sending)
 {
   CfQuarantine *a = cf_quarantine_new ();
   CfQuarantine *b = cf_quarantine_new ();
   CfRequestDigest d = digest_of (1);
 
-  add (a, &d, "i-1/1", 10);
-  add (a, &d, "i-2/1", 210);
-  add (b, &d, "i-2/1", 210);
-  add (b, &d, "i-3/1", 410);
-  notify (a, b, 500);
-  notify (b, a, 500);
+  add_crash (a, &d, "i-1/1", 10);
+  add_crash (a, &d, "i-2/1", 210);
+  add_crash (b, &d, "i-2/1", 210);
+  add_crash (b, &d, "i-3/1", 410);
+  send_update (a, b, 500);
+  send_update (b, a, 500);
   ck_assert (cf_quarantine_check (a, &d, 500));
   ck_assert (cf_quarantine_check (b, &d, 500));
-  notify (a, b, 510);
-  ck_assert_uint_eq (notify (b, a, 510), 0);
-  ck_assert_uint_eq (notify (a, b, 510), 0);
+  send_update (a, b, 510);
+  ck_assert_uint_eq (send_update (b, a, 510), 0);
+  ck_assert_uint_eq (send_update (a, b, 510), 0);
   cf_quarantine_clear (a, &d);
-  notify (a, b, 520);
+  send_update (a, b, 520);
   ck_assert_uint_eq (cf_quarantine_size (b), 0);
   cf_quarantine_free (a);
   cf_quarantine_free (b);
 }
 END_TEST
 
-/* A gateway that gets no attempts of it is told that others still do. */
-START_TEST (a_request_that_keeps_coming_is_remembered_everywhere)
+/* A gateway that receives no attempts of the request is notified that others
+ * still do. */
+START_TEST (repeated_request_is_kept_by_all_gateways)
 {
   CfQuarantine *a = cf_quarantine_new ();
   CfQuarantine *b = cf_quarantine_new ();
@@ -371,13 +377,13 @@
     {
       g_autofree char *target = g_strdup_printf ("i-%d/1", i);
 
-      add (a, &d, target, 200 * i);
+      add_crash (a, &d, target, 200 * i);
     }
-  notify (a, b, 400);
+  send_update (a, b, 400);
   for (; now < 3 * CF_QUARANTINE_RETENTION_MS; now += 10000)
     {
       ck_assert (cf_quarantine_check (a, &d, now));
-      notify (a, b, now);
+      send_update (a, b, now);
       cf_quarantine_expire (b, now);
     }
   ck_assert (cf_quarantine_check (b, &d, now));
@@ -386,20 +392,20 @@
 }
 END_TEST
 
-/* Targets that reset connections and go on have not crashed. */
+/* Targets that reset connections but keep running have not crashed. */
 START_TEST (resets_do_not_quarantine_a_request)
 {
   p_fault (RANK_1, N_RANKS, "cut", 100);
   for (int k = 0; k < 2 * CRASHES; k++)
-    ask (1, k, "POST /chat/a", "c");
+    send_attempt (1, k, "POST /chat/a", "c");
   p_fault (RANK_1, N_RANKS, "none", 0);
   for (int n = 1; n <= N_GATEWAYS; n++)
-    ck_assert_int_eq (ask (n, 100, "POST /chat/a", "c"), 200);
+    ck_assert_int_eq (send_attempt (n, 100, "POST /chat/a", "c"), 200);
 }
 END_TEST
 
-/* The same request is at all of them, as a popular one may be. */
-START_TEST (targets_that_crash_together_do_not_quarantine)
+/* All of them have the same request, as with a popular one. */
+START_TEST (targets_that_crash_together_do_not_quarantine_request)
 {
   g_autofree char *req = p_request (
       "POST /chat/a", "hot", "Comfreypost-Token-Count: 10,4000\r\n", "hot");
@@ -410,15 +416,15 @@
       fds[i] = p_connect (p_front (BASE, 1 + (int)i % N_GATEWAYS));
       p_send (fds[i], req);
     }
-  usleep (SPREAD_MS * 1000);
+  usleep (PROPAGATION_MS * 1000);
   for (int i = 0; i < N_RANKS; i++)
     g_free (p_test (RANK_1 + i, "POST /test/crash", ""));
-  usleep (SPREAD_MS * 1000);
-  ck_assert_double_ge (crashes (), CRASHES);
+  usleep (PROPAGATION_MS * 1000);
+  ck_assert_double_ge (count_crashes (), CRASHES);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
   for (int n = 1; n <= N_GATEWAYS; n++)
-    ck_assert_int_eq (ask (n, 100, "POST /chat/a", "hot"), 200);
+    ck_assert_int_eq (send_attempt (n, 100, "POST /chat/a", "hot"), 200);
 }
 END_TEST
 
@@ -430,25 +436,25 @@
   TCase *t = tcase_create ("fleet");
   TCase *restart = tcase_create ("restart");
 
-  tcase_add_test (table, digests_tell_requests_apart);
-  tcase_add_test (table, a_rank_that_gives_up_waiting_has_not_crashed);
+  tcase_add_test (table, different_requests_have_different_digests);
+  tcase_add_test (table, rank_that_times_out_waiting_has_not_crashed);
   tcase_add_test (table, crashes_of_one_target_count_once);
-  tcase_add_test (table, crashes_at_the_same_time_count_once);
+  tcase_add_test (table, simultaneous_crashes_count_once);
   tcase_add_test (table, crashes_count_in_any_order);
-  tcase_add_test (table, what_is_remembered_is_bounded);
-  tcase_add_test (table, an_evicted_request_is_not_announced_as_cleared);
-  tcase_add_test (table, a_request_is_not_quarantined_for_ever);
-  tcase_add_test (table, peers_agree_and_fall_silent);
-  tcase_add_test (table, a_request_that_keeps_coming_is_remembered_everywhere);
+  tcase_add_test (table, number_of_records_is_bounded);
+  tcase_add_test (table, evicted_request_is_not_announced_as_cleared);
+  tcase_add_test (table, quarantine_expires);
+  tcase_add_test (table, peers_converge_and_stop_sending);
+  tcase_add_test (table, repeated_request_is_kept_by_all_gateways);
   suite_add_tcase (s, table);
   tcase_set_timeout (t, 30);
   tcase_add_checked_fixture (t, setup, p_stop_all);
-  tcase_add_test (t, a_crashing_request_is_not_sent_after_three_crashes);
-  tcase_add_test (t, crashes_seen_by_one_gateway_bind_all);
-  tcase_add_test (t, a_suspected_stream_is_not_retried);
-  tcase_add_test (t, a_request_that_also_succeeds_is_sent_on);
+  tcase_add_test (t, crashing_request_is_quarantined_after_three_crashes);
+  tcase_add_test (t, quarantine_applies_to_all_gateways);
+  tcase_add_test (t, suspected_stream_is_not_retried);
+  tcase_add_test (t, request_that_also_succeeds_is_not_quarantined);
   tcase_add_test (t, resets_do_not_quarantine_a_request);
-  tcase_add_test (t, targets_that_crash_together_do_not_quarantine);
+  tcase_add_test (t, targets_that_crash_together_do_not_quarantine_request);
   suite_add_tcase (s, t);
   tcase_set_tags (restart, "restart");
   tcase_set_timeout (restart, 30);
--- a/t/t-rate-limit.c
+++ b/t/t-rate-limit.c
@@ -1,4 +1,5 @@
-/* Targets that name the rate they take, and what a fleet sends them. */
+/* Rate limits that targets state in their answers, and how a fleet of gateways
+ * keeps them. */
 #include "gateway/rate-limit.h"
 #include "harness.h"
 #include "platform-harness.h"
@@ -9,21 +10,23 @@
 #define BASE 27000
 #define DESK_1 (BASE + 1)
 #define N_DESKS 2
-/** The first three are seeds, which alone the others have links to. */
+/** The first three are seeds; the other gateways have links only to these. */
 #define N_GATEWAYS 5
-#define LIMIT_PER_S 1.1
-/** From a target's first answer with a limit until all gateways keep it. */
+#define RATE_LIMIT_PER_S 1.1
+/** Time from a target's first answer with a limit until all gateways keep it.
+ */
 #define SETTLE_MS 1000
 #define WINDOW_MS 4000
-/** What a target may get in a window beyond one and a half times its limit. */
-#define SLACK 5
-/** A refusal that waits for nothing is there within this time. */
-#define REFUSED_MS 100
-/** Between two requests of a test, at gateways in turn: 25 a second. */
-#define PAUSE_MS 40
+/** Requests that a target may get in a window beyond one and a half times its
+ * limit. */
+#define WINDOW_SLACK 5
+/** A refusal without waiting arrives within this time. */
+#define REFUSAL_MS 100
+/** Time between two requests, sent to the gateways in turn: 25 per second. */
+#define REQUEST_INTERVAL_MS 40
 
 static pid_t gateways[N_GATEWAYS + 1];
-static int n_asked;
+static int n_requests;
 
 static void
 setup (void)
@@ -35,7 +38,7 @@
 }
 
 static void
-name_limit (const char *per_s)
+set_limit (const char *per_s)
 {
   g_autofree char *call = g_strdup_printf (
       "POST /test/limit%s%s", per_s ? "?per-s=" : "", per_s ? per_s : "");
@@ -43,111 +46,114 @@
   g_free (p_test (DESK_1, call, ""));
 }
 
-/* One request at the next gateway; its status. */
+/* Sends one request to the next gateway; returns the status. */
 static int
-ask (void)
+send_request (void)
 {
-  int n = 1 + n_asked % N_GATEWAYS;
-  g_autofree char *id = g_strdup_printf ("r-%d", n_asked++);
+  int n = 1 + n_requests % N_GATEWAYS;
+  g_autofree char *id = g_strdup_printf ("r-%d", n_requests++);
   g_autofree char *req = p_request ("GET /quote/a", id, NULL, "");
   g_autofree char *a = p_ask (p_front (BASE, n), req);
 
-  usleep (PAUSE_MS * 1000);
+  usleep (REQUEST_INTERVAL_MS * 1000);
   return p_status (a);
 }
 
-/* Requests for @ms; how many are not answered with 200. */
+/* Sends requests for @ms; returns how many were not answered with 200. */
 static int
-load (int ms)
+send_requests (int ms)
 {
   gint64 end = g_get_monotonic_time () + ms * 1000;
   int bad = 0;
 
   while (g_get_monotonic_time () < end)
-    bad += ask () != 200;
+    bad += send_request () != 200;
   return bad;
 }
 
 static double
-runs (void)
+count_runs (void)
 {
   return p_runs (DESK_1, 1, "runs");
 }
 
-/* In a window the target gets no more than it takes, and some of it. */
+/* Checks that in one window the target gets requests, but no more than its
+ * limit allows. */
 static void
 check_window (void)
 {
-  double before = runs ();
+  double before = count_runs ();
   double got;
 
-  ck_assert_int_eq (load (WINDOW_MS), 0);
-  got = runs () - before;
-  ck_assert_double_le (got, 1.5 * LIMIT_PER_S * WINDOW_MS / 1000 + SLACK);
+  ck_assert_int_eq (send_requests (WINDOW_MS), 0);
+  got = count_runs () - before;
+  ck_assert_double_le (got, 1.5 * RATE_LIMIT_PER_S * WINDOW_MS / 1000
+                                + WINDOW_SLACK);
   ck_assert_double_ge (got, 1);
 }
 
-START_TEST (a_fleet_keeps_the_rate_a_target_names)
+START_TEST (fleet_keeps_rate_limit)
 {
-  name_limit ("1.1");
-  load (SETTLE_MS);
+  set_limit ("1.1");
+  send_requests (SETTLE_MS);
   check_window ();
   check_window ();
 }
 END_TEST
 
-START_TEST (a_restarted_gateway_keeps_the_rate)
+START_TEST (restarted_gateways_keep_rate_limit)
 {
-  name_limit ("1.1");
-  load (SETTLE_MS);
+  set_limit ("1.1");
+  send_requests (SETTLE_MS);
   for (int n = 1; n <= N_GATEWAYS; n++)
     {
       p_signal (gateways[n], SIGKILL);
       gateways[n] = p_ready_gateway (BASE, n);
     }
-  load (SETTLE_MS);
+  send_requests (SETTLE_MS);
   check_window ();
 }
 END_TEST
 
-/* With both targets limited, 2.2 of 25 requests a second can be served. */
-START_TEST (what_no_rate_allows_is_refused_at_once)
+/* With both targets limited, 2.2 of 25 requests per second can be served. */
+START_TEST (requests_beyond_all_limits_are_refused_at_once)
 {
   int refused = 0;
 
-  name_limit ("1.1");
+  set_limit ("1.1");
   g_free (p_test (DESK_1 + 1, "POST /test/limit?per-s=1.1", ""));
-  load (SETTLE_MS);
+  send_requests (SETTLE_MS);
   for (int i = 0; i < 50; i++)
     {
       gint64 begin = g_get_monotonic_time ();
 
-      if (ask () != 503)
+      if (send_request () != 503)
         continue;
       refused++;
       ck_assert_int_le (g_get_monotonic_time () - begin,
-                        (PAUSE_MS + REFUSED_MS) * 1000);
+                        (REQUEST_INTERVAL_MS + REFUSAL_MS) * 1000);
     }
   ck_assert_int_ge (refused, 30);
 }
 END_TEST
 
-START_TEST (a_target_without_a_limit_is_used_fully_again)
+START_TEST (target_is_fully_used_after_limit_is_lifted)
 {
   double before;
 
-  name_limit ("1.1");
-  load (SETTLE_MS);
-  name_limit (NULL);
-  load (2 * SETTLE_MS);
-  before = runs ();
-  load (WINDOW_MS);
-  ck_assert_double_ge (runs () - before, WINDOW_MS / PAUSE_MS / 4.0);
+  set_limit ("1.1");
+  send_requests (SETTLE_MS);
+  set_limit (NULL);
+  send_requests (2 * SETTLE_MS);
+  before = count_runs ();
+  send_requests (WINDOW_MS);
+  ck_assert_double_ge (count_runs () - before,
+                       WINDOW_MS / REQUEST_INTERVAL_MS / 4.0);
 }
 END_TEST
 
-/* The parts of all gateways make up the rate, whatever its size. */
-START_TEST (parts_add_up_to_the_rate)
+/* The shares of all gateways add up to the limit, whatever its size. */
+START_TEST (shares_add_up_to_rate)
 {
   const double rates[] = { 0.1, 1.1, 2.5, 20, 500 };
   const guint fleets[] = { 1, 3, 12, 35, 340 };
@@ -166,13 +172,14 @@
 }
 END_TEST
 
-/* Most that gateways which send whatever they may send in any window. */
+/* Returns the maximum number of requests in any window when @n gateways send as
+ * much as they may, checking every @tick_ms. */
 static int
-most_in_a_window (guint n, double per_s, gint64 tick_ms)
+max_in_window (guint n, double per_s, gint64 tick_ms)
 {
   g_autofree CfRateLimit *l = g_new0 (CfRateLimit, n);
   GArray *sent = g_array_new (FALSE, FALSE, sizeof (gint64));
-  guint most = 0;
+  guint max_sent = 0;
   guint from = 0;
 
   for (guint i = 0; i < n; i++)
@@ -189,13 +196,13 @@
       while (g_array_index (sent, gint64, i)
              > g_array_index (sent, gint64, from) + WINDOW_MS)
         from++;
-      most = MAX (most, i - from + 1);
+      max_sent = MAX (max_sent, i - from + 1);
     }
   g_array_unref (sent);
-  return (int)most;
+  return (int)max_sent;
 }
 
-START_TEST (no_window_exceeds_the_rate)
+START_TEST (no_window_exceeds_rate)
 {
   const double rates[] = { 0.1, 1.1, 2.5, 20, 100 };
   const guint fleets[] = { 1, 3, 12, 35, 340 };
@@ -204,14 +211,14 @@
   for (gsize r = 0; r < G_N_ELEMENTS (rates); r++)
     for (gsize f = 0; f < G_N_ELEMENTS (fleets); f++)
       for (gsize t = 0; t < G_N_ELEMENTS (ticks); t++)
-        ck_assert_msg (most_in_a_window (fleets[f], rates[r], ticks[t])
-                           <= 1.5 * rates[r] * WINDOW_MS / 1000 + SLACK,
-                       "%g a second, %u gateways, looks each %d ms", rates[r],
-                       fleets[f], (int)ticks[t]);
+        ck_assert_msg (max_in_window (fleets[f], rates[r], ticks[t])
+                           <= 1.5 * rates[r] * WINDOW_MS / 1000 + WINDOW_SLACK,
+                       "%g per second, %u gateways, checked every %d ms",
+                       rates[r], fleets[f], (int)ticks[t]);
 }
 END_TEST
 
-START_TEST (what_was_heard_last_holds)
+START_TEST (newest_limit_wins)
 {
   CfRateLimit l = { 0 };
 
@@ -219,7 +226,8 @@
   ck_assert (cf_rate_limit_update_from_peer (&l, 1.1, 2000));
   ck_assert (!cf_rate_limit_update_from_peer (&l, 1.1, 3000));
   ck_assert (cf_rate_limit_update (&l, 0, 4000));
-  /* The echo of what a peer was told, late by the ways of two messages. */
+  /* A peer repeats the previous limit, delayed by the transit of two messages.
+   */
   ck_assert (!cf_rate_limit_update_from_peer (&l, 1.1, 4010));
   ck_assert_double_eq (l.per_s, 0);
   ck_assert (cf_rate_limit_is_announced (&l, 5000));
@@ -237,16 +245,16 @@
   TCase *table = tcase_create ("rate");
   TCase *t = tcase_create ("fleet");
 
-  tcase_add_test (table, parts_add_up_to_the_rate);
-  tcase_add_test (table, no_window_exceeds_the_rate);
-  tcase_add_test (table, what_was_heard_last_holds);
+  tcase_add_test (table, shares_add_up_to_rate);
+  tcase_add_test (table, no_window_exceeds_rate);
+  tcase_add_test (table, newest_limit_wins);
   suite_add_tcase (s, table);
   tcase_set_timeout (t, 30);
   tcase_add_checked_fixture (t, setup, p_stop_all);
-  tcase_add_test (t, a_fleet_keeps_the_rate_a_target_names);
-  tcase_add_test (t, a_restarted_gateway_keeps_the_rate);
-  tcase_add_test (t, what_no_rate_allows_is_refused_at_once);
-  tcase_add_test (t, a_target_without_a_limit_is_used_fully_again);
+  tcase_add_test (t, fleet_keeps_rate_limit);
+  tcase_add_test (t, restarted_gateways_keep_rate_limit);
+  tcase_add_test (t, requests_beyond_all_limits_are_refused_at_once);
+  tcase_add_test (t, target_is_fully_used_after_limit_is_lifted);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-retry-budget.c
+++ b/t/t-retry-budget.c
@@ -1,13 +1,13 @@
 /*
- * The retry budget: retries stay within their share of the requests, with
- * some slack for a quiet entry.
+ * The retry budget: retries stay within their share of the requests, with some
+ * slack for processes that get few requests.
  */
 #include "harness.h"
 #include "retry-budget.h"
 
 #include <check.h>
 
-START_TEST (test_retries_stay_within_their_share)
+START_TEST (test_retries_stay_within_share_of_requests)
 {
   CfRetryBudget b;
   int taken = 0;
@@ -22,7 +22,7 @@
     }
   ck_assert_int_ge (taken, 195);
   ck_assert_int_le (taken, 205);
-  /* Quiet times save up no more than the slack. */
+  /* Requests without retries save up no more than the slack. */
   for (int i = 0; i < 1000; i++)
     cf_retry_budget_add_request (&b);
   for (taken = 0; cf_retry_budget_take (&b);)
@@ -38,7 +38,7 @@
   Suite *s = suite_create ("retry-budget");
   TCase *tc = tcase_create ("core");
 
-  tcase_add_test (tc, test_retries_stay_within_their_share);
+  tcase_add_test (tc, test_retries_stay_within_share_of_requests);
   suite_add_tcase (s, tc);
   return t_run (s);
 }
--- a/t/t-standstill.c
+++ b/t/t-standstill.c
@@ -1,7 +1,7 @@
 /*
- * The load of a heavy day, played over the choice of targets alone: two
- * groups of eight ranks in lock step, one of which is held for four seconds
- * while its map is changed and a VM of its stands still.
+ * Simulates the choice of targets under heavy load: two groups of eight ranks
+ * in lock step, one of which stalls for four seconds because a VM freezes while
+ * the group's expert map is changed.
  */
 #include "gateway/balancer.h"
 #include "harness.h"
@@ -10,28 +10,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define GROUPS 2
-#define RANKS 8
-#define TARGETS (GROUPS * RANKS)
+#define N_GROUPS 2
+#define N_RANKS 8
+#define N_TARGETS (N_GROUPS * N_RANKS)
 #define SLOTS 12
-#define EVENTS 24
+#define N_EVENTS 24
 #define PASS_MS 60
-#define AIM_MS 400
-#define GAP_AIM_MS 120
-#define PATIENCE_MS 2000
-/** Half of what both groups bear: one could serve nearly all of it. */
-#define PER_S 60
-#define SECONDS 12
-#define HELD_FROM 3000
-#define HELD_TO 7000
-#define STALL_MS 300
+#define OBJECTIVE_MS 400
+#define GAP_OBJECTIVE_MS 120
+#define CALLER_TIMEOUT_MS 2000
+/** Half of both groups' capacity: one group could serve nearly all of it. */
+#define ARRIVALS_PER_S 60
+#define DURATION_S 12
+#define STALL_START_MS 3000
+#define STALL_END_MS 7000
+#define STALL_TIMEOUT_MS 300
 
 typedef struct
 {
   gint64 start_ms;
-  gint64 last_ms; /* of its last event; of its start before */
+  gint64 last_ms; /* of its last event, or of its arrival */
   gint64 first_ms;
-  gint64 longest_ms;
+  gint64 longest_ms; /* longest pause between two events */
   int events;
   CfTarget *target;
   int group;
@@ -39,16 +39,16 @@
 
 static CfTargetTable table;
 static GPtrArray *running;
-static int asked;
-static int in_time;
+static int n_arrived;
+static int n_on_time;
 
 static void
 setup (void)
 {
   cf_target_table_init (&table);
-  t_put_targets (&table, TARGETS, SLOTS);
+  t_put_targets (&table, N_TARGETS, SLOTS);
   running = g_ptr_array_new_with_free_func (g_free);
-  asked = in_time = 0;
+  n_arrived = n_on_time = 0;
 }
 
 static void
@@ -58,15 +58,17 @@
   cf_target_table_clear (&table);
 }
 
-/* Those that come while the group is held, and a pass after it began. */
+/* Whether @s is counted: it arrived during the stall, and at least OBJECTIVE_MS
+ * after it began. */
 static gboolean
-counts (const Stream *s)
+is_counted (const Stream *s)
 {
-  return s->start_ms >= HELD_FROM + AIM_MS && s->start_ms < HELD_TO;
+  return s->start_ms >= STALL_START_MS + OBJECTIVE_MS
+         && s->start_ms < STALL_END_MS;
 }
 
 static void
-arrive (gint64 now, gint64 stall_timeout_ms)
+on_arrival (gint64 now, gint64 stall_timeout_ms)
 {
   CfPickInput in = { .service = "s", .now_ms = now, .n_gateways = 1 };
   CfTarget *t;
@@ -79,10 +81,10 @@
   s->start_ms = now;
   s->last_ms = now;
   s->target = t;
-  s->group = atoi (t->record.id + 1) % GROUPS;
+  s->group = atoi (t->record.id + 1) % N_GROUPS;
   cf_target_request_started (t, now);
   g_ptr_array_add (running, s);
-  asked += counts (s);
+  n_arrived += is_counted (s);
 }
 
 static void
@@ -96,54 +98,56 @@
   cf_target_record_progress (s->target, now);
 }
 
-/* TRUE if it has ended: it is whole, or its caller has left. */
+/* Returns whether @s has ended: it is complete, or its caller has left. */
 static gboolean
-step (Stream *s, gint64 now)
+run_stream_step (Stream *s, gint64 now)
 {
-  gboolean held = s->group == 0 && now >= HELD_FROM && now < HELD_TO;
+  gboolean is_stalled
+      = s->group == 0 && now >= STALL_START_MS && now < STALL_END_MS;
 
-  if (!held)
+  if (!is_stalled)
     write_event (s, now);
-  if (s->events == EVENTS)
-    in_time
-        += counts (s) && s->first_ms <= AIM_MS && s->longest_ms <= GAP_AIM_MS;
-  else if (now - s->last_ms < PATIENCE_MS)
+  if (s->events == N_EVENTS)
+    n_on_time += is_counted (s) && s->first_ms <= OBJECTIVE_MS
+                 && s->longest_ms <= GAP_OBJECTIVE_MS;
+  else if (now - s->last_ms < CALLER_TIMEOUT_MS)
     return FALSE;
   cf_target_request_ended (s->target);
   return TRUE;
 }
 
 static double
-part_in_time (gint64 stall_timeout_ms)
+get_on_time_fraction (gint64 stall_timeout_ms)
 {
   GRand *rand = g_rand_new_with_seed (7);
 
-  for (gint64 now = 0; now < SECONDS * 1000; now++)
+  for (gint64 now = 0; now < DURATION_S * 1000; now++)
     {
-      if (g_rand_double (rand) < PER_S / 1000.0)
-        arrive (now, stall_timeout_ms);
+      if (g_rand_double (rand) < ARRIVALS_PER_S / 1000.0)
+        on_arrival (now, stall_timeout_ms);
       for (guint i = 0; now % PASS_MS == 0 && i < running->len;)
-        if (step (running->pdata[i], now))
+        if (run_stream_step (running->pdata[i], now))
           g_ptr_array_remove_index (running, i);
         else
           i++;
     }
   g_rand_free (rand);
-  return (double)in_time / asked;
+  return (double)n_on_time / n_arrived;
 }
 
-/* Of the streams that come while one group of two is held, 0.70 are in time:
- * the others go to it until it is as full as the one that works.  With
- * targets that are known to stand still, 0.86 are: its targets get one
- * stream each, to see, when their last one's caller has left. */
-START_TEST (the_other_group_gets_what_comes)
+/* Without stall detection, 0.70 of the streams that arrive while one of two
+ * groups is stalled are on time: the others go to the stalled group until it is
+ * as loaded as the other one.  With stall detection 0.86 are on time: each
+ * stalled target gets only one stream as a probe, whenever the caller of its
+ * last one has left. */
+START_TEST (requests_go_to_group_that_is_not_stalled)
 {
-  double before = part_in_time (0);
+  double before = get_on_time_fraction (0);
   double after;
 
   teardown ();
   setup ();
-  after = part_in_time (STALL_MS);
+  after = get_on_time_fraction (STALL_TIMEOUT_MS);
   ck_assert_double_lt (before, 0.75);
   ck_assert_double_gt (after, 0.82);
 }
@@ -156,7 +160,7 @@
   TCase *t = tcase_create ("standstill");
 
   tcase_add_checked_fixture (t, setup, teardown);
-  tcase_add_test (t, the_other_group_gets_what_comes);
+  tcase_add_test (t, requests_go_to_group_that_is_not_stalled);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-stream-latency.c
+++ b/t/t-stream-latency.c
@@ -1,195 +1,211 @@
-/* How long streams are expected to take. */
+/* Estimates of the latency of streams. */
 #include "gateway/stream-latency.h"
 #include "harness.h"
 
-static const CfEngineModel engine = { .step_ms = 4.55,
-                                      .per_seq_ms = 0.905,
-                                      .read_per_ms = 61.4,
-                                      .stride = 4,
-                                      .usual_answer = 97 };
-static const CfStreamSize usual = { 800, 96 };
-/** When the tests ask; what they show comes within a second before. */
-#define NOW 1000
+static const CfEngineModel model = { .step_ms = 4.55,
+                                     .per_seq_ms = 0.905,
+                                     .read_per_ms = 61.4,
+                                     .stride = 4,
+                                     .usual_answer = 97 };
+static const CfStreamSize usual_size = { 800, 96 };
+/** When the tests ask for estimates; their events are at most a second old. */
+#define NOW_MS 1000
 
-START_TEST (nothing_is_known_of_an_unknown_engine)
+START_TEST (no_estimate_without_model_or_observations)
 {
-  CfStreamLatency p = { 0 };
+  CfStreamLatency latency = { 0 };
 
-  ck_assert_int_eq (cf_stream_latency_first_event_ms (&p, NULL, &usual), 0);
-  ck_assert_int_eq (cf_stream_latency_max_total_ms (&p, NULL, &usual, NOW), -1);
+  ck_assert_int_eq (
+      cf_stream_latency_first_event_ms (&latency, NULL, &usual_size), 0);
+  ck_assert_int_eq (
+      cf_stream_latency_max_total_ms (&latency, NULL, &usual_size, NOW_MS), -1);
 }
 END_TEST
 
-/* Before anything is seen, the published model counts: passes of 47 ms. */
-START_TEST (the_published_model_stands_in)
+/* Before anything is observed, the published model is used: 47 ms passes. */
+START_TEST (model_is_used_before_observations)
 {
-  CfStreamLatency p = { 0 };
-  gint64 first = cf_stream_latency_first_event_ms (&p, &engine, &usual);
+  CfStreamLatency latency = { 0 };
+  gint64 first
+      = cf_stream_latency_first_event_ms (&latency, &model, &usual_size);
 
   ck_assert_int_ge (first, 100);
   ck_assert_int_le (first, 120);
-  ck_assert_int_ge (cf_stream_latency_max_total_ms (&p, &engine, &usual, NOW),
-                    24 * 47);
-  ck_assert_int_le (cf_stream_latency_max_total_ms (&p, &engine, &usual, NOW),
-                    24 * 47 * 2);
+  ck_assert_int_ge (
+      cf_stream_latency_max_total_ms (&latency, &model, &usual_size, NOW_MS),
+      24 * 47);
+  ck_assert_int_le (
+      cf_stream_latency_max_total_ms (&latency, &model, &usual_size, NOW_MS),
+      24 * 47 * 2);
 }
 END_TEST
 
-START_TEST (what_is_seen_goes_before)
+START_TEST (observations_replace_model)
 {
-  CfStreamLatency p = { 0 };
-  const CfStreamSize long_one = { 800, 240 };
+  CfStreamLatency latency = { 0 };
+  const CfStreamSize long_size = { 800, 240 };
 
   for (int i = 0; i < 400; i++)
-    cf_stream_latency_add_event (&p, i, 100);
+    cf_stream_latency_add_event (&latency, i, 100);
   for (int i = 0; i < 60; i++)
-    cf_stream_latency_add_first_event (&p, i % 2 ? 150 : 250);
-  ck_assert_int_ge (cf_stream_latency_first_event_ms (&p, &engine, &usual),
-                    250);
-  ck_assert_int_le (cf_stream_latency_first_event_ms (&p, &engine, &usual),
-                    300);
-  ck_assert_int_ge (cf_stream_latency_max_total_ms (&p, &engine, &usual, NOW),
-                    2400);
+    cf_stream_latency_add_first_event (&latency, i % 2 ? 150 : 250);
+  ck_assert_int_ge (
+      cf_stream_latency_first_event_ms (&latency, &model, &usual_size), 250);
+  ck_assert_int_le (
+      cf_stream_latency_first_event_ms (&latency, &model, &usual_size), 300);
+  ck_assert_int_ge (
+      cf_stream_latency_max_total_ms (&latency, &model, &usual_size, NOW_MS),
+      2400);
   ck_assert_int_ge (
-      cf_stream_latency_max_total_ms (&p, &engine, &long_one, NOW), 6000);
+      cf_stream_latency_max_total_ms (&latency, &model, &long_size, NOW_MS),
+      6000);
 }
 END_TEST
 
-/* A change of pace is followed within a pass or two of a busy engine. */
-START_TEST (a_change_of_pace_is_followed)
+/* The mean follows a change within a pass or two of a busy engine. */
+START_TEST (mean_follows_a_change_quickly)
 {
-  CfStreamLatency p = { 0 };
+  CfStreamLatency latency = { 0 };
 
   for (int i = 0; i < 400; i++)
-    cf_stream_latency_add_event (&p, i, 50);
+    cf_stream_latency_add_event (&latency, i, 50);
   for (int i = 0; i < 300; i++)
-    cf_stream_latency_add_event (&p, i, 150);
-  ck_assert_double_ge (p.pause_ms, 140);
+    cf_stream_latency_add_event (&latency, i, 150);
+  ck_assert_double_ge (latency.pause_ms, 140);
 }
 END_TEST
 
 static void
-see_passes (CfStreamLatency *p, gint64 from_ms, int n, int pause_ms)
+add_events (CfStreamLatency *latency, gint64 from_ms, int n, int pause_ms)
 {
   for (int i = 0; i < n; i++)
-    cf_stream_latency_add_event (p, from_ms + i, pause_ms);
+    cf_stream_latency_add_event (latency, from_ms + i, pause_ms);
 }
 
-/* Passes of 40 ms, then a lull of 25: they may well be 50 again before a
- * stream of 60 events is whole, as when gateways that were stopped return. */
-START_TEST (a_lull_is_not_reckoned_with)
+/* 40 ms passes, then 25 ms in a lull: they may be 50 ms before a stream of 60
+ * events is complete, as when restarted gateways come back. */
+START_TEST (lull_does_not_lower_maximum)
 {
-  CfStreamLatency p = { 0 };
-  const CfStreamSize long_one = { 800, 240 };
+  CfStreamLatency latency = { 0 };
+  const CfStreamSize long_size = { 800, 240 };
 
-  see_passes (&p, 0, 400, 40);
-  see_passes (&p, 400, 600, 25);
-  ck_assert_double_le (p.pause_ms, 26);
+  add_events (&latency, 0, 400, 40);
+  add_events (&latency, 400, 600, 25);
+  ck_assert_double_le (latency.pause_ms, 26);
   ck_assert_int_ge (
-      cf_stream_latency_max_total_ms (&p, &engine, &long_one, NOW), 60 * 50);
+      cf_stream_latency_max_total_ms (&latency, &model, &long_size, NOW_MS),
+      60 * 50);
 }
 END_TEST
 
-/* Nothing but light load was ever seen: the engine's slots may fill, and
- * passes of 62 ms follow. */
-START_TEST (an_engine_may_get_full)
+/* Only light load was observed so far, but all of the engine's slots may get
+ * used, which makes 62 ms passes. */
+START_TEST (maximum_covers_full_engine)
 {
-  CfStreamLatency p = { 0 };
-  const CfStreamSize long_one = { 800, 240 };
-  CfEngineModel full = engine;
+  CfStreamLatency latency = { 0 };
+  const CfStreamSize long_size = { 800, 240 };
+  CfEngineModel full = model;
 
   full.slots = 12;
-  see_passes (&p, 0, 400, 25);
-  ck_assert_int_ge (cf_stream_latency_max_total_ms (&p, &full, &long_one, NOW),
-                    60 * 62);
+  add_events (&latency, 0, 400, 25);
+  ck_assert_int_ge (
+      cf_stream_latency_max_total_ms (&latency, &full, &long_size, NOW_MS),
+      60 * 62);
 }
 END_TEST
 
-START_TEST (slow_passes_are_forgotten_in_the_end)
+START_TEST (slow_passes_expire)
 {
-  CfStreamLatency p = { 0 };
-
-  see_passes (&p, 0, 400, 120);
-  see_passes (&p, 400, 800, 40);
-  ck_assert_int_ge (cf_stream_latency_max_total_ms (&p, &engine, &usual, 20000),
-                    24 * 120);
-  see_passes (&p, 20000, 400, 40);
-  see_passes (&p, 40000, 400, 40);
-  ck_assert_int_le (cf_stream_latency_max_total_ms (&p, &engine, &usual, 41000),
-                    24 * 120);
+  CfStreamLatency latency = { 0 };
+
+  add_events (&latency, 0, 400, 120);
+  add_events (&latency, 400, 800, 40);
+  ck_assert_int_ge (
+      cf_stream_latency_max_total_ms (&latency, &model, &usual_size, 20000),
+      24 * 120);
+  add_events (&latency, 20000, 400, 40);
+  add_events (&latency, 40000, 400, 40);
+  ck_assert_int_le (
+      cf_stream_latency_max_total_ms (&latency, &model, &usual_size, 41000),
+      24 * 120);
 }
 END_TEST
 
-/* A rank that is five times slower makes passes of 320 ms; they may come
- * again as they came. */
-START_TEST (very_slow_passes_are_a_pace)
+/* A rank that is five times slower makes 320 ms passes, which may recur. */
+START_TEST (very_slow_passes_count)
 {
-  CfStreamLatency p = { 0 };
+  CfStreamLatency latency = { 0 };
 
-  see_passes (&p, 0, 100, 40);
-  see_passes (&p, 100, 400, 320);
-  see_passes (&p, 500, 500, 40);
-  ck_assert_int_ge (cf_stream_latency_max_total_ms (&p, &engine, &usual, NOW),
-                    24 * 300);
+  add_events (&latency, 0, 100, 40);
+  add_events (&latency, 100, 400, 320);
+  add_events (&latency, 500, 500, 40);
+  ck_assert_int_ge (
+      cf_stream_latency_max_total_ms (&latency, &model, &usual_size, NOW_MS),
+      24 * 300);
 }
 END_TEST
 
-/* 100,000 tokens take 1.6 s to be read, whatever others' prompts took. */
-START_TEST (a_long_prompt_takes_its_time)
+/* A prompt of 100,000 tokens takes 1.6 s to process, whatever the first events
+ * of other requests took. */
+START_TEST (long_prompt_adds_to_maximum)
 {
-  CfStreamLatency p = { 0 };
-  const CfStreamSize brief = { 10, 40 };
-  const CfStreamSize long_prompt = { 100000, 40 };
+  CfStreamLatency latency = { 0 };
+  const CfStreamSize short_size = { 10, 40 };
+  const CfStreamSize long_prompt_size = { 100000, 40 };
 
-  see_passes (&p, 0, 400, 40);
+  add_events (&latency, 0, 400, 40);
   for (int i = 0; i < 60; i++)
-    cf_stream_latency_add_first_event (&p, 150);
+    cf_stream_latency_add_first_event (&latency, 150);
   ck_assert_int_ge (
-      cf_stream_latency_max_total_ms (&p, &engine, &long_prompt, NOW),
-      cf_stream_latency_max_total_ms (&p, &engine, &brief, NOW) + 1500);
+      cf_stream_latency_max_total_ms (&latency, &model, &long_prompt_size,
+                                      NOW_MS),
+      cf_stream_latency_max_total_ms (&latency, &model, &short_size, NOW_MS)
+          + 1500);
 }
 END_TEST
 
-START_TEST (a_size_beyond_all_measure_is_no_time_at_all)
+START_TEST (huge_answer_does_not_overflow)
 {
-  CfStreamLatency p = { 0 };
-  const CfStreamSize absurd = { 10, G_MAXINT64 };
+  CfStreamLatency latency = { 0 };
+  const CfStreamSize huge_size = { 10, G_MAXINT64 };
 
-  ck_assert_int_ge (cf_stream_latency_max_total_ms (&p, &engine, &absurd, NOW),
-                    1000000);
+  ck_assert_int_ge (
+      cf_stream_latency_max_total_ms (&latency, &model, &huge_size, NOW_MS),
+      1000000);
 }
 END_TEST
 
-/* A rank group that waits for a rank is no slow engine. */
-START_TEST (standing_still_is_no_pace)
+/* A rank group that waits for a rank is stalled, not slow. */
+START_TEST (stalls_do_not_count)
 {
-  CfStreamLatency p = { 0 };
-
-  see_passes (&p, 0, 400, 40);
-  see_passes (&p, 400, 48, 1500);
-  see_passes (&p, 500, 500, 40);
-  ck_assert_int_le (cf_stream_latency_max_total_ms (&p, &engine, &usual, NOW),
-                    24 * 40 * 2);
+  CfStreamLatency latency = { 0 };
+
+  add_events (&latency, 0, 400, 40);
+  add_events (&latency, 400, 48, 1500);
+  add_events (&latency, 500, 500, 40);
+  ck_assert_int_le (
+      cf_stream_latency_max_total_ms (&latency, &model, &usual_size, NOW_MS),
+      24 * 40 * 2);
 }
 END_TEST
 
 int
 main (void)
 {
-  Suite *s = suite_create ("pace");
+  Suite *s = suite_create ("stream-latency");
   TCase *tc = tcase_create ("core");
 
-  tcase_add_test (tc, nothing_is_known_of_an_unknown_engine);
-  tcase_add_test (tc, the_published_model_stands_in);
-  tcase_add_test (tc, what_is_seen_goes_before);
-  tcase_add_test (tc, a_change_of_pace_is_followed);
-  tcase_add_test (tc, a_lull_is_not_reckoned_with);
-  tcase_add_test (tc, an_engine_may_get_full);
-  tcase_add_test (tc, slow_passes_are_forgotten_in_the_end);
-  tcase_add_test (tc, very_slow_passes_are_a_pace);
-  tcase_add_test (tc, a_long_prompt_takes_its_time);
-  tcase_add_test (tc, a_size_beyond_all_measure_is_no_time_at_all);
-  tcase_add_test (tc, standing_still_is_no_pace);
+  tcase_add_test (tc, no_estimate_without_model_or_observations);
+  tcase_add_test (tc, model_is_used_before_observations);
+  tcase_add_test (tc, observations_replace_model);
+  tcase_add_test (tc, mean_follows_a_change_quickly);
+  tcase_add_test (tc, lull_does_not_lower_maximum);
+  tcase_add_test (tc, maximum_covers_full_engine);
+  tcase_add_test (tc, slow_passes_expire);
+  tcase_add_test (tc, very_slow_passes_count);
+  tcase_add_test (tc, long_prompt_adds_to_maximum);
+  tcase_add_test (tc, huge_answer_does_not_overflow);
+  tcase_add_test (tc, stalls_do_not_count);
   suite_add_tcase (s, tc);
   return t_run (s);
 }
--- a/t/t-target.c
+++ b/t/t-target.c
@@ -1,4 +1,4 @@
-/* The table of targets: incarnations of one id, addresses, spoiled records. */
+/* Target table: incarnations of one id, addresses, corrupt records. */
 #include "gateway/target.h"
 #include "harness.h"
 #include "target-harness.h"
@@ -8,10 +8,10 @@
 static CfTargetTable table;
 static gint64 rev;
 
-/* The next write of the store, heard at @now. */
+/* Adds the record of the store's next revision, received at @now. */
 static CfTargetChange
-put_at (const char *id, const char *service, const char *addr,
-        gint64 incarnation, gboolean leaving, gint64 now)
+put_record (const char *id, const char *service, const char *addr,
+            gint64 incarnation, gboolean leaving, gint64 now)
 {
   return t_put_target (&table, &(TTargetSpec){ .id = id,
                                                .service = service,
@@ -25,7 +25,7 @@
 static CfTargetChange
 put (const char *id, gint64 incarnation, gboolean leaving)
 {
-  return put_at (id, "s", "1.1.1.1:1", incarnation, leaving, 0);
+  return put_record (id, "s", "1.1.1.1:1", incarnation, leaving, 0);
 }
 
 static CfTarget *
@@ -47,8 +47,8 @@
   cf_target_table_clear (&table);
 }
 
-/* Nothing that was believed of a start clings to the next one. */
-START_TEST (a_new_incarnation_begins_afresh)
+/* Nothing observed of an incarnation is applied to the next one. */
+START_TEST (new_incarnation_has_fresh_state)
 {
   CfTarget *old;
   CfTarget *t;
@@ -75,43 +75,44 @@
 }
 END_TEST
 
-/* A write of the start before that the store did late. */
-START_TEST (late_news_of_a_former_incarnation)
+/* A write of the previous incarnation that the store delayed. */
+START_TEST (late_record_of_older_incarnation_is_dropped)
 {
   put ("a", 200, FALSE);
   ck_assert_int_eq (put ("a", 100, TRUE), CF_TARGET_STALE);
   ck_assert (!get ("a")->record.leaving);
   ck_assert_int_eq (get ("a")->record.incarnation, 200);
-  /* The one that lives writes again: what was late is forgotten. */
-  put_at ("a", "s", "1.1.1.1:1", 200, FALSE, 1000);
-  ck_assert_int_eq (put_at ("a", "s", "1.1.1.1:1", 100, TRUE,
-                            CF_TARGET_OLDER_INCARNATION_MS + 500),
+  /* The current incarnation writes again, which resets the time for which the
+   * older one was listed. */
+  put_record ("a", "s", "1.1.1.1:1", 200, FALSE, 1000);
+  ck_assert_int_eq (put_record ("a", "s", "1.1.1.1:1", 100, TRUE,
+                                CF_TARGET_OLDER_INCARNATION_MS + 500),
                     CF_TARGET_STALE);
 }
 END_TEST
 
-/* The VM's clock went back between two starts. */
-START_TEST (a_clock_that_went_back)
+/* The VM's clock was set back between two incarnations. */
+START_TEST (older_incarnation_is_accepted_after_clock_step)
 {
   put ("a", 200, FALSE);
-  ck_assert_int_eq (put_at ("a", "s", "1.1.1.1:1", 100, FALSE, 1000),
+  ck_assert_int_eq (put_record ("a", "s", "1.1.1.1:1", 100, FALSE, 1000),
                     CF_TARGET_STALE);
-  ck_assert_int_eq (put_at ("a", "s", "1.1.1.1:1", 100, FALSE,
-                            1000 + CF_TARGET_OLDER_INCARNATION_MS - 1),
+  ck_assert_int_eq (put_record ("a", "s", "1.1.1.1:1", 100, FALSE,
+                                1000 + CF_TARGET_OLDER_INCARNATION_MS - 1),
                     CF_TARGET_STALE);
-  ck_assert_int_eq (put_at ("a", "s", "1.1.1.1:1", 100, TRUE,
-                            1000 + CF_TARGET_OLDER_INCARNATION_MS),
+  ck_assert_int_eq (put_record ("a", "s", "1.1.1.1:1", 100, TRUE,
+                                1000 + CF_TARGET_OLDER_INCARNATION_MS),
                     CF_TARGET_RESTARTED);
   ck_assert_int_eq (get ("a")->record.incarnation, 100);
   ck_assert (get ("a")->record.leaving);
 }
 END_TEST
 
-START_TEST (an_incarnation_is_said_always_or_never)
+START_TEST (record_without_incarnation_is_invalid)
 {
   put ("a", 0, FALSE);
   ck_assert_int_eq (put ("a", 0, FALSE), CF_TARGET_SAME);
-  /* Said for the first time: the same start, as far as is known. */
+  /* The first incarnation stated for the id: taken as the same instance. */
   ck_assert_int_eq (put ("a", 100, FALSE), CF_TARGET_SAME);
   ck_assert_int_eq (put ("a", 0, FALSE), CF_TARGET_BAD);
   ck_assert_ptr_null (get ("a"));
@@ -119,29 +120,29 @@
 END_TEST
 
 static gboolean
-names_s (const void *data, const char *service)
+is_service_s (const void *data, const char *service)
 {
-  const gboolean *too = data;
+  const gboolean *any_service = data;
 
-  return strcmp (service, "s") == 0 || *too;
+  return strcmp (service, "s") == 0 || *any_service;
 }
 
-/* A record of a service that no configuration names may be anyone's: the
- * target at its address goes on. */
-START_TEST (an_unnamed_service_takes_no_address)
+/* A record of a service that is not configured may be corrupt: the target that
+ * has its address keeps it. */
+START_TEST (unconfigured_service_takes_no_address)
 {
-  gboolean too = FALSE;
+  gboolean any_service = FALSE;
 
-  table.is_configured = names_s;
-  table.is_configured_data = &too;
+  table.is_configured = is_service_s;
+  table.is_configured_data = &any_service;
   put ("a", 100, FALSE);
-  put_at ("b", "nonsense", "1.1.1.1:1", 100, FALSE, 0);
+  put_record ("b", "nonsense", "1.1.1.1:1", 100, FALSE, 0);
   ck_assert (!get ("a")->replaced);
   ck_assert (get ("b")->replaced);
   ck_assert_ptr_eq (cf_target_table_lookup_addr (&table, "1.1.1.1:1"),
                     get ("a"));
-  /* Once it is named, the later start has the address. */
-  too = TRUE;
+  /* Once the service is configured, the later instance has the address. */
+  any_service = TRUE;
   cf_target_table_services_changed (&table);
   ck_assert (get ("a")->replaced);
   ck_assert (!get ("b")->replaced);
@@ -155,11 +156,11 @@
   TCase *t = tcase_create ("target");
 
   tcase_add_checked_fixture (t, setup, teardown);
-  tcase_add_test (t, a_new_incarnation_begins_afresh);
-  tcase_add_test (t, late_news_of_a_former_incarnation);
-  tcase_add_test (t, a_clock_that_went_back);
-  tcase_add_test (t, an_incarnation_is_said_always_or_never);
-  tcase_add_test (t, an_unnamed_service_takes_no_address);
+  tcase_add_test (t, new_incarnation_has_fresh_state);
+  tcase_add_test (t, late_record_of_older_incarnation_is_dropped);
+  tcase_add_test (t, older_incarnation_is_accepted_after_clock_step);
+  tcase_add_test (t, record_without_incarnation_is_invalid);
+  tcase_add_test (t, unconfigured_service_takes_no_address);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-wait-queue.c
+++ b/t/t-wait-queue.c
@@ -1,6 +1,6 @@
 /*
- * The order in which requests wait for room, played without a network: a
- * group loses power, and callers come back while its backlog is worked off.
+ * The order of requests in the wait queue, simulated without a network: a group
+ * loses power, and callers retry while its backlog is worked off.
  */
 #include "gateway/outage.h"
 #include "gateway/wait-queue.h"
@@ -8,104 +8,106 @@
 
 #include <string.h>
 
-#define SLOTS 720
-#define WAITERS_MAX 10000
-#define PER_S 280
-/** Callers choose their own time limits. */
-#define DEADLINE_LEAST_MS 5000
-#define DEADLINE_MOST_MS 8000
-#define AIM_MS 500
-#define PATIENCE_MS 2000
+#define N_SLOTS 720
+#define MAX_WAITERS 10000
+#define ARRIVALS_PER_S 280
+/** Callers choose their own timeouts. */
+#define MIN_DEADLINE_MS 5000
+#define MAX_DEADLINE_MS 8000
+#define OBJECTIVE_MS 500
+#define FIRST_EVENT_TIMEOUT_MS 2000
 #define PASS_MS 100
-#define GAP_AIM_MS 150
-#define FIRST_MS 250
-#define USUAL_EVENTS 19
+#define GAP_OBJECTIVE_MS 150
+#define EXPECTED_FIRST_MS 250
+#define TYPICAL_EVENTS 19
 #define STEP_MS 10
-/** When the power goes, callers reach gateways again, the group opens, and the
- * play ends. */
-#define LOST_MS 4000
-#define BACK_MS 5100
-#define OPEN_MS 6250
+/** When the power is lost, callers reach the gateways again, the group opens,
+ * and the simulation ends. */
+#define POWER_LOSS_MS 4000
+#define ARRIVALS_RESUME_MS 5100
+#define GROUP_OPEN_MS 6250
 #define END_MS 16000
-/** Of all slots, what late requests may fill while room is left. */
-#define LATE_PART 0.75
+/** The fraction of all slots that yielding requests may fill. */
+#define LATE_FRACTION 0.75
 
 typedef enum
 {
   WAITING,
   RUNNING,
-  AWAY, /* refused, and comes back */
+  BACKING_OFF, /* refused, to be retried */
   SERVED,
   LOST,
-} Fate;
+} State;
 
 typedef struct
 {
   CfWaiter w;
-  Fate fate;
+  State state;
   gint64 start_ms;
-  gint64 due_ms; /* when it comes, came back, or is whole */
+  gint64 next_ms; /* of its next change of state */
   gint64 deadline_ms;
-  gboolean returned;
-  gboolean in_time;
-  int whole_ms;
+  gboolean is_retry;
+  gboolean on_time;
+  int duration_ms;
 } Request;
 
+/* How late waiters are ordered, and when they yield. */
 typedef struct
 {
-  gboolean by_deadline;
-  gboolean leaves_room; /* also just after the outage */
-} Way;
+  gboolean by_deadline;   /* by slack rather than by arrival */
+  gboolean always_yields; /* also just after the outage */
+} Policy;
 
 typedef struct
 {
   guint all;
   guint lost;
-  guint in_time;
+  guint on_time;
 } Tally;
 
 typedef struct
 {
-  Way way;
+  Policy policy;
   CfWaitQueue queue;
   CfOutage outage;
   GPtrArray *requests;
   GRand *rand;
   gint64 now;
   guint running;
-} Play;
+} Simulation;
 
 static void
-ask (Play *p, Request *r)
+queue_request (Simulation *p, Request *r)
 {
   CfWaiter *evicted;
-  gint64 usual_ms = FIRST_MS + USUAL_EVENTS * PASS_MS;
+  gint64 typical_ms = EXPECTED_FIRST_MS + TYPICAL_EVENTS * PASS_MS;
 
-  r->fate = WAITING;
+  r->state = WAITING;
   r->start_ms = p->now;
   r->w.owner = r;
   r->w.since_ms = p->now;
-  r->w.objective_send_by_ms
-      = cf_waiter_objective_send_by_ms (p->now, AIM_MS, FIRST_MS);
-  r->w.deadline_send_by_ms = p->way.by_deadline ? r->deadline_ms - usual_ms : 0;
-  r->due_ms
-      = p->now
-        + cf_wait_queue_max_wait_ms (PATIENCE_MS, r->deadline_ms - p->now);
-  if (!cf_wait_queue_add (&p->queue, &r->w, WAITERS_MAX, &evicted))
-    r->due_ms = p->now;
+  r->w.objective_send_by_ms = cf_waiter_objective_send_by_ms (
+      p->now, OBJECTIVE_MS, EXPECTED_FIRST_MS);
+  r->w.deadline_send_by_ms
+      = p->policy.by_deadline ? r->deadline_ms - typical_ms : 0;
+  r->next_ms = p->now
+               + cf_wait_queue_max_wait_ms (FIRST_EVENT_TIMEOUT_MS,
+                                            r->deadline_ms - p->now);
+  if (!cf_wait_queue_add (&p->queue, &r->w, MAX_WAITERS, &evicted))
+    r->next_ms = p->now;
 }
 
 static void
-refuse (Play *p, Request *r)
+refuse (Simulation *p, Request *r)
 {
-  gint64 left = r->deadline_ms - p->now;
+  gint64 remaining_ms = r->deadline_ms - p->now;
 
   cf_wait_queue_remove (&p->queue, &r->w);
-  r->fate = r->returned ? LOST : AWAY;
-  r->returned = TRUE;
-  r->due_ms
+  r->state = r->is_retry ? LOST : BACKING_OFF;
+  r->is_retry = TRUE;
+  r->next_ms
       = p->now
-        + cf_retry_after_ms (left,
+        + cf_retry_after_ms (remaining_ms,
                              cf_wait_queue_backoff_ms (
                                  p->outage.since_ms != 0 ? CF_NO_CAPACITY_OUTAGE
                                                          : CF_NO_CAPACITY_FULL),
@@ -113,95 +115,98 @@
 }
 
 static void
-come (Play *p)
+add_request (Simulation *p)
 {
   Request *r = g_new0 (Request, 1);
 
   r->deadline_ms
-      = p->now
-        + g_rand_int_range (p->rand, DEADLINE_LEAST_MS, DEADLINE_MOST_MS);
-  r->whole_ms = FIRST_MS + PASS_MS * g_rand_int_range (p->rand, 4, 35);
+      = p->now + g_rand_int_range (p->rand, MIN_DEADLINE_MS, MAX_DEADLINE_MS);
+  r->duration_ms
+      = EXPECTED_FIRST_MS + PASS_MS * g_rand_int_range (p->rand, 4, 35);
   g_ptr_array_add (p->requests, r);
-  ask (p, r);
+  queue_request (p, r);
 }
 
 static void
-come_in_a_step (Play *p)
+add_arrivals (Simulation *p)
 {
-  double n = PER_S * STEP_MS / 1000.0;
+  double n = ARRIVALS_PER_S * STEP_MS / 1000.0;
 
   for (; n > 0; n--)
     if (n >= 1 || g_rand_double (p->rand) < n)
-      come (p);
+      add_request (p);
 }
 
-/* What ran is cut; its callers notice that no event comes, and come back. */
+/* Cuts off the running requests; their callers notice that no events come, and
+ * retry. */
 static void
-lose_power (Play *p)
+lose_power (Simulation *p)
 {
   for (guint i = 0; i < p->requests->len; i++)
     {
       Request *r = p->requests->pdata[i];
 
-      if (r->fate != RUNNING)
+      if (r->state != RUNNING)
         continue;
-      r->fate = AWAY;
-      r->returned = TRUE;
-      r->in_time = FALSE;
-      r->due_ms = p->now + PATIENCE_MS;
+      r->state = BACKING_OFF;
+      r->is_retry = TRUE;
+      r->on_time = FALSE;
+      r->next_ms = p->now + FIRST_EVENT_TIMEOUT_MS;
     }
   p->running = 0;
   cf_outage_record_refusal (&p->outage, p->now);
 }
 
 static void
-serve (Play *p)
+serve (Simulation *p)
 {
   CfWaiter *w;
 
-  while (p->running < SLOTS
+  while (p->running < N_SLOTS
          && (w = cf_wait_queue_first (&p->queue, p->now, FALSE)))
     {
-      gboolean room = !p->way.leaves_room
-                      && cf_outage_has_ended_recently (&p->outage, p->now);
+      gboolean uses_all_slots
+          = !p->policy.always_yields
+            && cf_outage_has_ended_recently (&p->outage, p->now);
       Request *r = w->owner;
 
-      if (!room && cf_waiter_has_to_yield (w, p->now, PASS_MS, GAP_AIM_MS)
-          && p->running >= SLOTS * LATE_PART)
+      if (!uses_all_slots
+          && cf_waiter_has_to_yield (w, p->now, PASS_MS, GAP_OBJECTIVE_MS)
+          && p->running >= N_SLOTS * LATE_FRACTION)
         return;
       cf_wait_queue_remove (&p->queue, w);
-      r->fate = RUNNING;
-      r->in_time = !r->returned && p->now <= w->objective_send_by_ms;
-      r->due_ms = p->now + r->whole_ms;
+      r->state = RUNNING;
+      r->on_time = !r->is_retry && p->now <= w->objective_send_by_ms;
+      r->next_ms = p->now + r->duration_ms;
       p->running++;
     }
 }
 
 static void
-turn (Play *p)
+advance_requests (Simulation *p)
 {
   for (guint i = 0; i < p->requests->len; i++)
     {
       Request *r = p->requests->pdata[i];
 
-      if (p->now < r->due_ms || r->fate == SERVED || r->fate == LOST)
+      if (p->now < r->next_ms || r->state == SERVED || r->state == LOST)
         continue;
-      if (r->fate == WAITING)
+      if (r->state == WAITING)
         refuse (p, r);
-      else if (r->fate == AWAY)
-        ask (p, r);
+      else if (r->state == BACKING_OFF)
+        queue_request (p, r);
       else
         {
           p->running--;
-          r->fate = p->now <= r->deadline_ms ? SERVED : LOST;
+          r->state = p->now <= r->deadline_ms ? SERVED : LOST;
         }
     }
 }
 
 static Tally
-play (Way way, guint32 seed)
+simulate (Policy policy, guint32 seed)
 {
-  Play p = { .way = way };
+  Simulation p = { .policy = policy };
   Tally t = { 0 };
 
   cf_wait_queue_init (&p.queue);
@@ -209,14 +214,14 @@
   p.rand = g_rand_new_with_seed (seed);
   for (p.now = 0; p.now < END_MS; p.now += STEP_MS)
     {
-      if (p.now < LOST_MS || p.now >= BACK_MS)
-        come_in_a_step (&p);
-      if (p.now == LOST_MS)
+      if (p.now < POWER_LOSS_MS || p.now >= ARRIVALS_RESUME_MS)
+        add_arrivals (&p);
+      if (p.now == POWER_LOSS_MS)
         lose_power (&p);
-      if (p.now == OPEN_MS)
+      if (p.now == GROUP_OPEN_MS)
         cf_outage_record_answer (&p.outage, p.now);
-      turn (&p);
-      if (p.now < LOST_MS || p.now >= OPEN_MS)
+      advance_requests (&p);
+      if (p.now < POWER_LOSS_MS || p.now >= GROUP_OPEN_MS)
         serve (&p);
     }
   for (guint i = 0; i < p.requests->len; i++)
@@ -224,44 +229,45 @@
       const Request *r = p.requests->pdata[i];
 
       t.all++;
-      t.lost += r->fate == LOST;
-      t.in_time += r->fate == SERVED && r->in_time;
+      t.lost += r->state == LOST;
+      t.on_time += r->state == SERVED && r->on_time;
     }
   g_rand_free (p.rand);
   g_ptr_array_unref (p.requests);
   return t;
 }
 
-/* After a loss of power requests were refused for the last time, while slots
- * were left free and others, with time to come back, were served. */
-START_TEST (fewer_are_lost_after_an_outage_than_by_arrival)
+/* Guards against an order in which, after a power loss, requests are refused
+ * for the last time while slots are kept free, or while other requests that
+ * still have time to retry are served. */
+START_TEST (fewer_requests_lost_than_in_order_of_arrival)
 {
   for (guint32 seed = 1; seed <= 5; seed++)
     {
-      Tally before = play ((Way){ FALSE, TRUE }, seed);
-      Tally now = play ((Way){ TRUE, FALSE }, seed);
+      Tally by_arrival = simulate ((Policy){ FALSE, TRUE }, seed);
+      Tally by_slack = simulate ((Policy){ TRUE, FALSE }, seed);
 
       if (g_getenv ("T_TRACE"))
         g_printerr ("seed %u: of %u lost %u, %u; in time %u, %u\n", seed,
-                    now.all, before.lost, now.lost, before.in_time,
-                    now.in_time);
-      ck_assert_uint_lt (now.lost, before.lost);
-      ck_assert_uint_ge (now.in_time * 100, before.in_time * 95);
+                    by_slack.all, by_arrival.lost, by_slack.lost,
+                    by_arrival.on_time, by_slack.on_time);
+      ck_assert_uint_lt (by_slack.lost, by_arrival.lost);
+      ck_assert_uint_ge (by_slack.on_time * 100, by_arrival.on_time * 95);
     }
 }
 END_TEST
 
-START_TEST (of_the_late_the_shortest_of_time_goes_first)
+START_TEST (late_waiter_with_least_slack_goes_first)
 {
   CfWaitQueue q;
   CfWaiter *evicted;
-  CfWaiter hopeless = { .priority = 1, .deadline_send_by_ms = 50 };
+  CfWaiter expired = { .priority = 1, .deadline_send_by_ms = 50 };
   CfWaiter old = { .priority = 1, .deadline_send_by_ms = 900 };
   CfWaiter last = { .priority = 1, .deadline_send_by_ms = 300 };
   CfWaiter low = { .priority = 2, .deadline_send_by_ms = 200 };
 
   cf_wait_queue_init (&q);
-  cf_wait_queue_add (&q, &hopeless, 9, &evicted);
+  cf_wait_queue_add (&q, &expired, 9, &evicted);
   cf_wait_queue_add (&q, &old, 9, &evicted);
   cf_wait_queue_add (&q, &last, 9, &evicted);
   cf_wait_queue_add (&q, &low, 9, &evicted);
@@ -270,8 +276,8 @@
   ck_assert_ptr_eq (cf_wait_queue_first (&q, 100, FALSE), &old);
   cf_wait_queue_remove (&q, &old);
   ck_assert_ptr_eq (cf_wait_queue_first (&q, 100, FALSE), &low);
-  /* None can be whole any more: as they came. */
-  ck_assert_ptr_eq (cf_wait_queue_first (&q, 1000, FALSE), &hopeless);
+  /* None can be complete by its deadline: in order of arrival. */
+  ck_assert_ptr_eq (cf_wait_queue_first (&q, 1000, FALSE), &expired);
 }
 END_TEST
 
@@ -281,8 +287,8 @@
   Suite *s = suite_create ("wait-queue");
   TCase *t = tcase_create ("wait-queue");
 
-  tcase_add_test (t, fewer_are_lost_after_an_outage_than_by_arrival);
-  tcase_add_test (t, of_the_late_the_shortest_of_time_goes_first);
+  tcase_add_test (t, fewer_requests_lost_than_in_order_of_arrival);
+  tcase_add_test (t, late_waiter_with_least_slack_goes_first);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/target-harness.c
+++ b/t/target-harness.c
@@ -1,28 +1,28 @@
 #include "target-harness.h"
 
-#define SLOTS_USUAL 4
+#define DEFAULT_SLOTS 4
 
 static char *
-text_or (const char *text, const char *usual)
+text_or (const char *text, const char *fallback)
 {
-  return g_strdup (text ? text : usual);
+  return g_strdup (text ? text : fallback);
 }
 
 CfTargetChange
-t_put_target (CfTargetTable *t, const TTargetSpec *what)
+t_put_target (CfTargetTable *t, const TTargetSpec *spec)
 {
-  const CfTargetUpdate news
-      = { what->id, "{}", 2, what->rev, what->rev, what->now_ms };
+  const CfTargetUpdate update
+      = { spec->id, "{}", 2, spec->rev, spec->rev, spec->now_ms };
   CfTargetRecord r = { 0 };
 
-  r.id = g_strdup (what->id);
-  r.service = text_or (what->service, "s");
-  r.data_centre = text_or (what->data_centre, "dc1");
-  r.addr = text_or (what->addr, "1.1.1.1:1");
-  r.slots = what->slots ? what->slots : SLOTS_USUAL;
-  r.leaving = what->leaving;
-  r.incarnation = what->incarnation;
-  return cf_target_table_put (t, &r, &news);
+  r.id = g_strdup (spec->id);
+  r.service = text_or (spec->service, "s");
+  r.data_centre = text_or (spec->data_centre, "dc1");
+  r.addr = text_or (spec->addr, "1.1.1.1:1");
+  r.slots = spec->slots ? spec->slots : DEFAULT_SLOTS;
+  r.leaving = spec->leaving;
+  r.incarnation = spec->incarnation;
+  return cf_target_table_put (t, &r, &update);
 }
 
 void
--- a/t/target-harness.h
+++ b/t/target-harness.h
@@ -2,8 +2,8 @@
 
 #include "gateway/target.h"
 
-/** TTargetSpec: what the platform's list says of a target; what a test leaves
- * out is as t_put_target() says. */
+/** TTargetSpec: a target as the platform lists it, with defaults for the fields
+ * that a test leaves out. */
 typedef struct
 {
   const char *id;
@@ -13,20 +13,20 @@
   gint64 slots;            /**< 0: 4 */
   gboolean leaving;
   gint64 incarnation;
-  gint64 rev;    /**< of the record, and of the first listing */
-  gint64 now_ms; /**< when it is heard */
+  gint64 rev;    /**< of the record, and of its first listing */
+  gint64 now_ms; /**< when the record is received */
 } TTargetSpec;
 
-/** t_put_target: the list says @what. */
-CfTargetChange t_put_target (CfTargetTable *t, const TTargetSpec *what);
+/** t_put_target: adds or updates the target as the list would. */
+CfTargetChange t_put_target (CfTargetTable *t, const TTargetSpec *spec);
 
-/** t_put_targets: @n targets "r0", "r1" and so on, of @slots slots, each at an
- * address of its own. */
+/** t_put_targets: adds @n targets "r0", "r1" and so on with @slots slots each,
+ * at different addresses. */
 void t_put_targets (CfTargetTable *t, int n, gint64 slots);
 
 /** t_get_target: (nullable): the target @id. */
 CfTarget *t_get_target (const CfTargetTable *t, const char *id);
 
-/** t_set_in_flight: @t gets or ends requests of ours at @now_ms, so that it has
- * @n. */
+/** t_set_in_flight: starts or ends requests at @t at @now_ms, so that it has @n
+ * in flight. */
 void t_set_in_flight (CfTarget *t, guint n, gint64 now_ms);
