--- a/gateway/target.c
+++ b/gateway/target.c
@@ -126,7 +126,7 @@
 
 /* Sorts by id, so that all gateways agree on the ring of targets. */
 static void
-insert_by_id (GPtrArray *a, CfTarget *n)
+insert_by_id (GPtrArray *a, CfTarget *target)
 {
   guint low = 0;
   guint high = a->len;
@@ -136,138 +136,141 @@
       guint mid = (low + high) / 2;
       const CfTarget *at = a->pdata[mid];
 
-      if (strcmp (at->record.id, n->record.id) < 0)
+      if (strcmp (at->record.id, target->record.id) < 0)
         low = mid + 1;
       else
         high = mid;
     }
-  g_ptr_array_insert (a, (gint)low, n);
+  g_ptr_array_insert (a, (gint)low, target);
 }
 
 static gboolean
-is_configured (const CfTargetTable *t, const CfTarget *n)
+is_configured (const CfTargetTable *t, const CfTarget *target)
 {
   return !t->is_configured
-         || t->is_configured (t->is_configured_data, n->record.service);
+         || t->is_configured (t->is_configured_data, target->record.service);
 }
 
-/* Whether @other rather than @n is the instance at their common address: the
- * one listed later.  A record of a service that is not configured may be
+/* Whether @other rather than @target is the instance at their common address:
+ * the one listed later.  A record of a service that is not configured may be
  * corrupt, and loses to one of a configured service. */
 static gboolean
-has_older_claim (const CfTargetTable *t, const CfTarget *n,
+has_older_claim (const CfTargetTable *t, const CfTarget *target,
                  const CfTarget *other)
 {
-  gboolean named = is_configured (t, n);
+  gboolean configured = is_configured (t, target);
 
-  if (named != is_configured (t, other))
-    return !named;
-  return other->created > n->created;
+  if (configured != is_configured (t, other))
+    return !configured;
+  return other->created > target->created;
 }
 
 static void
-claim_address (CfTargetTable *t, CfTarget *n)
+claim_address (CfTargetTable *t, CfTarget *target)
 {
-  CfTarget *other = g_hash_table_lookup (t->by_addr, n->record.addr);
+  CfTarget *other = g_hash_table_lookup (t->by_addr, target->record.addr);
 
-  n->replaced = other && has_older_claim (t, n, other);
-  if (n->replaced)
+  target->replaced = other && has_older_claim (t, target, other);
+  if (target->replaced)
     return;
   if (other)
     other->replaced = TRUE;
-  g_hash_table_replace (t->by_addr, n->record.addr, n);
+  g_hash_table_replace (t->by_addr, target->record.addr, target);
 }
 
 static CfTargetChange
 add_target (CfTargetTable *t, CfTargetRecord *r, const CfTargetUpdate *update)
 {
-  CfTarget *n = cf_target_new (r);
+  CfTarget *target = cf_target_new (r);
 
-  if (!n)
+  if (!target)
     return CF_TARGET_BAD;
-  n->json = g_strndup (update->json, update->n);
-  n->rev = update->rev;
-  n->created = update->created;
-  claim_address (t, n);
-  g_hash_table_insert (t->by_id, n->record.id, n);
-  insert_by_id (get_service_array (t, n->record.service), n);
+  target->json = g_strndup (update->json, update->n);
+  target->rev = update->rev;
+  target->created = update->created;
+  claim_address (t, target);
+  g_hash_table_insert (t->by_id, target->record.id, target);
+  insert_by_id (get_service_array (t, target->record.service), target);
   return CF_TARGET_NEW;
 }
 
 static CfTargetChange
-update_target (CfTarget *n, CfTargetRecord *r, const CfTargetUpdate *update)
+update_target (CfTarget *target, CfTargetRecord *r,
+               const CfTargetUpdate *update)
 {
   CfTargetChange c = CF_TARGET_SAME;
 
-  if (r->leaving && !n->record.leaving)
+  if (r->leaving && !target->record.leaving)
     c = CF_TARGET_LEAVING;
-  else if (r->leaving != n->record.leaving || r->slots != n->record.slots)
+  else if (r->leaving != target->record.leaving
+           || r->slots != target->record.slots)
     c = CF_TARGET_UPDATED;
-  n->record.leaving = r->leaving;
-  n->record.slots = r->slots;
-  n->record.warmup_ms = r->warmup_ms;
-  n->record.incarnation = r->incarnation;
-  n->rev = update->rev;
-  g_free (n->json);
-  n->json = g_strndup (update->json, update->n);
+  target->record.leaving = r->leaving;
+  target->record.slots = r->slots;
+  target->record.warmup_ms = r->warmup_ms;
+  target->record.incarnation = r->incarnation;
+  target->rev = update->rev;
+  g_free (target->json);
+  target->json = g_strndup (update->json, update->n);
   cf_target_record_clear (r);
   return c;
 }
 
 /* Whether @r is to be dropped as a late record of an older incarnation than
- * that of @n. */
+ * that of @target. */
 static gboolean
-is_stale_incarnation (CfTarget *n, const CfTargetRecord *r, gint64 now)
+is_stale_incarnation (CfTarget *target, const CfTargetRecord *r, gint64 now)
 {
-  if (r->incarnation >= n->record.incarnation)
+  if (r->incarnation >= target->record.incarnation)
     {
-      n->older_since_ms = 0;
+      target->older_since_ms = 0;
       return FALSE;
     }
-  if (n->older_since_ms == 0)
-    n->older_since_ms = now;
-  return now - n->older_since_ms < CF_TARGET_OLDER_INCARNATION_MS;
+  if (target->older_since_ms == 0)
+    target->older_since_ms = now;
+  return now - target->older_since_ms < CF_TARGET_OLDER_INCARNATION_MS;
 }
 
-/* Whether @r belongs to another instance than @n: by its incarnation, or by its
- * address or service, which an instance never changes. */
+/* Whether @r belongs to another instance than @target: by its incarnation, or
+ * by its address or service, which an instance never changes. */
 static gboolean
-is_other_instance (const CfTarget *n, const CfTargetRecord *r)
+is_other_instance (const CfTarget *target, const CfTargetRecord *r)
 {
-  return (n->record.incarnation && r->incarnation != n->record.incarnation)
-         || strcmp (n->record.addr, r->addr) != 0
-         || strcmp (n->record.service, r->service) != 0;
+  return (target->record.incarnation
+          && r->incarnation != target->record.incarnation)
+         || strcmp (target->record.addr, r->addr) != 0
+         || strcmp (target->record.service, r->service) != 0;
 }
 
 CfTargetChange
 cf_target_table_put (CfTargetTable *t, CfTargetRecord *r,
                      const CfTargetUpdate *update)
 {
-  CfTarget *n = g_hash_table_lookup (t->by_id, r->id);
+  CfTarget *target = g_hash_table_lookup (t->by_id, r->id);
   CfTargetChange c = CF_TARGET_NEW;
 
-  if (n && update->rev < n->rev)
+  if (target && update->rev < target->rev)
     {
       cf_target_record_clear (r);
       return CF_TARGET_SAME;
     }
   /* Once an id's records have an incarnation, one without it is invalid. */
-  if (n && n->record.incarnation && !r->incarnation)
+  if (target && target->record.incarnation && !r->incarnation)
     {
       cf_target_table_remove (t, r->id);
       cf_target_record_clear (r);
       return CF_TARGET_BAD;
     }
-  if (n && is_stale_incarnation (n, r, update->now_ms))
+  if (target && is_stale_incarnation (target, r, update->now_ms))
     {
       cf_target_record_clear (r);
       return CF_TARGET_STALE;
     }
-  if (n && !is_other_instance (n, r))
-    return update_target (n, r, update);
-  if (n)
+  if (target && !is_other_instance (target, r))
+    return update_target (target, r, update);
+  if (target)
     {
-      if (n->record.incarnation)
+      if (target->record.incarnation)
         c = CF_TARGET_RESTARTED;
       cf_target_table_remove (t, r->id);
     }
@@ -319,13 +322,13 @@
 gboolean
 cf_target_table_remove (CfTargetTable *t, const char *id)
 {
-  CfTarget *n = g_hash_table_lookup (t->by_id, id);
+  CfTarget *target = g_hash_table_lookup (t->by_id, id);
 
-  if (!n)
+  if (!target)
     return FALSE;
-  g_ptr_array_remove (get_service_array (t, n->record.service), n);
-  if (cf_target_table_lookup_addr (t, n->record.addr) == n)
-    g_hash_table_remove (t->by_addr, n->record.addr);
+  g_ptr_array_remove (get_service_array (t, target->record.service), target);
+  if (cf_target_table_lookup_addr (t, target->record.addr) == target)
+    g_hash_table_remove (t->by_addr, target->record.addr);
   g_hash_table_remove (t->by_id, id);
   return TRUE;
 }
--- a/gateway/wait-queue.h
+++ b/gateway/wait-queue.h
@@ -14,10 +14,10 @@
   TAILQ_ENTRY (CfWaiter) link;
   gint64 priority; /**< 0 is the most urgent */
   gint64 since_ms; /**< when it was queued */
-  gint64
-      objective_send_by_ms; /**< latest time to send it to meet its objective */
-  gint64 deadline_send_by_ms; /**< latest time to send it for its answer to be
-                                   complete by its deadline */
+  /** Latest time to send it so that it meets its objective. */
+  gint64 objective_send_by_ms;
+  /** Latest time to send it so that its answer is complete by its deadline. */
+  gint64 deadline_send_by_ms;
   gboolean queued;
   void *owner;
 };
@@ -27,9 +27,9 @@
  * Requests of one service that wait for capacity.  Those that can still meet
  * their objective come first, by priority, then by arrival.  Of the late ones,
  * the one with the least slack comes first, if its answer can still be complete
- * by its deadline: one with more slack still has time to retry if it is
- * refused. The queue is bounded; it absorbs bursts that end before callers give
- * up.
+ * by its deadline: one with more slack still has time to retry if refused.
+ *
+ * The queue is bounded; it absorbs bursts that end before callers give up.
  */
 typedef struct
 {
