--- a/gateway/target.c
+++ b/gateway/target.c
@@ -5,8 +5,8 @@
 #include <math.h>
 #include <string.h>
 
-/** A change of pace that matters. */
-#define PACE_STEP 0.1
+/** Smaller changes of a slowdown are ignored. */
+#define MIN_SLOWDOWN_CHANGE 0.1
 
 CfTarget *
 cf_target_new (CfTargetRecord *r)
@@ -16,7 +16,7 @@
   t->ref_count = 1;
   t->record = *r;
   t->listed = TRUE;
-  t->pace = 1;
+  t->slowdown = 1;
   TAILQ_INIT (&t->idle);
   TAILQ_INIT (&t->busy);
   if (cf_socket_parse (t->record.addr, &t->addr) == CF_OK)
@@ -56,22 +56,22 @@
 }
 
 void
-cf_target_work_begun (CfTarget *t, gint64 now)
+cf_target_request_started (CfTarget *t, gint64 now)
 {
   if (t->in_flight++ == 0)
     t->busy_since_ms = now;
 }
 
 void
-cf_target_work_ended (CfTarget *t)
+cf_target_request_ended (CfTarget *t)
 {
   t->in_flight--;
 }
 
 void
-cf_target_sign (CfTarget *t, gint64 now)
+cf_target_record_progress (CfTarget *t, gint64 now)
 {
-  t->last_sign_ms = now;
+  t->last_progress_ms = now;
 }
 
 static void
@@ -96,11 +96,11 @@
   t->by_addr = g_hash_table_new (g_str_hash, g_str_equal);
   t->by_service
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_array);
-  /* Gateways that start together and know the same targets would all begin at
-   * the same one, and crowd a few at a time. */
-  t->turn = g_random_int ();
-  t->is_named = NULL;
-  t->is_named_data = NULL;
+  /* Without a random start, gateways that start together and know the same
+   * targets would all begin at the same one and overload a few at a time. */
+  t->next_start = g_random_int ();
+  t->is_configured = NULL;
+  t->is_configured_data = NULL;
 }
 
 void
@@ -112,7 +112,7 @@
 }
 
 static GPtrArray *
-service_array (CfTargetTable *t, const char *service)
+get_service_array (CfTargetTable *t, const char *service)
 {
   GPtrArray *a = g_hash_table_lookup (t->by_service, service);
 
@@ -124,9 +124,9 @@
   return a;
 }
 
-/* Gateways agree on the order, and so on the ring that it makes. */
+/* Sorts by id, so that all gateways agree on the ring of targets. */
 static void
-insert_by_id (GPtrArray *a, CfTarget *n)
+insert_by_id (GPtrArray *a, CfTarget *target)
 {
   guint low = 0;
   guint high = a->len;
@@ -136,142 +136,149 @@
       guint mid = (low + high) / 2;
       const CfTarget *at = a->pdata[mid];
 
-      if (strcmp (at->record.id, n->record.id) < 0)
+      if (strcmp (at->record.id, target->record.id) < 0)
         low = mid + 1;
       else
         high = mid;
     }
-  g_ptr_array_insert (a, (gint)low, n);
+  g_ptr_array_insert (a, (gint)low, target);
 }
 
 static gboolean
-is_named (const CfTargetTable *t, const CfTarget *n)
+is_configured (const CfTargetTable *t, const CfTarget *target)
 {
-  return !t->is_named || t->is_named (t->is_named_data, n->record.service);
+  return !t->is_configured
+         || t->is_configured (t->is_configured_data, target->record.service);
 }
 
-/* Of two starts listed at one address, the one listed later is there; a
- * record of a service that nothing names says nothing of an address. */
+/* Whether @other rather than @target is the instance at their common address:
+ * the one listed later.  A record of a service that is not configured may be
+ * corrupt, and loses to one of a configured service. */
 static gboolean
-is_behind (const CfTargetTable *t, const CfTarget *n, const CfTarget *other)
+has_older_claim (const CfTargetTable *t, const CfTarget *target,
+                 const CfTarget *other)
 {
-  gboolean named = is_named (t, n);
+  gboolean configured = is_configured (t, target);
 
-  if (named != is_named (t, other))
-    return !named;
-  return other->created > n->created;
+  if (configured != is_configured (t, other))
+    return !configured;
+  return other->created > target->created;
 }
 
 static void
-take_address (CfTargetTable *t, CfTarget *n)
+claim_address (CfTargetTable *t, CfTarget *target)
 {
-  CfTarget *other = g_hash_table_lookup (t->by_addr, n->record.addr);
+  CfTarget *other = g_hash_table_lookup (t->by_addr, target->record.addr);
 
-  n->replaced = other && is_behind (t, n, other);
-  if (n->replaced)
+  target->replaced = other && has_older_claim (t, target, other);
+  if (target->replaced)
     return;
   if (other)
     other->replaced = TRUE;
-  g_hash_table_replace (t->by_addr, n->record.addr, n);
+  g_hash_table_replace (t->by_addr, target->record.addr, target);
 }
 
 static CfTargetChange
-add_target (CfTargetTable *t, CfTargetRecord *r, const CfTargetNews *news)
+add_target (CfTargetTable *t, CfTargetRecord *r, const CfTargetUpdate *update)
 {
-  CfTarget *n = cf_target_new (r);
+  CfTarget *target = cf_target_new (r);
 
-  if (!n)
+  if (!target)
     return CF_TARGET_BAD;
-  n->json = g_strndup (news->json, news->n);
-  n->rev = news->rev;
-  n->created = news->created;
-  take_address (t, n);
-  g_hash_table_insert (t->by_id, n->record.id, n);
-  insert_by_id (service_array (t, n->record.service), n);
+  target->json = g_strndup (update->json, update->n);
+  target->rev = update->rev;
+  target->created = update->created;
+  claim_address (t, target);
+  g_hash_table_insert (t->by_id, target->record.id, target);
+  insert_by_id (get_service_array (t, target->record.service), target);
   return CF_TARGET_NEW;
 }
 
 static CfTargetChange
-update_target (CfTarget *n, CfTargetRecord *r, const CfTargetNews *news)
+update_target (CfTarget *target, CfTargetRecord *r,
+               const CfTargetUpdate *update)
 {
   CfTargetChange c = CF_TARGET_SAME;
 
-  if (r->leaving && !n->record.leaving)
+  if (r->leaving && !target->record.leaving)
     c = CF_TARGET_LEAVING;
-  else if (r->leaving != n->record.leaving || r->slots != n->record.slots)
+  else if (r->leaving != target->record.leaving
+           || r->slots != target->record.slots)
     c = CF_TARGET_UPDATED;
-  n->record.leaving = r->leaving;
-  n->record.slots = r->slots;
-  n->record.warmup_ms = r->warmup_ms;
-  n->record.incarnation = r->incarnation;
-  n->rev = news->rev;
-  g_free (n->json);
-  n->json = g_strndup (news->json, news->n);
+  target->record.leaving = r->leaving;
+  target->record.slots = r->slots;
+  target->record.warmup_ms = r->warmup_ms;
+  target->record.incarnation = r->incarnation;
+  target->rev = update->rev;
+  g_free (target->json);
+  target->json = g_strndup (update->json, update->n);
   cf_target_record_clear (r);
   return c;
 }
 
-/* Whether @r is of an incarnation before that of @n. */
+/* Whether @r is to be dropped as a late record of an older incarnation than
+ * that of @target. */
 static gboolean
-is_older (CfTarget *n, const CfTargetRecord *r, gint64 now)
+is_stale_incarnation (CfTarget *target, const CfTargetRecord *r, gint64 now)
 {
-  if (r->incarnation >= n->record.incarnation)
+  if (r->incarnation >= target->record.incarnation)
     {
-      n->older_since_ms = 0;
+      target->older_since_ms = 0;
       return FALSE;
     }
-  if (n->older_since_ms == 0)
-    n->older_since_ms = now;
-  return now - n->older_since_ms < CF_TARGET_OLDER_MS;
+  if (target->older_since_ms == 0)
+    target->older_since_ms = now;
+  return now - target->older_since_ms < CF_TARGET_OLDER_INCARNATION_MS;
 }
 
-/* Whether @r is of another start than @n, by what it says, or by an address
- * or a service that one start cannot change. */
+/* Whether @r belongs to another instance than @target: by its incarnation, or
+ * by its address or service, which an instance never changes. */
 static gboolean
-is_other_start (const CfTarget *n, const CfTargetRecord *r)
+is_other_instance (const CfTarget *target, const CfTargetRecord *r)
 {
-  return (n->record.incarnation && r->incarnation != n->record.incarnation)
-         || strcmp (n->record.addr, r->addr) != 0
-         || strcmp (n->record.service, r->service) != 0;
+  return (target->record.incarnation
+          && r->incarnation != target->record.incarnation)
+         || strcmp (target->record.addr, r->addr) != 0
+         || strcmp (target->record.service, r->service) != 0;
 }
 
 CfTargetChange
 cf_target_table_put (CfTargetTable *t, CfTargetRecord *r,
-                     const CfTargetNews *news)
+                     const CfTargetUpdate *update)
 {
-  CfTarget *n = g_hash_table_lookup (t->by_id, r->id);
+  CfTarget *target = g_hash_table_lookup (t->by_id, r->id);
   CfTargetChange c = CF_TARGET_NEW;
 
-  if (n && news->rev < n->rev)
+  if (target && update->rev < target->rev)
     {
       cf_target_record_clear (r);
       return CF_TARGET_SAME;
     }
-  /* A target says its incarnation always or never. */
-  if (n && n->record.incarnation && !r->incarnation)
+  /* Once an id's records have an incarnation, one without it is invalid. */
+  if (target && target->record.incarnation && !r->incarnation)
     {
       cf_target_table_remove (t, r->id);
       cf_target_record_clear (r);
       return CF_TARGET_BAD;
     }
-  if (n && is_older (n, r, news->now_ms))
+  if (target && is_stale_incarnation (target, r, update->now_ms))
     {
       cf_target_record_clear (r);
       return CF_TARGET_STALE;
     }
-  if (n && !is_other_start (n, r))
-    return update_target (n, r, news);
-  if (n)
+  if (target && !is_other_instance (target, r))
+    return update_target (target, r, update);
+  if (target)
     {
-      if (n->record.incarnation)
+      if (target->record.incarnation)
         c = CF_TARGET_RESTARTED;
       cf_target_table_remove (t, r->id);
     }
-  return add_target (t, r, news) == CF_TARGET_BAD ? CF_TARGET_BAD : c;
+  return add_target (t, r, update) == CF_TARGET_BAD ? CF_TARGET_BAD : c;
 }
 
 void
-cf_target_table_renamed (CfTargetTable *t)
+cf_target_table_services_changed (CfTargetTable *t)
 {
   GHashTableIter it;
   gpointer v;
@@ -279,35 +286,35 @@
   g_hash_table_remove_all (t->by_addr);
   g_hash_table_iter_init (&it, t->by_id);
   while (g_hash_table_iter_next (&it, NULL, &v))
-    take_address (t, v);
+    claim_address (t, v);
 }
 
 gint64
-cf_target_quiet_ms (const CfTarget *t, gint64 now)
+cf_target_silence_ms (const CfTarget *t, gint64 now)
 {
   if (t->in_flight == 0)
     return 0;
-  return now - MAX (t->busy_since_ms, t->last_sign_ms);
+  return now - MAX (t->busy_since_ms, t->last_progress_ms);
 }
 
 gboolean
-cf_target_is_former (const CfTarget *t, gint64 incarnation)
+cf_target_is_older_incarnation (const CfTarget *t, gint64 incarnation)
 {
   return incarnation != 0 && incarnation < t->record.incarnation;
 }
 
 gboolean
-cf_target_set_pace (CfTarget *t, double pace, gint64 now)
+cf_target_set_slowdown (CfTarget *t, double slowdown, gint64 now)
 {
-  t->pace_at_ms = now;
-  if (fabs (t->pace - pace) < PACE_STEP)
+  t->slowdown_updated_ms = now;
+  if (fabs (t->slowdown - slowdown) < MIN_SLOWDOWN_CHANGE)
     return FALSE;
-  t->pace = pace;
+  t->slowdown = slowdown;
   return TRUE;
 }
 
 CfTarget *
-cf_target_table_at (const CfTargetTable *t, const char *addr)
+cf_target_table_lookup_addr (const CfTargetTable *t, const char *addr)
 {
   return g_hash_table_lookup (t->by_addr, addr);
 }
@@ -315,13 +322,13 @@
 gboolean
 cf_target_table_remove (CfTargetTable *t, const char *id)
 {
-  CfTarget *n = g_hash_table_lookup (t->by_id, id);
+  CfTarget *target = g_hash_table_lookup (t->by_id, id);
 
-  if (!n)
+  if (!target)
     return FALSE;
-  g_ptr_array_remove (service_array (t, n->record.service), n);
-  if (cf_target_table_at (t, n->record.addr) == n)
-    g_hash_table_remove (t->by_addr, n->record.addr);
+  g_ptr_array_remove (get_service_array (t, target->record.service), target);
+  if (cf_target_table_lookup_addr (t, target->record.addr) == target)
+    g_hash_table_remove (t->by_addr, target->record.addr);
   g_hash_table_remove (t->by_id, id);
   return TRUE;
 }
--- a/t/target-harness.c
+++ b/t/target-harness.c
@@ -1,41 +1,41 @@
 #include "target-harness.h"
 
-#define SLOTS_USUAL 4
+#define DEFAULT_SLOTS 4
 
 static char *
-text_or (const char *text, const char *usual)
+text_or (const char *text, const char *fallback)
 {
-  return g_strdup (text ? text : usual);
+  return g_strdup (text ? text : fallback);
 }
 
 CfTargetChange
-t_put_target (CfTargetTable *t, const TTarget *what)
+t_put_target (CfTargetTable *t, const TTargetSpec *spec)
 {
-  const CfTargetNews news
-      = { what->id, "{}", 2, what->rev, what->rev, what->now_ms };
+  const CfTargetUpdate update
+      = { spec->id, "{}", 2, spec->rev, spec->rev, spec->now_ms };
   CfTargetRecord r = { 0 };
 
-  r.id = g_strdup (what->id);
-  r.service = text_or (what->service, "s");
-  r.data_centre = text_or (what->data_centre, "dc1");
-  r.addr = text_or (what->addr, "1.1.1.1:1");
-  r.slots = what->slots ? what->slots : SLOTS_USUAL;
-  r.leaving = what->leaving;
-  r.incarnation = what->incarnation;
-  return cf_target_table_put (t, &r, &news);
+  r.id = g_strdup (spec->id);
+  r.service = text_or (spec->service, "s");
+  r.data_centre = text_or (spec->data_centre, "dc1");
+  r.addr = text_or (spec->addr, "1.1.1.1:1");
+  r.slots = spec->slots ? spec->slots : DEFAULT_SLOTS;
+  r.leaving = spec->leaving;
+  r.incarnation = spec->incarnation;
+  return cf_target_table_put (t, &r, &update);
 }
 
 void
-t_put_row (CfTargetTable *t, int n, gint64 slots)
+t_put_targets (CfTargetTable *t, int n, gint64 slots)
 {
   for (int i = 0; i < n; i++)
     {
       g_autofree char *id = g_strdup_printf ("r%d", i);
       g_autofree char *addr = g_strdup_printf ("1.1.1.%d:1", i + 1);
 
-      t_put_target (
-          t,
-          &(TTarget){ .id = id, .addr = addr, .slots = slots, .rev = i + 1 });
+      t_put_target (t,
+                    &(TTargetSpec){
+                        .id = id, .addr = addr, .slots = slots, .rev = i + 1 });
     }
 }
 
@@ -46,10 +46,10 @@
 }
 
 void
-t_give_work (CfTarget *t, guint n, gint64 now_ms)
+t_set_in_flight (CfTarget *t, guint n, gint64 now_ms)
 {
   while (t->in_flight < n)
-    cf_target_work_begun (t, now_ms);
+    cf_target_request_started (t, now_ms);
   while (t->in_flight > n)
-    cf_target_work_ended (t);
+    cf_target_request_ended (t);
 }
