--- a/comfrey-gateway.c
+++ b/comfrey-gateway.c
@@ -107,7 +107,7 @@
 {
   gint64 now = cf_gateway_now (g);
 
-  cf_exchange_stop_look (g);
+  cf_exchange_refuse_all_too_late (g);
   if (now < MIN (g->stop_at_ms + STOP_HEARD_MS, g->end_at_ms))
     return;
   if (!g->stop_heard)
@@ -141,8 +141,8 @@
 static void
 on_tick (struct ev_loop *loop, ev_timer *w, int revents)
 {
-  cf_exchange_route_waiting (&gw);
-  cf_exchange_pump (&gw);
+  cf_exchange_route_unrouted (&gw);
+  cf_exchange_dispatch_queued (&gw);
   replicate_crashes (&gw);
   cf_peer_service_tick (peers);
   if (gw.stopping)
--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -5,7 +5,7 @@
 {
   switch (k)
     {
-    case CF_ANSWER_GOOD:
+    case CF_ANSWER_SUCCESS:
       return "good";
     case CF_ANSWER_FAILURE:
       return "failure";
@@ -18,7 +18,7 @@
 }
 
 CfAnswerKind
-cf_answer_kind (const CfHttpReader *r)
+cf_answer_classify (const CfHttpReader *r)
 {
   int status = (int)r->parser.status_code;
   gboolean is_signed = cf_http_reader_header (r, CF_HDR_SIGNATURE) != NULL;
@@ -28,7 +28,7 @@
     return CF_ANSWER_NOT_RUN;
   if (!is_signed)
     return CF_ANSWER_UNSIGNED;
-  return status >= 200 && status < 300 ? CF_ANSWER_GOOD : CF_ANSWER_FAILURE;
+  return status >= 200 && status < 300 ? CF_ANSWER_SUCCESS : CF_ANSWER_FAILURE;
 }
 
 static gboolean
@@ -41,13 +41,13 @@
 }
 
 gboolean
-cf_answer_passes (int status, CfRepeat repeat)
+cf_answer_may_forward (int status, CfRepeat repeat)
 {
   return repeat != CF_REPEAT_NEVER || !promises_not_run (status);
 }
 
 void
-cf_answer_headers (const CfHttpReader *r, GString *out)
+cf_answer_append_headers (const CfHttpReader *r, GString *out)
 {
   for (guint i = 0; i < r->headers->len; i++)
     {
--- a/gateway/caller.c
+++ b/gateway/caller.c
@@ -351,7 +351,7 @@
     {
       cf_caller_flush (c);
       if (!c->dead && c->x && c->out->len == 0)
-        cf_exchange_drained (c->x);
+        cf_exchange_unpause_upstream (c->x);
     }
   if (!c->dead && (revents & EV_READ))
     read_some (c);
@@ -481,7 +481,7 @@
   while ((c = TAILQ_FIRST (&g->callers)))
     {
       if (c->x)
-        cf_exchange_end_with_process (c->x);
+        cf_exchange_end_at_shutdown (c->x);
       else if (c->reader.started && !c->close)
         refuse (c, 503, "the process ends");
       shut (c);
--- a/gateway/exchange-answer.c
+++ b/gateway/exchange-answer.c
@@ -20,7 +20,7 @@
 
 /* Drops what came in of an answer that is not passed on. */
 void
-cf_exchange_forget_answer (CfExchange *x)
+cf_exchange_discard_answer (CfExchange *x)
 {
   x->has_head = FALSE;
   g_string_truncate (x->held, 0);
@@ -41,7 +41,7 @@
 }
 
 void
-cf_exchange_blame (CfExchange *x, CfTarget *t, const char *reason)
+cf_exchange_record_failure (CfExchange *x, CfTarget *t, const char *reason)
 {
   if (!CF_WITHOUT_EJECTION)
     note_ejection (x, t, reason,
@@ -95,7 +95,7 @@
   if (x->faulty)
     note_outage (x);
   if (t && t != x->target)
-    cf_exchange_blame (x, t, "named-faulty");
+    cf_exchange_record_failure (x, t, "named-faulty");
   else
     x->target->full_until_ms = now + FULL_PAUSE_MS;
 }
@@ -145,7 +145,7 @@
   e.now_ms = cf_gateway_now (x->g);
   e.sent_ms = x->sent_ms;
   e.unqueued_ms
-      = cf_pace_unqueued_ms (&l->pace, cf_exchange_engine (x), &x->size);
+      = cf_pace_unqueued_ms (&l->pace, cf_exchange_engine_model (x), &x->size);
   e.aim_ms = x->route->aim_ms;
   e.in_flight = l->in_flight;
   e.fair_share = (double)cf_target_table_slots (&x->g->targets, x->service)
@@ -208,7 +208,7 @@
   cf_caller_data (x->c, x->held->str, x->held->len);
   g_string_truncate (x->held, 0);
   if (x->route->repeat != CF_REPEAT_NEVER)
-    cf_exchange_wait_for_target (x, cf_exchange_silence_limit (x));
+    cf_exchange_start_silence_timer (x, cf_exchange_silence_timeout_ms (x));
   cf_caller_flush (x->c);
 }
 
@@ -234,7 +234,8 @@
   double limit = cf_platform_rate_limit (value);
   CfTarget *t = x->target;
 
-  if (limit == 0 && x->kind != CF_ANSWER_GOOD && x->kind != CF_ANSWER_FAILURE)
+  if (limit == 0 && x->kind != CF_ANSWER_SUCCESS
+      && x->kind != CF_ANSWER_FAILURE)
     return;
   if (limit != t->limit.per_s)
     cf_log (LOG_NOTICE, CF_EV_RATE_LIMIT,
@@ -252,13 +253,13 @@
 
   x->has_head = TRUE;
   cf_target_sign (x->target, cf_gateway_now (x->g));
-  x->kind = cf_answer_kind (r);
+  x->kind = cf_answer_classify (r);
   learn_rate_limit (x, r);
   if (!x->begun)
     {
       x->status = (int)r->parser.status_code;
       g_string_truncate (x->head, 0);
-      cf_answer_headers (r, x->head);
+      cf_answer_append_headers (r, x->head);
     }
   x->length = sized ? (gint64)r->parser.content_length : -1;
   g_free (x->faulty);
@@ -271,7 +272,7 @@
   CfExchange *x = owner;
 
   cf_target_sign (x->target, cf_gateway_now (x->g));
-  if (x->kind != CF_ANSWER_GOOD)
+  if (x->kind != CF_ANSWER_SUCCESS)
     {
       if (x->held->len + n <= HOLD_MAX)
         g_string_append_len (x->held, data, (gssize)n);
@@ -284,7 +285,7 @@
   else
     pass_bytes (x, data, n);
   if (cf_caller_backlog (x->c) > BACKLOG_MAX)
-    cf_upstream_pause (x->up, TRUE);
+    cf_upstream_set_paused (x->up, TRUE);
 }
 
 static void
@@ -305,7 +306,7 @@
 good_answer_whole (CfExchange *x)
 {
   cf_outlier_success (&x->target->outlier);
-  cf_exchange_note_answered (x);
+  cf_exchange_clear_suspicion (x);
   if (!x->route->stream)
     {
       note_work (x);
@@ -323,36 +324,35 @@
 static void
 failure_whole (CfExchange *x)
 {
-  cf_exchange_blame (x, x->target, "failed");
-  cf_exchange_note_answered (x);
+  cf_exchange_record_failure (x, x->target, "failed");
+  cf_exchange_clear_suspicion (x);
   if (x->begun)
     {
       x->may_have_run = TRUE;
-      cf_exchange_forget_answer (x);
-      cf_exchange_try_again (x, "target-failed");
+      cf_exchange_discard_answer (x);
+      cf_exchange_retry_or_end (x, "target-failed");
       return;
     }
   if (x->route->repeat != CF_REPEAT_NEVER && x->status >= 500
-      && cf_exchange_may_send_again (x)
-      && cf_retry_budget_take (&x->lane->budget))
+      && cf_exchange_may_retry (x) && cf_retry_budget_take (&x->lane->budget))
     {
       x->may_have_run = TRUE;
       cf_log (LOG_NOTICE, CF_EV_RETRY,
               "id=%s reason=target-failed status=%d target=%s again=yes "
               "budget=ok ran=yes sends=%u left_ms=%" G_GINT64_FORMAT,
               x->id, x->status, cf_exchange_target_id (x), x->sends,
-              cf_exchange_left_ms (x));
-      cf_exchange_forget_answer (x);
+              cf_exchange_remaining_ms (x));
+      cf_exchange_discard_answer (x);
       cf_exchange_release_target (x, TRUE);
       x->g->stats.retries++;
-      cf_exchange_try_target (x);
+      cf_exchange_send_or_queue (x);
     }
-  else if (cf_answer_passes (x->status, x->route->repeat))
+  else if (cf_answer_may_forward (x->status, x->route->repeat))
     pass_whole (x, CF_OUT_TARGET_FAIL);
   else
     {
       x->may_have_run = TRUE;
-      cf_exchange_give_up (x, "target-failed");
+      cf_exchange_fail (x, "target-failed");
     }
 }
 
@@ -364,7 +364,7 @@
   x->up = NULL;
   switch (x->kind)
     {
-    case CF_ANSWER_GOOD:
+    case CF_ANSWER_SUCCESS:
       good_answer_whole (x);
       break;
     case CF_ANSWER_FAILURE:
@@ -372,34 +372,34 @@
       break;
     case CF_ANSWER_NOT_RUN:
       learn_from_refusal (x);
-      cf_exchange_forget_answer (x);
-      cf_exchange_try_again (x, "target-refused");
+      cf_exchange_discard_answer (x);
+      cf_exchange_retry_or_end (x, "target-refused");
       break;
     case CF_ANSWER_UNSIGNED:
-      cf_exchange_blame (x, x->target, "unsigned");
+      cf_exchange_record_failure (x, x->target, "unsigned");
       x->may_have_run = TRUE;
-      cf_exchange_forget_answer (x);
-      cf_exchange_try_again (x, "unsigned-answer");
+      cf_exchange_discard_answer (x);
+      cf_exchange_retry_or_end (x, "unsigned-answer");
       break;
     }
 }
 
 void
-cf_exchange_on_fail (void *owner, CfUpstreamFail f)
+cf_exchange_on_upstream_failure (void *owner, CfUpstreamFailure f)
 {
   CfExchange *x = owner;
 
   x->up = NULL;
-  cf_exchange_blame (x, x->target, cf_upstream_fail_name (f));
-  if (f == CF_FAIL_UNSENT)
+  cf_exchange_record_failure (x, x->target, cf_upstream_failure_name (f));
+  if (f == CF_FAILURE_UNSENT)
     x->sends--;
   else
     x->may_have_run = TRUE;
-  cf_exchange_forget_answer (x);
-  if (f == CF_FAIL_LOST && cf_exchange_note_lost (x))
+  cf_exchange_discard_answer (x);
+  if (f == CF_FAILURE_LOST && cf_exchange_probe_lost_target (x))
     return;
-  cf_exchange_try_again (x, cf_upstream_fail_name (f));
+  cf_exchange_retry_or_end (x, cf_upstream_failure_name (f));
 }
 
-const CfUpstreamCalls cf_exchange_upstream_calls
-    = { on_head, on_body, on_done, cf_exchange_on_fail };
+const CfUpstreamCallbacks cf_exchange_upstream_callbacks
+    = { on_head, on_body, on_done, cf_exchange_on_upstream_failure };
--- a/gateway/exchange-crash.c
+++ b/gateway/exchange-crash.c
@@ -52,9 +52,9 @@
   CfExchange *x = (CfExchange *)((char *)w - offsetof (CfExchange, verdict));
 
   if (crashed)
-    cf_exchange_give_up (x, "target-crashed");
+    cf_exchange_fail (x, "target-crashed");
   else
-    cf_exchange_try_again (x, "lost");
+    cf_exchange_retry_or_end (x, "lost");
 }
 
 /* One that has shown no event may be what its target crashed of, and would
@@ -62,11 +62,11 @@
 static gboolean
 awaits_verdict (CfExchange *x)
 {
-  return x->events.n_events == 0 && cf_exchange_may_send_again (x);
+  return x->events.n_events == 0 && cf_exchange_may_retry (x);
 }
 
 gboolean
-cf_exchange_note_lost (CfExchange *x)
+cf_exchange_probe_lost_target (CfExchange *x)
 {
   CfLostRequest l = { .sent_ms = x->sent_ms };
   gboolean waits;
@@ -97,7 +97,7 @@
 }
 
 void
-cf_exchange_note_answered (CfExchange *x)
+cf_exchange_clear_suspicion (CfExchange *x)
 {
   if (cf_quarantine_size (x->g->quarantine) == 0)
     return;
@@ -129,7 +129,7 @@
   x->g->stats.quarantine_refusals++;
   log_quarantine (x, "refused");
   if (x->may_have_run)
-    cf_exchange_give_up (x, "quarantined");
+    cf_exchange_fail (x, "quarantined");
   else
     cf_exchange_refuse (x, "quarantined", QUARANTINE_BUSY_MS);
   return TRUE;
--- a/gateway/exchange-parts.h
+++ b/gateway/exchange-parts.h
@@ -74,12 +74,12 @@
 
 /* Its beginning and end. */
 
-/** cf_exchange_caller_limit_ms: how long its caller waits; not positive if the
- * caller does not say. */
-gint64 cf_exchange_caller_limit_ms (const CfExchange *x);
+/** cf_exchange_caller_timeout_ms: how long its caller waits; not positive if
+ * the caller does not say. */
+gint64 cf_exchange_caller_timeout_ms (const CfExchange *x);
 
-/** cf_exchange_left_ms: how much time it has left. */
-gint64 cf_exchange_left_ms (const CfExchange *x);
+/** cf_exchange_remaining_ms: how much time it has left. */
+gint64 cf_exchange_remaining_ms (const CfExchange *x);
 
 /** cf_exchange_target_id: its target's id, or "-". */
 const char *cf_exchange_target_id (const CfExchange *x);
@@ -88,8 +88,8 @@
  * still does. */
 void cf_exchange_release_target (CfExchange *x, gboolean cancel);
 
-/** cf_exchange_engine: (nullable): the model of its service's engines. */
-const CfEngineModel *cf_exchange_engine (const CfExchange *x);
+/** cf_exchange_engine_model: (nullable): the model of its service's engines. */
+const CfEngineModel *cf_exchange_engine_model (const CfExchange *x);
 
 /** cf_exchange_finish: ends it; its room goes to those that wait. */
 void cf_exchange_finish (CfExchange *x, CfOutcome o, int status,
@@ -99,8 +99,8 @@
  * @busy_ms. */
 void cf_exchange_refuse (CfExchange *x, const char *reason, gint64 busy_ms);
 
-/** cf_exchange_give_up: answers 502, or breaks off: it may have run. */
-void cf_exchange_give_up (CfExchange *x, const char *reason);
+/** cf_exchange_fail: answers 502, or breaks off: it may have run. */
+void cf_exchange_fail (CfExchange *x, const char *reason);
 
 /** cf_exchange_route: finds its route and organisation, and goes on. */
 void cf_exchange_route (CfExchange *x);
@@ -108,31 +108,31 @@
 /* Requests that come before the process knows the configuration. */
 
 /**
- * cf_exchange_waits_unrouted:
+ * cf_exchange_defer_routing:
  * Called before it is routed.
  * Returns: %TRUE if it waits until what it needs is known.
  */
-gboolean cf_exchange_waits_unrouted (CfExchange *x);
+gboolean cf_exchange_defer_routing (CfExchange *x);
 
-/** cf_exchange_leave_unrouted: it waits for that no longer. */
-void cf_exchange_leave_unrouted (CfExchange *x);
+/** cf_exchange_remove_unrouted: it waits for that no longer. */
+void cf_exchange_remove_unrouted (CfExchange *x);
 
 /* Whom it is sent to, and when. */
 
-/** cf_exchange_busy_ms: when those that are refused may find room. */
-gint64 cf_exchange_busy_ms (const CfExchange *x);
+/** cf_exchange_backoff_ms: when those that are refused may find room. */
+gint64 cf_exchange_backoff_ms (const CfExchange *x);
 
-/** cf_exchange_may_send_again: whether another target may get it. */
-gboolean cf_exchange_may_send_again (CfExchange *x);
+/** cf_exchange_may_retry: whether another target may get it. */
+gboolean cf_exchange_may_retry (CfExchange *x);
 
-/** cf_exchange_try_target: sends it to a target, or has it wait for room. */
-void cf_exchange_try_target (CfExchange *x);
+/** cf_exchange_send_or_queue: sends it to a target, or has it wait for room. */
+void cf_exchange_send_or_queue (CfExchange *x);
 
-/** cf_exchange_try_again: this try is over without a good answer. */
-void cf_exchange_try_again (CfExchange *x, const char *reason);
+/** cf_exchange_retry_or_end: this try is over without a good answer. */
+void cf_exchange_retry_or_end (CfExchange *x, const char *reason);
 
-/** cf_exchange_waited_too_long: it waited for room as long as it could. */
-void cf_exchange_waited_too_long (CfExchange *x);
+/** cf_exchange_on_queue_timeout: it waited for room as long as it could. */
+void cf_exchange_on_queue_timeout (CfExchange *x);
 
 /* The end of this process. */
 
@@ -141,56 +141,57 @@
 gint64 cf_exchange_stop_slack_ms (const CfExchange *x);
 
 /**
- * cf_exchange_stops_here:
+ * cf_exchange_refuse_too_late:
  * Looked at before each sending: what cannot be whole before this process
  * ends is not sent any more.
  * Returns: %TRUE if it was answered for that, and is gone.
  */
-gboolean cf_exchange_stops_here (CfExchange *x);
+gboolean cf_exchange_refuse_too_late (CfExchange *x);
 
 /* Targets that show nothing. */
 
-/** cf_exchange_wait_for_target: limits the silence of its target, or its wait
- * for room. */
-void cf_exchange_wait_for_target (CfExchange *x, gint64 ms);
+/** cf_exchange_start_silence_timer: limits the silence of its target, or its
+ * wait for room. */
+void cf_exchange_start_silence_timer (CfExchange *x, gint64 ms);
 
-/** cf_exchange_silence_limit: how long its target may be silent. */
-gint64 cf_exchange_silence_limit (const CfExchange *x);
+/** cf_exchange_silence_timeout_ms: how long its target may be silent. */
+gint64 cf_exchange_silence_timeout_ms (const CfExchange *x);
 
-/** cf_exchange_first_look_ms: after how long a silence its target is looked
+/** cf_exchange_first_check_ms: after how long a silence its target is looked
  * at: a stream's sooner than its limit, since the target may stand still. */
-gint64 cf_exchange_first_look_ms (const CfExchange *x);
+gint64 cf_exchange_first_check_ms (const CfExchange *x);
 
-/** cf_exchange_patience_ms: how long callers wait for a first sign: a
+/** cf_exchange_caller_wait_ms: how long callers wait for a first sign: a
  * stream's for some objectives and some seconds, another request's for its
  * answer in time. */
-gint64 cf_exchange_patience_ms (const CfExchange *x);
+gint64 cf_exchange_caller_wait_ms (const CfExchange *x);
 
-/** cf_exchange_stay_ms: how much longer a stream's caller waits for its first
- * event, less what an answer of ours needs to be there first; %G_MAXINT64 for
- * what has begun, or is no stream. */
-gint64 cf_exchange_stay_ms (const CfExchange *x);
+/** cf_exchange_caller_remaining_ms: how much longer a stream's caller waits for
+ * its first event, less what an answer of ours needs to be there first;
+ * %G_MAXINT64 for what has begun, or is no stream. */
+gint64 cf_exchange_caller_remaining_ms (const CfExchange *x);
 
-/** cf_exchange_all_quiet: whether no target of a service of streams has shown
- * any work for more than @ms, as the ranks of a group do while one of them
- * is missed. */
-gboolean cf_exchange_all_quiet (const CfExchange *x, gint64 ms);
+/** cf_exchange_is_service_silent: whether no target of a service of streams has
+ * shown any work for more than @ms, as the ranks of a group do while one of
+ * them is missed. */
+gboolean cf_exchange_is_service_silent (const CfExchange *x, gint64 ms);
 
-/** cf_exchange_on_silence: its target, or the queue, took too long. */
-void cf_exchange_on_silence (struct ev_loop *loop, ev_timer *w, int revents);
+/** cf_exchange_on_silence_timer: its target, or the queue, took too long. */
+void cf_exchange_on_silence_timer (struct ev_loop *loop, ev_timer *w,
+                                   int revents);
 
 /* Targets that crash. */
 
 /**
- * cf_exchange_note_lost:
+ * cf_exchange_probe_lost_target:
  * The connection to its target ended before the answer did; if the target has
  * crashed, the request is suspected.
  * Returns: %TRUE if it goes on, or ends, once that is known.
  */
-gboolean cf_exchange_note_lost (CfExchange *x);
+gboolean cf_exchange_probe_lost_target (CfExchange *x);
 
-/** cf_exchange_note_answered: its target has run it to an end. */
-void cf_exchange_note_answered (CfExchange *x);
+/** cf_exchange_clear_suspicion: its target has run it to an end. */
+void cf_exchange_clear_suspicion (CfExchange *x);
 
 /** cf_exchange_is_suspected: whether its target may have crashed, and another
  * one has during the same request. */
@@ -205,15 +206,16 @@
 
 /* What comes of the target's answer. */
 
-/** cf_exchange_forget_answer: drops what came in of an answer that is not
+/** cf_exchange_discard_answer: drops what came in of an answer that is not
  * passed on. */
-void cf_exchange_forget_answer (CfExchange *x);
+void cf_exchange_discard_answer (CfExchange *x);
 
-/** cf_exchange_blame: counts a failure of @t. */
-void cf_exchange_blame (CfExchange *x, CfTarget *t, const char *reason);
+/** cf_exchange_record_failure: counts a failure of @t. */
+void cf_exchange_record_failure (CfExchange *x, CfTarget *t,
+                                 const char *reason);
 
-/** cf_exchange_on_fail: its exchange with the target broke off. */
-void cf_exchange_on_fail (void *owner, CfUpstreamFail f);
+/** cf_exchange_on_upstream_failure: its exchange with the target broke off. */
+void cf_exchange_on_upstream_failure (void *owner, CfUpstreamFailure f);
 
-/** cf_exchange_upstream_calls: what an exchange has its target call. */
-extern const CfUpstreamCalls cf_exchange_upstream_calls;
+/** cf_exchange_upstream_callbacks: what an exchange has its target call. */
+extern const CfUpstreamCallbacks cf_exchange_upstream_callbacks;
--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -13,7 +13,7 @@
 #define LEAST_LEFT_MS 10
 
 gint64
-cf_exchange_busy_ms (const CfExchange *x)
+cf_exchange_backoff_ms (const CfExchange *x)
 {
   const CfLane *l = x->lane;
 
@@ -27,7 +27,7 @@
 }
 
 gboolean
-cf_exchange_may_send_again (CfExchange *x)
+cf_exchange_may_retry (CfExchange *x)
 {
   if (x->may_have_run && x->route->repeat == CF_REPEAT_NEVER)
     return FALSE;
@@ -36,7 +36,7 @@
   if (CF_WITHOUT_RETRIES || (CF_WITHOUT_RESUME && x->begun))
     return FALSE;
   return x->sends < x->route->max_attempts
-         && cf_exchange_left_ms (x) > LEAST_LEFT_MS
+         && cf_exchange_remaining_ms (x) > LEAST_LEFT_MS
          && cf_exchange_stop_slack_ms (x) > 0;
 }
 
@@ -44,7 +44,7 @@
 static gboolean
 is_answered_instead (CfExchange *x)
 {
-  return cf_exchange_refuse_quarantined (x) || cf_exchange_stops_here (x);
+  return cf_exchange_refuse_quarantined (x) || cf_exchange_refuse_too_late (x);
 }
 
 static void
@@ -54,11 +54,11 @@
   gboolean head_only = x->c->reader.parser.method == HTTP_HEAD;
   GString *req;
 
-  ours.deadline_ms = cf_exchange_left_ms (x);
+  ours.deadline_ms = cf_exchange_remaining_ms (x);
   ours.expect = t->record.id;
   ours.org = x->org;
   ours.last_event = x->events.last_id;
-  req = cf_forward_request (&x->c->reader, x->c->body, &ours);
+  req = cf_forward_build_request (&x->c->reader, x->c->body, &ours);
   cf_log (LOG_INFO, CF_EV_ROUTE,
           "id=%s route=%s service=%s org=%s target=%s dc=%s send=%u "
           "in_flight=%u slots=%" G_GINT64_FORMAT " config=%" G_GINT64_FORMAT
@@ -84,19 +84,19 @@
   x->events_at_send = x->events.n_events;
   x->sent_ms = cf_gateway_now (x->g);
   if (x->route->stream)
-    x->expected_first_ms
-        = cf_pace_first_ms (&x->lane->pace, cf_exchange_engine (x), &x->size);
+    x->expected_first_ms = cf_pace_first_ms (
+        &x->lane->pace, cf_exchange_engine_model (x), &x->size);
   x->g->stats.sends++;
   g_ptr_array_add (x->tried, cf_target_ref (t));
   x->up = cf_upstream_send (x->g->loop, t, req, x->id, head_only,
-                            &cf_exchange_upstream_calls, x);
+                            &cf_exchange_upstream_callbacks, x);
   if (!x->up)
     {
-      cf_exchange_on_fail (x, CF_FAIL_UNSENT);
+      cf_exchange_on_upstream_failure (x, CF_FAILURE_UNSENT);
       return;
     }
   if (x->route->repeat != CF_REPEAT_NEVER)
-    cf_exchange_wait_for_target (x, cf_exchange_first_look_ms (x));
+    cf_exchange_start_silence_timer (x, cf_exchange_first_check_ms (x));
 }
 
 static guint
@@ -114,7 +114,8 @@
   gint64 first = 0;
 
   if (x->route->stream)
-    first = cf_pace_first_ms (&x->lane->pace, cf_exchange_engine (x), &x->size);
+    first = cf_pace_first_ms (&x->lane->pace, cf_exchange_engine_model (x),
+                              &x->size);
   return cf_waiter_in_time_ms (x->start_ms, x->route->aim_ms, first);
 }
 
@@ -126,7 +127,7 @@
   if (!x->route->stream)
     return x->deadline_ms;
   return x->deadline_ms
-         - cf_pace_usual_whole_ms (&x->lane->pace, cf_exchange_engine (x),
+         - cf_pace_usual_whole_ms (&x->lane->pace, cf_exchange_engine_model (x),
                                    &x->size);
 }
 
@@ -135,8 +136,8 @@
 wait_for_room (CfExchange *x)
 {
   gint64 now = cf_gateway_now (x->g);
-  gint64 limit
-      = cf_wait_limit_ms (cf_exchange_patience_ms (x), cf_exchange_left_ms (x));
+  gint64 limit = cf_wait_limit_ms (cf_exchange_caller_wait_ms (x),
+                                   cf_exchange_remaining_ms (x));
   CfWaiter *evicted;
 
   x->waiter.since_ms = now;
@@ -146,19 +147,19 @@
                           &evicted))
     {
       if (x->may_have_run)
-        cf_exchange_give_up (x, "queue-full");
+        cf_exchange_fail (x, "queue-full");
       else
-        cf_exchange_refuse (x, "queue-full", cf_exchange_busy_ms (x));
+        cf_exchange_refuse (x, "queue-full", cf_exchange_backoff_ms (x));
       return;
     }
   x->g->stats.queued++;
   cf_log (LOG_INFO, CF_EV_QUEUE,
           "id=%s service=%s waiting=%u in_flight=%u limit_ms=%" G_GINT64_FORMAT,
           x->id, x->service, x->lane->queue.n, x->lane->in_flight, limit);
-  cf_exchange_wait_for_target (x, limit);
+  cf_exchange_start_silence_timer (x, limit);
   if (evicted)
     cf_exchange_refuse (evicted->owner, "more-urgent-waits",
-                        cf_exchange_busy_ms (x));
+                        cf_exchange_backoff_ms (x));
 }
 
 /* The targets that are left take less than comes: waits for its turn if that
@@ -169,15 +170,15 @@
   double per_s
       = cf_balancer_limited_per_s (&x->g->targets, x->service, x->g->place);
   double wait_ms = (x->lane->queue.n + 1) * 1000.0 / per_s;
-  gint64 limit
-      = cf_wait_limit_ms (cf_exchange_patience_ms (x), cf_exchange_left_ms (x));
+  gint64 limit = cf_wait_limit_ms (cf_exchange_caller_wait_ms (x),
+                                   cf_exchange_remaining_ms (x));
 
   if (per_s > 0 && wait_ms <= (double)limit)
     wait_for_room (x);
   else if (x->may_have_run)
-    cf_exchange_give_up (x, "rate-limited");
+    cf_exchange_fail (x, "rate-limited");
   else
-    cf_exchange_refuse (x, "rate-limited", cf_exchange_busy_ms (x));
+    cf_exchange_refuse (x, "rate-limited", cf_exchange_backoff_ms (x));
 }
 
 /* Whether it may be the request that is sent to see: its last attempt is
@@ -196,7 +197,7 @@
   /* More work sent there would only be given up by its callers, at targets
    * that may not hear of it. */
   if (!CF_WITHOUT_STALL_CHECK
-      && cf_exchange_all_quiet (x, cf_pace_stall_ms (&x->lane->pace)))
+      && cf_exchange_is_service_silent (x, cf_pace_stall_ms (&x->lane->pace)))
     return TRUE;
   if (CF_WITHOUT_OUTAGE_WAIT)
     return FALSE;
@@ -245,7 +246,7 @@
 }
 
 void
-cf_exchange_try_target (CfExchange *x)
+cf_exchange_send_or_queue (CfExchange *x)
 {
   CfTarget *t;
 
@@ -258,7 +259,7 @@
       break;
     case CF_PICK_FULL:
       if (is_hopeless_to_wait (x))
-        cf_exchange_refuse (x, "outage", cf_exchange_busy_ms (x));
+        cf_exchange_refuse (x, "outage", cf_exchange_backoff_ms (x));
       else
         wait_for_room (x);
       break;
@@ -267,7 +268,7 @@
       break;
     case CF_PICK_NO_TARGET:
       if (x->may_have_run)
-        cf_exchange_give_up (x, "no-target");
+        cf_exchange_fail (x, "no-target");
       else
         cf_exchange_refuse (x, "no-target", UNKNOWN_BUSY_MS);
       break;
@@ -276,9 +277,9 @@
 
 /* This try is over without a good answer: another target, or the end. */
 void
-cf_exchange_try_again (CfExchange *x, const char *reason)
+cf_exchange_retry_or_end (CfExchange *x, const char *reason)
 {
-  gboolean again = cf_exchange_may_send_again (x);
+  gboolean again = cf_exchange_may_retry (x);
   gboolean in_budget = again && cf_retry_budget_take (&x->lane->budget);
 
   cf_log (LOG_NOTICE, CF_EV_RETRY,
@@ -288,17 +289,18 @@
           !again      ? "not-asked"
           : in_budget ? "ok"
                       : "none",
-          x->may_have_run ? "maybe" : "no", x->sends, cf_exchange_left_ms (x));
+          x->may_have_run ? "maybe" : "no", x->sends,
+          cf_exchange_remaining_ms (x));
   cf_exchange_release_target (x, TRUE);
   if (in_budget)
     {
       x->g->stats.retries++;
-      cf_exchange_try_target (x);
+      cf_exchange_send_or_queue (x);
     }
   else if (x->may_have_run)
-    cf_exchange_give_up (x, reason);
+    cf_exchange_fail (x, reason);
   else
-    cf_exchange_refuse (x, reason, cf_exchange_busy_ms (x));
+    cf_exchange_refuse (x, reason, cf_exchange_backoff_ms (x));
 }
 
 static CfWaiter *
@@ -341,7 +343,7 @@
 }
 
 void
-cf_exchange_pump (CfGateway *g)
+cf_exchange_dispatch_queued (CfGateway *g)
 {
   GHashTableIter it;
   gpointer lane;
@@ -357,7 +359,7 @@
 /* It waited for as long as it could; an attempt kept back in an outage is
  * worth a try now. */
 void
-cf_exchange_waited_too_long (CfExchange *x)
+cf_exchange_on_queue_timeout (CfExchange *x)
 {
   gboolean outage = x->lane->outage.since_ms != 0;
   CfTarget *t;
@@ -371,8 +373,8 @@
       send_to (x, t);
     }
   else if (x->may_have_run)
-    cf_exchange_give_up (x, "no-room");
+    cf_exchange_fail (x, "no-room");
   else
     cf_exchange_refuse (x, outage ? "outage" : "no-room",
-                        cf_exchange_busy_ms (x));
+                        cf_exchange_backoff_ms (x));
 }
--- a/gateway/exchange-silence.c
+++ b/gateway/exchange-silence.c
@@ -31,9 +31,9 @@
 #define LOOK_LEAST_MS 10
 
 void
-cf_exchange_wait_for_target (CfExchange *x, gint64 ms)
+cf_exchange_start_silence_timer (CfExchange *x, gint64 ms)
 {
-  gint64 stay = cf_exchange_stay_ms (x);
+  gint64 stay = cf_exchange_caller_remaining_ms (x);
 
   if (stay > 0)
     ms = MIN (ms, MAX (stay, 1));
@@ -43,7 +43,7 @@
 }
 
 gint64
-cf_exchange_silence_limit (const CfExchange *x)
+cf_exchange_silence_timeout_ms (const CfExchange *x)
 {
   if (x->route->stream)
     return x->g->set.stall_ms + SILENCE_MARGIN_MS;
@@ -51,7 +51,7 @@
 }
 
 gint64
-cf_exchange_patience_ms (const CfExchange *x)
+cf_exchange_caller_wait_ms (const CfExchange *x)
 {
   gint64 ms = x->route->aim_ms;
 
@@ -62,22 +62,22 @@
 }
 
 gint64
-cf_exchange_stay_ms (const CfExchange *x)
+cf_exchange_caller_remaining_ms (const CfExchange *x)
 {
   if (!x->route->stream || x->last_event_ms != 0)
     return G_MAXINT64;
-  return x->start_ms + cf_exchange_patience_ms (x) - LEAVES_MARGIN_MS
+  return x->start_ms + cf_exchange_caller_wait_ms (x) - LEAVES_MARGIN_MS
          - cf_gateway_now (x->g);
 }
 
 static gint64
 all_silent_ms (const CfExchange *x)
 {
-  return (gint64)((double)cf_exchange_patience_ms (x) * ALL_SILENT_PART);
+  return (gint64)((double)cf_exchange_caller_wait_ms (x) * ALL_SILENT_PART);
 }
 
 gboolean
-cf_exchange_all_quiet (const CfExchange *x, gint64 ms)
+cf_exchange_is_service_silent (const CfExchange *x, gint64 ms)
 {
   const CfLane *l = x->lane;
   gint64 since = MAX (l->last_event_ms, l->busy_since_ms);
@@ -89,7 +89,7 @@
 static gboolean
 all_silent (const CfExchange *x)
 {
-  return cf_exchange_all_quiet (x, all_silent_ms (x));
+  return cf_exchange_is_service_silent (x, all_silent_ms (x));
 }
 
 /* For how long a target may show no sign of any work before a stream that it
@@ -102,9 +102,9 @@
 }
 
 gint64
-cf_exchange_first_look_ms (const CfExchange *x)
+cf_exchange_first_check_ms (const CfExchange *x)
 {
-  gint64 limit = cf_exchange_silence_limit (x);
+  gint64 limit = cf_exchange_silence_timeout_ms (x);
 
   return x->route->stream ? MIN (stranded_ms (x), limit) : limit;
 }
@@ -127,7 +127,7 @@
 {
   gint64 stall = cf_pace_stall_ms (&x->lane->pace);
 
-  return cf_exchange_all_quiet (x, stall)
+  return cf_exchange_is_service_silent (x, stall)
          || cf_target_quiet_ms (x->target, cf_gateway_now (x->g)) > stall;
 }
 
@@ -135,7 +135,8 @@
 static gboolean
 is_hopeless (const CfExchange *x)
 {
-  return !CF_WITHOUT_STALL_CHECK && cf_exchange_stay_ms (x) <= LOOK_LEAST_MS
+  return !CF_WITHOUT_STALL_CHECK
+         && cf_exchange_caller_remaining_ms (x) <= LOOK_LEAST_MS
          && is_quiet (x);
 }
 
@@ -144,8 +145,8 @@
 static gboolean
 has_time_elsewhere (const CfExchange *x)
 {
-  return cf_exchange_stay_ms (x)
-         > cf_pace_first_ms (&x->lane->pace, cf_exchange_engine (x), &x->size);
+  return cf_exchange_caller_remaining_ms (x) > cf_pace_first_ms (
+             &x->lane->pace, cf_exchange_engine_model (x), &x->size);
 }
 
 /* Whether another target may have it now.  Without a retry in the budget its
@@ -154,8 +155,7 @@
 may_leave (CfExchange *x)
 {
   x->may_have_run = TRUE;
-  return cf_exchange_may_send_again (x)
-         && cf_retry_budget_has (&x->lane->budget);
+  return cf_exchange_may_retry (x) && cf_retry_budget_has (&x->lane->budget);
 }
 
 /* Tries another target; FALSE if it may not have one. */
@@ -164,56 +164,57 @@
 {
   if (!may_leave (x) || !has_time_elsewhere (x))
     return FALSE;
-  cf_exchange_blame (x, x->target, "stands-still");
-  cf_exchange_forget_answer (x);
-  cf_exchange_try_again (x, "stands-still");
+  cf_exchange_record_failure (x, x->target, "stands-still");
+  cf_exchange_discard_answer (x);
+  cf_exchange_retry_or_end (x, "stands-still");
   return TRUE;
 }
 
 /* The target, or the queue, took too long. */
 void
-cf_exchange_on_silence (struct ev_loop *loop, ev_timer *w, int revents)
+cf_exchange_on_silence_timer (struct ev_loop *loop, ev_timer *w, int revents)
 {
   CfExchange *x = w->data;
   gint64 left
-      = x->sent_ms + cf_exchange_silence_limit (x) - cf_gateway_now (x->g);
+      = x->sent_ms + cf_exchange_silence_timeout_ms (x) - cf_gateway_now (x->g);
 
   if (x->waiter.queued)
     {
-      cf_exchange_waited_too_long (x);
+      cf_exchange_on_queue_timeout (x);
       return;
     }
   if (is_hopeless (x))
     {
       x->may_have_run = TRUE;
-      cf_exchange_give_up (x, "stands-still");
+      cf_exchange_fail (x, "stands-still");
       return;
     }
   if (x->last_event_ms == 0 && left > LOOK_LEAST_MS)
     {
       if (is_stranded (x) && leave_stranded (x))
         return;
-      cf_exchange_wait_for_target (x, cf_exchange_stay_ms (x) <= LOOK_LEAST_MS
-                                          ? LOOK_AGAIN_MS
-                                          : MIN (left, stranded_ms (x) / 2));
+      cf_exchange_start_silence_timer (
+          x, cf_exchange_caller_remaining_ms (x) <= LOOK_LEAST_MS
+                 ? LOOK_AGAIN_MS
+                 : MIN (left, stranded_ms (x) / 2));
       return;
     }
   /* When all targets are silent, as the ranks of a group are while one of
    * them is missed, another has nothing to say either. */
   if (all_silent (x))
     {
-      cf_exchange_wait_for_target (x, all_silent_ms (x));
+      cf_exchange_start_silence_timer (x, all_silent_ms (x));
       return;
     }
   /* Without another target to try, the one that is silent may still answer. */
   if (!may_leave (x) || (is_quiet (x) && !has_time_elsewhere (x)))
     {
       if (x->route->stream && x->last_event_ms == 0)
-        cf_exchange_wait_for_target (
-            x, MAX (cf_exchange_stay_ms (x), LOOK_AGAIN_MS));
+        cf_exchange_start_silence_timer (
+            x, MAX (cf_exchange_caller_remaining_ms (x), LOOK_AGAIN_MS));
       return;
     }
-  cf_exchange_blame (x, x->target, "silent");
-  cf_exchange_forget_answer (x);
-  cf_exchange_try_again (x, "silent");
+  cf_exchange_record_failure (x, x->target, "silent");
+  cf_exchange_discard_answer (x);
+  cf_exchange_retry_or_end (x, "silent");
 }
--- a/gateway/exchange-stop.c
+++ b/gateway/exchange-stop.c
@@ -15,12 +15,12 @@
 static gint64
 whole_ms (const CfExchange *x)
 {
-  gint64 left = cf_exchange_left_ms (x);
+  gint64 left = cf_exchange_remaining_ms (x);
   gint64 whole = -1;
 
   if (x->route->stream)
-    whole = cf_pace_whole_ms (&x->lane->pace, cf_exchange_engine (x), &x->size,
-                              cf_gateway_now (x->g));
+    whole = cf_pace_whole_ms (&x->lane->pace, cf_exchange_engine_model (x),
+                              &x->size, cf_gateway_now (x->g));
   return whole < 0 ? left : MIN (whole, left);
 }
 
@@ -30,7 +30,7 @@
 static gboolean
 is_unforeseen (const CfExchange *x)
 {
-  return !x->route->stream || !cf_exchange_engine (x);
+  return !x->route->stream || !cf_exchange_engine_model (x);
 }
 
 gint64
@@ -60,7 +60,7 @@
  * An answer that has begun goes on at another target: breaking it off would
  * be the cut that is to be avoided. */
 gboolean
-cf_exchange_stops_here (CfExchange *x)
+cf_exchange_refuse_too_late (CfExchange *x)
 {
   gint64 slack = cf_exchange_stop_slack_ms (x);
 
@@ -73,7 +73,7 @@
     }
   note_look (x, "too-late");
   if (x->may_have_run)
-    cf_exchange_give_up (x, "stopping");
+    cf_exchange_fail (x, "stopping");
   else
     cf_exchange_refuse (x, "stopping",
                         x->c->served ? STOPPING_BUSY_MS : RESTART_BUSY_MS);
@@ -92,7 +92,7 @@
 }
 
 void
-cf_exchange_stop_look (CfGateway *g)
+cf_exchange_refuse_all_too_late (CfGateway *g)
 {
   GHashTableIter it;
   gpointer lane;
@@ -101,11 +101,11 @@
   g_hash_table_iter_init (&it, g->lanes);
   while (g_hash_table_iter_next (&it, NULL, &lane))
     while ((x = first_too_late (lane)))
-      cf_exchange_stops_here (x);
+      cf_exchange_refuse_too_late (x);
 }
 
 void
-cf_exchange_end_with_process (CfExchange *x)
+cf_exchange_end_at_shutdown (CfExchange *x)
 {
   if (x->begun)
     {
@@ -113,7 +113,7 @@
       cf_exchange_finish (x, CF_OUT_BROKEN, x->status, "cut-by-stop");
     }
   else if (x->up || x->may_have_run)
-    cf_exchange_give_up (x, "cut-by-stop");
+    cf_exchange_fail (x, "cut-by-stop");
   else
     cf_exchange_refuse (x, "stopping", RESTART_BUSY_MS);
 }
--- a/gateway/exchange-unrouted.c
+++ b/gateway/exchange-unrouted.c
@@ -19,7 +19,7 @@
 static gint64
 limit_ms (const CfExchange *x)
 {
-  gint64 allowed = cf_exchange_caller_limit_ms (x);
+  gint64 allowed = cf_exchange_caller_timeout_ms (x);
 
   if (allowed <= 0)
     return UNROUTED_MOST_MS;
@@ -31,12 +31,12 @@
 {
   CfExchange *x = t->data;
 
-  cf_exchange_leave_unrouted (x);
+  cf_exchange_remove_unrouted (x);
   cf_exchange_route (x);
 }
 
 gboolean
-cf_exchange_waits_unrouted (CfExchange *x)
+cf_exchange_defer_routing (CfExchange *x)
 {
   CfGateway *g = x->g;
 
@@ -52,7 +52,7 @@
 }
 
 void
-cf_exchange_leave_unrouted (CfExchange *x)
+cf_exchange_remove_unrouted (CfExchange *x)
 {
   if (!x->is_unrouted)
     return;
@@ -62,13 +62,13 @@
 }
 
 void
-cf_exchange_route_waiting (CfGateway *g)
+cf_exchange_route_unrouted (CfGateway *g)
 {
   CfExchange *x;
 
   while (cf_gateway_is_informed (g) && (x = TAILQ_FIRST (&g->unrouted)))
     {
-      cf_exchange_leave_unrouted (x);
+      cf_exchange_remove_unrouted (x);
       cf_exchange_route (x);
     }
 }
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 gint64
-cf_exchange_left_ms (const CfExchange *x)
+cf_exchange_remaining_ms (const CfExchange *x)
 {
   return x->deadline_ms - cf_gateway_now (x->g);
 }
@@ -76,12 +76,12 @@
     cf_histogram_add (&g->stats.whole_ms, ms);
   if (x->lane)
     cf_wait_queue_remove (&x->lane->queue, &x->waiter);
-  cf_exchange_leave_unrouted (x);
+  cf_exchange_remove_unrouted (x);
   ev_timer_stop (g->loop, &x->deadline);
   cf_exchange_release_target (x, TRUE);
   cf_crash_waiter_leave (&x->verdict);
   free_exchange (x);
-  cf_exchange_pump (g);
+  cf_exchange_dispatch_queued (g);
 }
 
 /* Answers with a status of our own, as a short JSON text. */
@@ -108,13 +108,14 @@
 void
 cf_exchange_refuse (CfExchange *x, const char *reason, gint64 busy_ms)
 {
-  answer_self (x, CF_OUT_REFUSED, 503, reason,
-               cf_retry_after_ms (cf_exchange_left_ms (x), busy_ms, x->hash));
+  answer_self (
+      x, CF_OUT_REFUSED, 503, reason,
+      cf_retry_after_ms (cf_exchange_remaining_ms (x), busy_ms, x->hash));
 }
 
 /* It may have run and there is no good answer. */
 void
-cf_exchange_give_up (CfExchange *x, const char *reason)
+cf_exchange_fail (CfExchange *x, const char *reason)
 {
   CfCaller *c = x->c;
 
@@ -167,7 +168,7 @@
 }
 
 gint64
-cf_exchange_caller_limit_ms (const CfExchange *x)
+cf_exchange_caller_timeout_ms (const CfExchange *x)
 {
   const char *v = cf_http_reader_header (&x->c->reader, CF_HDR_DEADLINE);
 
@@ -177,13 +178,13 @@
 static gint64
 time_allowed (const CfExchange *x)
 {
-  gint64 ms = cf_exchange_caller_limit_ms (x);
+  gint64 ms = cf_exchange_caller_timeout_ms (x);
 
   return ms > 0 ? MIN (ms, x->route->timeout_ms) : x->route->timeout_ms;
 }
 
 const CfEngineModel *
-cf_exchange_engine (const CfExchange *x)
+cf_exchange_engine_model (const CfExchange *x)
 {
   const CfService *sv = cf_policy_service (x->policy, x->service);
 
@@ -204,7 +205,7 @@
   cf_retry_budget_request (&x->lane->budget);
   ev_timer_set (&x->deadline, (double)allowed / 1000, 0);
   ev_timer_start (x->g->loop, &x->deadline);
-  cf_exchange_try_target (x);
+  cf_exchange_send_or_queue (x);
 }
 
 static CfExchange *
@@ -226,7 +227,7 @@
   cf_event_stream_init (&x->events);
   ev_timer_init (&x->deadline, on_deadline, 0, 0);
   x->deadline.data = x;
-  ev_timer_init (&x->silence, cf_exchange_on_silence, 0, 0);
+  ev_timer_init (&x->silence, cf_exchange_on_silence_timer, 0, 0);
   x->silence.data = x;
   g->n_exchanges++;
   g->stats.requests++;
@@ -264,7 +265,7 @@
 
   if (!cf_http_reader_header (&c->reader, CF_HDR_HOST))
     answer_self (x, CF_OUT_DENIED, 400, "no-host", -1);
-  else if (!cf_exchange_waits_unrouted (x))
+  else if (!cf_exchange_defer_routing (x))
     cf_exchange_route (x);
 }
 
@@ -278,8 +279,8 @@
 }
 
 void
-cf_exchange_drained (CfExchange *x)
+cf_exchange_unpause_upstream (CfExchange *x)
 {
   if (x->up)
-    cf_upstream_pause (x->up, FALSE);
+    cf_upstream_set_paused (x->up, FALSE);
 }
--- a/gateway/forward.c
+++ b/gateway/forward.c
@@ -30,8 +30,8 @@
 }
 
 GString *
-cf_forward_request (const CfHttpReader *r, const GString *body,
-                    const CfForwardHeaders *ours)
+cf_forward_build_request (const CfHttpReader *r, const GString *body,
+                          const CfForwardHeaders *ours)
 {
   GString *out = g_string_sized_new (r->text->len + body->len + 256);
 
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -296,7 +296,7 @@
     end_former (former, c);
   cf_target_unref (former);
   if (c != CF_TARGET_SAME)
-    cf_exchange_pump (g);
+    cf_exchange_dispatch_queued (g);
 }
 
 void
--- a/gateway/rank-call.c
+++ b/gateway/rank-call.c
@@ -50,7 +50,7 @@
 }
 
 static void
-on_fail (void *owner, CfUpstreamFail f)
+on_fail (void *owner, CfUpstreamFailure f)
 {
   end (owner, 0);
 }
@@ -64,7 +64,7 @@
   end (c, 0);
 }
 
-static const CfUpstreamCalls calls = { on_head, on_body, on_done, on_fail };
+static const CfUpstreamCallbacks calls = { on_head, on_body, on_done, on_fail };
 
 void
 cf_rank_call (struct ev_loop *loop, CfTarget *t, GString *request,
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -21,15 +21,15 @@
 #define READ_SIZE 16384
 
 const char *
-cf_upstream_fail_name (CfUpstreamFail f)
+cf_upstream_failure_name (CfUpstreamFailure f)
 {
   switch (f)
     {
-    case CF_FAIL_UNSENT:
+    case CF_FAILURE_UNSENT:
       return "unsent";
-    case CF_FAIL_LOST:
+    case CF_FAILURE_LOST:
       return "lost";
-    case CF_FAIL_GARBLED:
+    case CF_FAILURE_MALFORMED:
       return "garbled";
     }
   return "unknown";
@@ -66,10 +66,10 @@
 }
 
 static void
-fail (CfUpstream *u, CfUpstreamFail f)
+fail (CfUpstream *u, CfUpstreamFailure f)
 {
   void *owner = u->owner;
-  const CfUpstreamCalls *calls = u->calls;
+  const CfUpstreamCallbacks *calls = u->calls;
 
   shut (u);
   if (owner)
@@ -112,7 +112,7 @@
         break;
       if (n < 0)
         {
-          fail (u, u->sent_any ? CF_FAIL_LOST : CF_FAIL_UNSENT);
+          fail (u, u->sent_any ? CF_FAILURE_LOST : CF_FAILURE_UNSENT);
           return FALSE;
         }
       u->sent_any = TRUE;
@@ -175,7 +175,7 @@
 finish (CfUpstream *u, gboolean keep)
 {
   void *owner = u->owner;
-  const CfUpstreamCalls *calls = u->calls;
+  const CfUpstreamCallbacks *calls = u->calls;
 
   u->idle_s = idle_time (&u->reader);
   keep = keep && cf_http_reader_keeps (&u->reader) && u->out_sent == u->out->len
@@ -210,7 +210,7 @@
         }
       if (!cf_http_reader_feed (&u->reader, data, n, &used))
         {
-          fail (u, CF_FAIL_GARBLED);
+          fail (u, CF_FAILURE_MALFORMED);
           return;
         }
       data += used;
@@ -238,7 +238,7 @@
   if (whole)
     finish (u, FALSE);
   else
-    fail (u, u->sent_any ? CF_FAIL_LOST : CF_FAIL_UNSENT);
+    fail (u, u->sent_any ? CF_FAILURE_LOST : CF_FAILURE_UNSENT);
 }
 
 static void
@@ -255,7 +255,7 @@
   else if (n == 0)
     at_eof (u);
   else
-    fail (u, u->sent_any ? CF_FAIL_LOST : CF_FAIL_UNSENT);
+    fail (u, u->sent_any ? CF_FAILURE_LOST : CF_FAILURE_UNSENT);
   u->in_read = FALSE;
   if (u->dead)
     free_upstream (u);
@@ -266,7 +266,7 @@
 {
   if (cf_socket_error (u->io.fd) != 0)
     {
-      fail (u, CF_FAIL_UNSENT);
+      fail (u, CF_FAILURE_UNSENT);
       return;
     }
   u->connecting = FALSE;
@@ -293,7 +293,7 @@
 static void
 on_timer (struct ev_loop *loop, ev_timer *w, int revents)
 {
-  fail (w->data, CF_FAIL_UNSENT);
+  fail (w->data, CF_FAILURE_UNSENT);
 }
 
 static CfUpstream *
@@ -339,7 +339,7 @@
 CfUpstream *
 cf_upstream_send (struct ev_loop *loop, CfTarget *t, GString *request,
                   const char *request_id, gboolean head_only,
-                  const CfUpstreamCalls *calls, void *owner)
+                  const CfUpstreamCallbacks *calls, void *owner)
 {
   CfUpstream *u = take_idle (t);
 
@@ -381,7 +381,7 @@
 }
 
 void
-cf_upstream_pause (CfUpstream *u, gboolean pause)
+cf_upstream_set_paused (CfUpstream *u, gboolean pause)
 {
   if (u->paused == pause || u->connecting)
     return;
@@ -405,5 +405,5 @@
 
   cf_upstream_close_idle (t);
   while ((u = TAILQ_FIRST (&t->busy)))
-    fail (u, u->sent_any ? CF_FAIL_LOST : CF_FAIL_UNSENT);
+    fail (u, u->sent_any ? CF_FAILURE_LOST : CF_FAILURE_UNSENT);
 }
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -5,24 +5,24 @@
 
 #include <ev.h>
 
-/** CfUpstreamFail: how an exchange with a target broke off. */
+/** CfUpstreamFailure: how an exchange with a target broke off. */
 typedef enum
 {
-  CF_FAIL_UNSENT,  /**< no byte of the request left us: it did not run */
-  CF_FAIL_LOST,    /**< the connection ended before the whole answer */
-  CF_FAIL_GARBLED, /**< bytes that are no answer to this request */
-} CfUpstreamFail;
+  CF_FAILURE_UNSENT,    /**< no byte of the request left us: it did not run */
+  CF_FAILURE_LOST,      /**< the connection ended before the whole answer */
+  CF_FAILURE_MALFORMED, /**< bytes that are no answer to this request */
+} CfUpstreamFailure;
 
-const char *cf_upstream_fail_name (CfUpstreamFail f);
+const char *cf_upstream_failure_name (CfUpstreamFailure f);
 
-/** CfUpstreamCalls: what the owner of an exchange with a target is told. */
+/** CfUpstreamCallbacks: what the owner of an exchange with a target is told. */
 typedef struct
 {
   void (*head) (void *owner, const CfHttpReader *r);
   void (*body) (void *owner, const char *data, gsize n);
   void (*done) (void *owner);
-  void (*fail) (void *owner, CfUpstreamFail f);
-} CfUpstreamCalls;
+  void (*fail) (void *owner, CfUpstreamFailure f);
+} CfUpstreamCallbacks;
 
 /**
  * CfUpstream:
@@ -41,7 +41,7 @@
   GString *out; /**< of the request, what is not sent yet */
   gsize out_sent;
   char *request_id;
-  const CfUpstreamCalls *calls;
+  const CfUpstreamCallbacks *calls;
   void *owner;   /**< %NULL while idle */
   double idle_s; /**< how long the target keeps it when idle */
   gboolean connecting;
@@ -64,14 +64,14 @@
  */
 CfUpstream *cf_upstream_send (struct ev_loop *loop, CfTarget *t,
                               GString *request, const char *request_id,
-                              gboolean head_only, const CfUpstreamCalls *calls,
-                              void *owner);
+                              gboolean head_only,
+                              const CfUpstreamCallbacks *calls, void *owner);
 
 /** cf_upstream_cancel: resets it; the target sees that nobody waits. */
 void cf_upstream_cancel (CfUpstream *u);
 
-/** cf_upstream_pause: stops or resumes reading, for a slow caller. */
-void cf_upstream_pause (CfUpstream *u, gboolean pause);
+/** cf_upstream_set_paused: stops or resumes reading, for a slow caller. */
+void cf_upstream_set_paused (CfUpstream *u, gboolean pause);
 
 /** cf_upstream_close_idle: closes all idle connections to @t. */
 void cf_upstream_close_idle (CfTarget *t);
--- a/standins/comfrey-callers.c
+++ b/standins/comfrey-callers.c
@@ -190,10 +190,10 @@
 }
 
 static void
-on_fail (void *owner, CfUpstreamFail f)
+on_fail (void *owner, CfUpstreamFailure f)
 {
   end_try (owner);
-  lose (owner, cf_upstream_fail_name (f));
+  lose (owner, cf_upstream_failure_name (f));
 }
 
 static void
@@ -208,7 +208,7 @@
         c->connect_errno ? g_strerror (c->connect_errno) : "no answer in time");
 }
 
-static const CfUpstreamCalls calls = { on_head, on_body, on_done, on_fail };
+static const CfUpstreamCallbacks calls = { on_head, on_body, on_done, on_fail };
 
 static void
 send_try (Caller *c)
--- a/t/t-http-reader.c
+++ b/t/t-http-reader.c
@@ -78,7 +78,7 @@
       ck_assert (r.is_complete);
       ck_assert_str_eq (body->str, "abcde");
       ck_assert_str_eq (cf_http_reader_target (&r), "/a/b?c=d");
-      out = cf_forward_request (&r, body, &ours);
+      out = cf_forward_build_request (&r, body, &ours);
       ck_assert_str_eq (out->str,
                         "POST /a/b?c=d HTTP/1.1\r\nHost: h.example\r\n"
                         "Comfreypost-Request-Id: r1\r\nX-Stay: 2\r\n"
