--- a/gateway/answer.h
+++ b/gateway/answer.h
@@ -3,26 +3,29 @@
 #include "http-reader.h"
 #include "policy.h"
 
-/** CfAnswerKind: what a target's answer says of its request. */
+/** CfAnswerKind: whether the request ran, by the head of the answer. */
 typedef enum
 {
   CF_ANSWER_SUCCESS,  /**< a signed success */
-  CF_ANSWER_FAILURE,  /**< a signed failure: the target ran it */
-  CF_ANSWER_NOT_RUN,  /**< the target did not run it and never will */
-  CF_ANSWER_UNSIGNED, /**< it may have run; the answer cannot be passed on */
+  CF_ANSWER_FAILURE,  /**< a signed failure: the target ran the request */
+  CF_ANSWER_NOT_RUN,  /**< the target did not run the request and never will */
+  CF_ANSWER_UNSIGNED, /**< not signed, so it is not forwarded; the request may
+                           have run */
 } CfAnswerKind;
 
 const char *cf_answer_kind_name (CfAnswerKind k);
 
-/** cf_answer_classify: judges the answer whose head @r has read. */
+/** cf_answer_classify: classifies the answer whose head @r has read. */
 CfAnswerKind cf_answer_classify (const CfHttpReader *r);
 
 /**
  * cf_answer_may_forward:
- * Whether a signed failure goes to the caller as it is.  The statuses that
- * promise "not run" do not, for a request that ran and must not run again.
+ * Whether a signed failure may be forwarded to the caller unchanged.  Statuses
+ * that promise "not run" may not if the request must not run again, since it
+ * has run.
  */
 gboolean cf_answer_may_forward (int status, CfRepeat repeat);
 
-/** cf_answer_append_headers: appends the lines of @r that are passed on. */
+/** cf_answer_append_headers: appends the header lines of @r that are
+ * forwarded to the caller. */
 void cf_answer_append_headers (const CfHttpReader *r, GString *out);
--- a/gateway/exchange-answer.c
+++ b/gateway/exchange-answer.c
@@ -5,34 +5,35 @@
 
 #include <string.h>
 
-/** Answers that are not streams are held up to this size, so that one that
- * breaks off can be replaced; beyond it the answer is passed on as it comes. */
-#define HOLD_MAX 65536
-/** A caller that reads more slowly than its target writes holds at most
- * this much here; then the target is made to wait. */
-#define BACKLOG_MAX 262144
-/** A target that said it was full is not asked again for so long: a slot
- * comes free about every 100 ms at a target of 12 slots and 1.2 s a stream. */
-#define FULL_PAUSE_MS 50
-/** A service without any sign of work for so long does none: the passes of a
- * group, each of which shows as events, take 50 to 200 ms under load. */
-#define QUIET_MS 400
-
-/* Drops what came in of an answer that is not passed on. */
+/** An answer that is not a stream is held back up to this size, so that a retry
+ * can replace it if the connection is lost.  A larger one is forwarded as it
+ * arrives. */
+#define HELD_BODY_MAX 65536
+/** Unsent bytes for a caller that reads more slowly than its target writes,
+ * above which reading from the target is paused. */
+#define CALLER_BACKLOG_MAX 262144
+/** For how long a target that refused a request as full is not tried again.  A
+ * target of 12 slots, with streams of 1.2 s, frees a slot about every 100 ms.
+ */
+#define FULL_TARGET_PAUSE_MS 50
+/** Silence of a whole service after which it is taken to do no work: each pass
+ * of a group produces events, and takes 50 to 200 ms under load. */
+#define OUTAGE_MIN_SILENCE_MS 400
+
 void
 cf_exchange_discard_answer (CfExchange *x)
 {
   x->has_head = FALSE;
-  g_string_truncate (x->held, 0);
-  if (!x->begun)
-    g_string_truncate (x->head, 0);
-  g_clear_pointer (&x->faulty, g_free);
-  cf_event_stream_restart (&x->events);
+  g_string_truncate (x->held_body, 0);
+  if (!x->answer_started)
+    g_string_truncate (x->answer_head, 0);
+  g_clear_pointer (&x->faulty_addr, g_free);
+  cf_event_stream_restart (&x->event_stream);
 }
 
 static void
-note_ejection (const CfExchange *x, const CfTarget *t, const char *reason,
-               gint64 ms)
+log_ejection (const CfExchange *x, const CfTarget *t, const char *reason,
+              gint64 ms)
 {
   if (ms > 0)
     cf_log (LOG_WARNING, CF_EV_OUTLIER,
@@ -44,67 +45,72 @@
 cf_exchange_record_failure (CfExchange *x, CfTarget *t, const char *reason)
 {
   if (!CF_WITHOUT_EJECTION)
-    note_ejection (x, t, reason,
-                   cf_outlier_failure (&t->outlier, cf_gateway_now (x->g)));
+    log_ejection (
+        x, t, reason,
+        cf_outlier_failure (&t->outlier, cf_gateway_now (x->gateway)));
 }
 
-/* A refusal that names who is at fault, while nothing of the service does
- * any work: a rank is away, or its group forms anew. */
+/* An outage begins when a refusal names another target as at fault while the
+ * whole service is silent: a rank is down, or its group is forming again. */
 static void
-note_outage (CfExchange *x)
+detect_outage (CfExchange *x)
 {
   CfLane *l = x->lane;
-  gint64 now = cf_gateway_now (x->g);
+  gint64 now = cf_gateway_now (x->gateway);
 
-  if (now - l->last_event_ms < QUIET_MS || !cf_outage_refused (&l->outage, now))
+  if (now - l->last_event_ms < OUTAGE_MIN_SILENCE_MS
+      || !cf_outage_refused (&l->outage, now))
     return;
   cf_log (LOG_WARNING, CF_EV_OUTAGE,
           "service=%s outcome=begins quiet_ms=%" G_GINT64_FORMAT
           " faulty=%s id=%s",
-          x->service, now - l->last_event_ms, x->faulty, x->id);
+          x->service, now - l->last_event_ms, x->faulty_addr, x->id);
 }
 
-/* Whether @x's target says that another start is at its address: the list
- * may name the one before for long. */
+/* Whether the answer says that another incarnation runs at its target's
+ * address.  The target list may show the old one for a long time. */
 static gboolean
-is_misdirected (const CfExchange *x)
+is_old_incarnation (const CfExchange *x)
 {
   return x->status == HTTP_STATUS_MISDIRECTED_REQUEST
-         && (!x->faulty || strcmp (x->faulty, x->target->record.addr) == 0);
+         && (!x->faulty_addr
+             || strcmp (x->faulty_addr, x->target->record.addr) == 0);
 }
 
-/* An answer that says "not run" blames the target at the address it names,
- * or says that another start has its own target's address, or that its own
- * target takes nothing now. */
+/* Handles an answer that says "not run": another incarnation has the target's
+ * address, or another target, whose address the answer gives, is at fault, or
+ * the target itself accepts no work now. */
 static void
-learn_from_refusal (CfExchange *x)
+handle_refusal (CfExchange *x)
 {
-  gint64 now = cf_gateway_now (x->g);
-  CfTarget *t
-      = x->faulty ? cf_target_table_at (&x->g->targets, x->faulty) : NULL;
+  gint64 now = cf_gateway_now (x->gateway);
+  CfTarget *t = x->faulty_addr
+                    ? cf_target_table_at (&x->gateway->targets, x->faulty_addr)
+                    : NULL;
 
   cf_log (LOG_NOTICE, CF_EV_TARGET_FAIL,
           "id=%s target=%s outcome=not-run status=%d faulty=%s", x->id,
-          x->target->record.id, x->status, x->faulty ? x->faulty : "-");
-  if (is_misdirected (x))
+          x->target->record.id, x->status,
+          x->faulty_addr ? x->faulty_addr : "-");
+  if (is_old_incarnation (x))
     {
-      note_ejection (x, x->target, "another-start",
-                     cf_outlier_eject (&x->target->outlier, now));
+      log_ejection (x, x->target, "another-start",
+                    cf_outlier_eject (&x->target->outlier, now));
       return;
     }
-  if (x->faulty)
-    note_outage (x);
+  if (x->faulty_addr)
+    detect_outage (x);
   if (t && t != x->target)
     cf_exchange_record_failure (x, t, "named-faulty");
   else
-    x->target->full_until_ms = now + FULL_PAUSE_MS;
+    x->target->full_until_ms = now + FULL_TARGET_PAUSE_MS;
 }
 
-/* The target does its work, so its service has no outage, or none any more. */
+/* A target of the service does its work, which ends any outage. */
 static void
-note_work (CfExchange *x)
+record_progress (CfExchange *x)
 {
-  gint64 now = cf_gateway_now (x->g);
+  gint64 now = cf_gateway_now (x->gateway);
   gint64 ms = cf_outage_answered (&x->lane->outage, now);
 
   x->lane->last_event_ms = now;
@@ -115,10 +121,10 @@
 }
 
 static void
-begin_answer (CfExchange *x, gint64 length)
+start_answer (CfExchange *x, gint64 length)
 {
-  x->begun = TRUE;
-  cf_caller_begin (x->c, x->status, x->head->str, length);
+  x->answer_started = TRUE;
+  cf_caller_begin (x->caller, x->status, x->answer_head->str, length);
 }
 
 static void
@@ -133,34 +139,36 @@
           x->service, cf_concurrency_limit_get (&l->limit) ? "begins" : "over",
           cf_concurrency_limit_get (&l->limit), l->in_flight, l->limit.mean_ms,
           l->pace.pause_ms, l->queue.n,
-          first ? cf_gateway_now (x->g) - first->since_ms : 0);
+          first ? cf_gateway_now (x->gateway) - first->since_ms : 0);
 }
 
 static void
-sample_limit (CfExchange *x)
+sample_concurrency_limit (CfExchange *x)
 {
   CfLane *l = x->lane;
   CfFirstEvent e = { 0 };
 
-  e.now_ms = cf_gateway_now (x->g);
+  e.now_ms = cf_gateway_now (x->gateway);
   e.sent_ms = x->sent_ms;
   e.unqueued_ms
       = cf_pace_unqueued_ms (&l->pace, cf_exchange_engine_model (x), &x->size);
   e.aim_ms = x->route->aim_ms;
   e.in_flight = l->in_flight;
-  e.fair_share = (double)cf_target_table_slots (&x->g->targets, x->service)
-                 / MAX (x->g->fleet_size, 1);
+  e.fair_share
+      = (double)cf_target_table_slots (&x->gateway->targets, x->service)
+        / MAX (x->gateway->fleet_size, 1);
   if (cf_concurrency_limit_sample (&l->limit, &e))
     log_overload (x);
 }
 
+/* Logs the pass that has just ended if it made streams late. */
 static void
-note_pass (CfExchange *x, gint64 pause_ms)
+record_pass (CfExchange *x, gint64 pause_ms)
 {
   CfPassEvent e = { .pause_ms = pause_ms };
   CfPassRecord p;
 
-  e.now_ms = cf_gateway_now (x->g);
+  e.now_ms = cf_gateway_now (x->gateway);
   e.gap_aim_ms = x->route->gap_aim_ms;
   e.prompt_tokens = x->size.prompt;
   if (!cf_pass_record_add (&x->lane->pass, &e, &p) || p.late == 0)
@@ -172,17 +180,17 @@
 }
 
 static void
-note_event (CfExchange *x)
+record_event (CfExchange *x)
 {
-  gint64 now = cf_gateway_now (x->g);
+  gint64 now = cf_gateway_now (x->gateway);
 
-  note_pass (x, x->last_event_ms ? MAX (now - x->last_event_ms, 1) : 0);
+  record_pass (x, x->last_event_ms ? MAX (now - x->last_event_ms, 1) : 0);
   if (x->last_event_ms == 0)
     {
-      x->first_ms = now - x->start_ms;
+      x->first_event_ms = now - x->start_ms;
       cf_pace_first (&x->lane->pace, now - x->sent_ms);
-      sample_limit (x);
-      cf_histogram_add (&x->g->stats.first_ms, x->first_ms);
+      sample_concurrency_limit (x);
+      cf_histogram_add (&x->gateway->stats.first_ms, x->first_event_ms);
     }
   else
     {
@@ -190,80 +198,80 @@
 
       x->longest_pause_ms = MAX (x->longest_pause_ms, pause);
       cf_pace_event (&x->lane->pace, now, pause);
-      cf_histogram_add (&x->g->stats.pause_ms, pause);
+      cf_histogram_add (&x->gateway->stats.pause_ms, pause);
     }
   x->last_event_ms = now;
-  note_work (x);
+  record_progress (x);
 }
 
 static void
-pass_events (CfExchange *x, const char *data, gsize n)
+forward_events (CfExchange *x, const char *data, gsize n)
 {
-  g_string_truncate (x->held, 0);
-  if (cf_event_stream_feed (&x->events, data, n, x->held) == 0)
+  g_string_truncate (x->held_body, 0);
+  if (cf_event_stream_feed (&x->event_stream, data, n, x->held_body) == 0)
     return;
-  if (!x->begun)
-    begin_answer (x, -1);
-  note_event (x);
-  cf_caller_data (x->c, x->held->str, x->held->len);
-  g_string_truncate (x->held, 0);
+  if (!x->answer_started)
+    start_answer (x, -1);
+  record_event (x);
+  cf_caller_data (x->caller, x->held_body->str, x->held_body->len);
+  g_string_truncate (x->held_body, 0);
   if (x->route->repeat != CF_REPEAT_NEVER)
     cf_exchange_start_silence_timer (x, cf_exchange_silence_timeout_ms (x));
-  cf_caller_flush (x->c);
+  cf_caller_flush (x->caller);
 }
 
 static void
-pass_bytes (CfExchange *x, const char *data, gsize n)
+forward_bytes (CfExchange *x, const char *data, gsize n)
 {
-  g_string_append_len (x->held, data, (gssize)n);
-  if (!x->begun && x->held->len <= HOLD_MAX)
+  g_string_append_len (x->held_body, data, (gssize)n);
+  if (!x->answer_started && x->held_body->len <= HELD_BODY_MAX)
     return;
-  if (!x->begun)
-    begin_answer (x, x->length);
-  cf_caller_data (x->c, x->held->str, x->held->len);
-  g_string_truncate (x->held, 0);
-  cf_caller_flush (x->c);
+  if (!x->answer_started)
+    start_answer (x, x->content_length);
+  cf_caller_data (x->caller, x->held_body->str, x->held_body->len);
+  g_string_truncate (x->held_body, 0);
+  cf_caller_flush (x->caller);
 }
 
-/* Each answer tells anew which rate its target takes.  Only one that its target
- * has signed can say by its silence that there is no limit any more. */
+/* Each answer gives the rate that its target accepts.  Only a signed answer
+ * without the header means that there is no limit any more. */
 static void
-learn_rate_limit (CfExchange *x, const CfHttpReader *r)
+update_rate_limit (CfExchange *x, const CfHttpReader *r)
 {
   const char *value = cf_http_reader_header (r, CF_HDR_RATE_LIMIT);
   double limit = cf_platform_rate_limit (value);
   CfTarget *t = x->target;
 
-  if (limit == 0 && x->kind != CF_ANSWER_SUCCESS
-      && x->kind != CF_ANSWER_FAILURE)
+  if (limit == 0 && x->answer_kind != CF_ANSWER_SUCCESS
+      && x->answer_kind != CF_ANSWER_FAILURE)
     return;
   if (limit != t->limit.per_s)
     cf_log (LOG_NOTICE, CF_EV_RATE_LIMIT,
             "target=%s per_s=%.3f source=answer id=%s", t->record.id, limit,
             x->id);
-  if (cf_rate_limit_hear (&t->limit, limit, cf_gateway_now (x->g)))
-    x->g->limits_changed = TRUE;
+  if (cf_rate_limit_hear (&t->limit, limit, cf_gateway_now (x->gateway)))
+    x->gateway->limits_changed = TRUE;
 }
 
 static void
 on_head (void *owner, const CfHttpReader *r)
 {
   CfExchange *x = owner;
-  gboolean sized = (r->parser.flags & F_CONTENTLENGTH) != 0;
+  gboolean has_length = (r->parser.flags & F_CONTENTLENGTH) != 0;
 
   x->has_head = TRUE;
-  cf_target_sign (x->target, cf_gateway_now (x->g));
-  x->kind = cf_answer_classify (r);
-  learn_rate_limit (x, r);
-  if (!x->begun)
+  cf_target_sign (x->target, cf_gateway_now (x->gateway));
+  x->answer_kind = cf_answer_classify (r);
+  update_rate_limit (x, r);
+  if (!x->answer_started)
     {
       x->status = (int)r->parser.status_code;
-      g_string_truncate (x->head, 0);
-      cf_answer_append_headers (r, x->head);
+      g_string_truncate (x->answer_head, 0);
+      cf_answer_append_headers (r, x->answer_head);
     }
-  x->length = sized ? (gint64)r->parser.content_length : -1;
-  g_free (x->faulty);
-  x->faulty = g_strdup (cf_http_reader_header (r, CF_HDR_FAULTY_TARGET));
+  x->content_length = has_length ? (gint64)r->parser.content_length : -1;
+  g_free (x->faulty_addr);
+  x->faulty_addr = g_strdup (cf_http_reader_header (r, CF_HDR_FAULTY_TARGET));
 }
 
 static void
@@ -271,62 +279,64 @@
 {
   CfExchange *x = owner;
 
-  cf_target_sign (x->target, cf_gateway_now (x->g));
-  if (x->kind != CF_ANSWER_SUCCESS)
+  cf_target_sign (x->target, cf_gateway_now (x->gateway));
+  if (x->answer_kind != CF_ANSWER_SUCCESS)
     {
-      if (x->held->len + n <= HOLD_MAX)
-        g_string_append_len (x->held, data, (gssize)n);
-      else
-        x->kind = CF_ANSWER_UNSIGNED;
+      if (x->held_body->len + n <= HELD_BODY_MAX)
+        g_string_append_len (x->held_body, data, (gssize)n);
+      else /* too large to hold: handled as if it were not signed */
+        x->answer_kind = CF_ANSWER_UNSIGNED;
       return;
     }
   if (x->route->stream)
-    pass_events (x, data, n);
+    forward_events (x, data, n);
   else
-    pass_bytes (x, data, n);
-  if (cf_caller_backlog (x->c) > BACKLOG_MAX)
-    cf_upstream_set_paused (x->up, TRUE);
+    forward_bytes (x, data, n);
+  if (cf_caller_backlog (x->caller) > CALLER_BACKLOG_MAX)
+    cf_upstream_set_paused (x->upstream, TRUE);
 }
 
 static void
-pass_whole (CfExchange *x, CfOutcome o)
+finish_answer (CfExchange *x, CfOutcome o)
 {
-  CfCaller *c = x->c;
+  CfCaller *c = x->caller;
   int status = x->status;
-  gboolean bare = x->c->reader.parser.method == HTTP_HEAD;
+  gboolean is_head = x->caller->reader.parser.method == HTTP_HEAD;
 
-  if (!x->begun)
-    begin_answer (x, bare && x->length >= 0 ? x->length : (gint64)x->held->len);
-  cf_caller_data (c, x->held->str, x->held->len);
+  if (!x->answer_started)
+    start_answer (x, is_head && x->content_length >= 0
+                         ? x->content_length
+                         : (gint64)x->held_body->len);
+  cf_caller_data (c, x->held_body->str, x->held_body->len);
   cf_caller_end (c);
   cf_exchange_finish (x, o, status, "answered");
 }
 
 static void
-good_answer_whole (CfExchange *x)
+complete_success (CfExchange *x)
 {
   cf_outlier_success (&x->target->outlier);
   cf_exchange_clear_suspicion (x);
   if (!x->route->stream)
     {
-      note_work (x);
-      pass_whole (x, CF_OUT_SUCCESS);
+      record_progress (x);
+      finish_answer (x, CF_OUT_SUCCESS);
       return;
     }
-  /* What is behind the last event, if anything, is the target's too. */
-  g_string_assign (x->held, x->events.partial->str);
-  if (!x->begun)
-    begin_answer (x, -1);
-  pass_whole (x, CF_OUT_SUCCESS);
+  /* Bytes after the last complete event, if any, come from the target too. */
+  g_string_assign (x->held_body, x->event_stream.partial->str);
+  if (!x->answer_started)
+    start_answer (x, -1);
+  finish_answer (x, CF_OUT_SUCCESS);
 }
 
-/* A signed failure: worth another try if that may be, else passed on. */
+/* Handles a signed failure: retries if that is allowed, else forwards it. */
 static void
-failure_whole (CfExchange *x)
+complete_failure (CfExchange *x)
 {
   cf_exchange_record_failure (x, x->target, "failed");
   cf_exchange_clear_suspicion (x);
-  if (x->begun)
+  if (x->answer_started)
     {
       x->may_have_run = TRUE;
       cf_exchange_discard_answer (x);
@@ -344,11 +354,11 @@
               cf_exchange_remaining_ms (x));
       cf_exchange_discard_answer (x);
       cf_exchange_release_target (x, TRUE);
-      x->g->stats.retries++;
+      x->gateway->stats.retries++;
       cf_exchange_send_or_queue (x);
     }
   else if (cf_answer_may_forward (x->status, x->route->repeat))
-    pass_whole (x, CF_OUT_TARGET_FAIL);
+    finish_answer (x, CF_OUT_TARGET_FAIL);
   else
     {
       x->may_have_run = TRUE;
@@ -361,17 +371,17 @@
 {
   CfExchange *x = owner;
 
-  x->up = NULL;
-  switch (x->kind)
+  x->upstream = NULL;
+  switch (x->answer_kind)
     {
     case CF_ANSWER_SUCCESS:
-      good_answer_whole (x);
+      complete_success (x);
       break;
     case CF_ANSWER_FAILURE:
-      failure_whole (x);
+      complete_failure (x);
       break;
     case CF_ANSWER_NOT_RUN:
-      learn_from_refusal (x);
+      handle_refusal (x);
       cf_exchange_discard_answer (x);
       cf_exchange_retry_or_end (x, "target-refused");
       break;
@@ -389,7 +399,7 @@
 {
   CfExchange *x = owner;
 
-  x->up = NULL;
+  x->upstream = NULL;
   cf_exchange_record_failure (x, x->target, cf_upstream_failure_name (f));
   if (f == CF_FAILURE_UNSENT)
     x->sends--;
--- a/gateway/exchange-crash.c
+++ b/gateway/exchange-crash.c
@@ -5,51 +5,53 @@
 
 #include <stddef.h>
 
-/** When callers of a quarantined request may come back. */
-#define QUARANTINE_BUSY_MS CF_QUARANTINE_KEEP_MS
+/** Back-off for callers of a quarantined request. */
+#define QUARANTINE_BACKOFF_MS CF_QUARANTINE_KEEP_MS
 
 static const CfRequestDigest *
-digest_of (CfExchange *x)
+request_digest (CfExchange *x)
 {
   if (!x->has_digest)
     x->digest
-        = cf_request_digest (x->org, cf_http_reader_target (&x->c->reader),
-                             x->c->body->str, x->c->body->len);
+        = cf_request_digest (x->org, cf_http_reader_target (&x->caller->reader),
+                             x->caller->body->str, x->caller->body->len);
   x->has_digest = TRUE;
   return &x->digest;
 }
 
-/* How long its target had shown no sign of work when the connection ended. */
+/* How long its target had sent nothing when the connection ended. */
 static gint64
-quiet_ms (const CfExchange *x)
+silent_ms (const CfExchange *x)
 {
-  return cf_gateway_now (x->g) - MAX (x->sent_ms, x->target->last_sign_ms);
+  return cf_gateway_now (x->gateway)
+         - MAX (x->sent_ms, x->target->last_sign_ms);
 }
 
 static gboolean
 may_have_crashed (const CfExchange *x)
 {
-  return cf_quarantine_may_be_crash (quiet_ms (x),
-                                     x->route->stream ? x->g->set.stall_ms : 0);
+  return cf_quarantine_may_be_crash (
+      silent_ms (x), x->route->stream ? x->gateway->set.stall_ms : 0);
 }
 
 static void
-log_lost (CfExchange *x)
+log_lost_connection (CfExchange *x)
 {
   char text[CF_REQUEST_DIGEST_TEXT];
 
-  cf_request_digest_print (digest_of (x), text);
+  cf_request_digest_print (request_digest (x), text);
   cf_log (LOG_NOTICE, CF_EV_TARGET_FAIL,
           "id=%s target=%s outcome=lost request=%s events=%" G_GUINT64_FORMAT
           " quiet_ms=%" G_GINT64_FORMAT,
           x->id, x->target->record.id, text,
-          x->events.n_events - x->events_at_send, quiet_ms (x));
+          x->event_stream.n_events - x->events_at_send, silent_ms (x));
 }
 
 static void
-on_verdict (CfCrashWaiter *w, gboolean crashed)
+on_probe_result (CfCrashWaiter *w, gboolean crashed)
 {
-  CfExchange *x = (CfExchange *)((char *)w - offsetof (CfExchange, verdict));
+  CfExchange *x
+      = (CfExchange *)((char *)w - offsetof (CfExchange, crash_waiter));
 
   if (crashed)
     cf_exchange_fail (x, "target-crashed");
@@ -57,12 +59,13 @@
     cf_exchange_retry_or_end (x, "lost");
 }
 
-/* One that has shown no event may be what its target crashed of, and would
- * crash the next one: it is sent there only if its target lives. */
+/* A request that has produced no event may have caused the crash of its target
+ * and would crash the next one too.  It is retried only if the probe finds its
+ * target alive. */
 static gboolean
-awaits_verdict (CfExchange *x)
+has_to_await_probe (CfExchange *x)
 {
-  return x->events.n_events == 0 && cf_exchange_may_retry (x);
+  return x->event_stream.n_events == 0 && cf_exchange_may_retry (x);
 }
 
 gboolean
@@ -71,15 +74,16 @@
   CfLostRequest l = { .sent_ms = x->sent_ms };
   gboolean waits;
 
-  log_lost (x);
+  log_lost_connection (x);
   if (CF_WITHOUT_QUARANTINE || !may_have_crashed (x))
     return FALSE;
-  l.digest = *digest_of (x);
-  l.lost_ms = cf_gateway_now (x->g);
-  x->was_lost_in_work = TRUE;
-  x->verdict.done = on_verdict;
-  waits = awaits_verdict (x);
-  if (!cf_crash_probe_start (x->g, x->target, &l, waits ? &x->verdict : NULL))
+  l.digest = *request_digest (x);
+  l.lost_ms = cf_gateway_now (x->gateway);
+  x->target_may_have_crashed = TRUE;
+  x->crash_waiter.done = on_probe_result;
+  waits = has_to_await_probe (x);
+  if (!cf_crash_probe_start (x->gateway, x->target, &l,
+                             waits ? &x->crash_waiter : NULL))
     return FALSE;
   if (waits)
     cf_exchange_release_target (x, TRUE);
@@ -91,7 +95,7 @@
 {
   char text[CF_REQUEST_DIGEST_TEXT];
 
-  cf_request_digest_print (digest_of (x), text);
+  cf_request_digest_print (request_digest (x), text);
   cf_log (LOG_NOTICE, CF_EV_QUARANTINE, "request=%s outcome=%s id=%s", text,
           outcome, x->id);
 }
@@ -99,26 +103,28 @@
 void
 cf_exchange_clear_suspicion (CfExchange *x)
 {
-  if (cf_quarantine_size (x->g->quarantine) == 0)
+  if (cf_quarantine_size (x->gateway->quarantine) == 0)
     return;
-  if (cf_quarantine_clear (x->g->quarantine, digest_of (x)))
+  if (cf_quarantine_clear (x->gateway->quarantine, request_digest (x)))
     log_quarantine (x, "cleared");
 }
 
 gboolean
 cf_exchange_is_suspected (CfExchange *x)
 {
-  return x->was_lost_in_work
-         && cf_quarantine_crashes (x->g->quarantine, digest_of (x)) > 0;
+  return x->target_may_have_crashed
+         && cf_quarantine_crashes (x->gateway->quarantine, request_digest (x))
+                > 0;
 }
 
 static gboolean
 is_quarantined (CfExchange *x)
 {
-  CfQuarantine *q = x->g->quarantine;
+  CfQuarantine *q = x->gateway->quarantine;
 
   return cf_quarantine_size (q) > 0
-         && cf_quarantine_check (q, digest_of (x), cf_gateway_now (x->g));
+         && cf_quarantine_check (q, request_digest (x),
+                                 cf_gateway_now (x->gateway));
 }
 
 gboolean
@@ -126,12 +132,12 @@
 {
   if (!is_quarantined (x))
     return FALSE;
-  x->g->stats.quarantine_refusals++;
+  x->gateway->stats.quarantine_refusals++;
   log_quarantine (x, "refused");
   if (x->may_have_run)
     cf_exchange_fail (x, "quarantined");
   else
-    cf_exchange_refuse (x, "quarantined", QUARANTINE_BUSY_MS);
+    cf_exchange_refuse (x, "quarantined", QUARANTINE_BACKOFF_MS);
   return TRUE;
 }
 
--- a/gateway/exchange-parts.h
+++ b/gateway/exchange-parts.h
@@ -6,177 +6,197 @@
 #include "exchange.h"
 #include "upstream.h"
 
-/** Back-off asked of callers when no configuration or target is known. */
-#define UNKNOWN_BUSY_MS 1000L
+/** Back-off for callers when no configuration or no target is known. */
+#define UNKNOWN_BACKOFF_MS 1000L
 
 /**
- * What the parts of an exchange share: its beginning and end (exchange.c),
- * its wait for what a process that starts does not know yet
- * (exchange-unrouted.c), whom it is sent to and when (exchange-send.c), whether
- * it is before this process ends (exchange-stop.c), targets that show nothing
- * (exchange-silence.c), targets that crash (exchange-crash.c), and what comes
- * of the target's answer (exchange-answer.c).
+ * Declarations shared by the files that implement an exchange:
+ * - exchange.c: its start and end,
+ * - exchange-unrouted.c: requests that arrive before this process has a
+ *   configuration and a list of targets,
+ * - exchange-send.c: choice of a target, queueing and retries,
+ * - exchange-stop.c: shutdown of this process,
+ * - exchange-silence.c: targets that send nothing,
+ * - exchange-crash.c: targets that crash,
+ * - exchange-answer.c: handling of the target's answer.
  */
 
 /**
  * CfExchange:
- * One request of a caller, from its last byte to the end of its answer.
+ * One request's life in the gateway, from the request's last byte to the end
+ * of its answer.
  */
 struct CfExchange
 {
   CfWaiter waiter;
-  TAILQ_ENTRY (CfExchange) unrouted;
-  gboolean is_unrouted; /**< it waits for the configuration or the targets */
-  ev_timer unrouted_limit;
-  CfGateway *g;
-  CfCaller *c;
-  CfPolicy *policy;     /**< the version it was routed by */
-  const CfRoute *route; /**< of @policy */
-  const char *service;  /**< of @policy */
+  TAILQ_ENTRY (CfExchange) unrouted_link;
+  gboolean is_unrouted; /**< waits for the configuration or the targets */
+  ev_timer unrouted_timer;
+  CfGateway *gateway;
+  CfCaller *caller;
+  CfPolicy *policy;     /**< the configuration version that routed it */
+  const CfRoute *route; /**< owned by @policy */
+  const char *service;  /**< owned by @policy */
   CfLane *lane;
-  const char *org; /**< (nullable): of @policy */
-  char *id;        /**< the attempt's, as the caller sent it */
-  guint hash;
+  const char *org; /**< (nullable): organisation, owned by @policy */
+  char *id;        /**< request id of this attempt, as the caller sent it */
+  guint hash;      /**< of @id */
   gint64 start_ms;
-  gint64 deadline_ms; /**< on the loop's clock */
+  gint64 deadline_ms; /**< by cf_gateway_now() */
   CfStreamSize size;
-  gint64 sent_ms;           /**< when it was last sent */
-  gint64 expected_first_ms; /**< from then to the first event, as expected */
-  ev_timer deadline;
-  ev_timer silence; /**< limits the target's pauses */
-  CfUpstream *up;
+  gint64 sent_ms;           /**< when it was last sent to a target */
+  gint64 expected_first_ms; /**< expected time from then to the first event */
+  ev_timer deadline_timer;
+  ev_timer silence_timer; /**< limits the target's silence, or the wait in the
+                               queue */
+  CfUpstream *upstream;
   CfTarget *target;
-  GPtrArray *tried; /**< of #CfTarget, referenced */
+  GPtrArray *tried_targets; /**< of #CfTarget, referenced */
   guint sends;
-  guint64 events_at_send; /**< events passed on when it was last sent */
+  guint64 events_at_send; /**< events forwarded before it was last sent */
   gboolean may_have_run;
-  gboolean last_chance;      /**< it cannot wait any more */
-  gboolean was_lost_in_work; /**< its target ended the connection, and may have
- crashed */
-  CfCrashWaiter verdict;     /**< whether its target has crashed */
-  CfRequestDigest digest;    /**< valid if @has_digest */
+  gboolean queue_timed_out;         /**< its queue timeout expired during an
+                                         outage */
+  gboolean target_may_have_crashed; /**< its target closed the connection
+                                         before the answer was complete */
+  CfCrashWaiter crash_waiter;       /**< waits for the probe of its target */
+  CfRequestDigest digest;           /**< valid if @has_digest */
   gboolean has_digest;
 
-  /* The answer that is coming in. */
-  CfAnswerKind kind;
+  /* The answer being received. */
+  CfAnswerKind answer_kind;
   int status;
   gboolean has_head;
-  gboolean begun; /**< the caller has its head */
-  GString *head;  /**< header lines for the caller */
-  GString *held;  /**< its body, until it is passed on */
-  gint64 length;  /**< its length as announced, or -1 */
-  char *faulty;   /**< the target it blames */
-  CfEventStream events;
-  gint64 last_event_ms;    /**< when the last event was passed on */
-  gint64 first_ms;         /**< from the request to the first event */
+  gboolean answer_started; /**< the answer's head went to the caller */
+  GString *answer_head;    /**< header lines for the caller */
+  GString *held_body;      /**< body bytes not forwarded yet */
+  gint64 content_length;   /**< as announced by the target, or -1 */
+  char *faulty_addr;       /**< (nullable): address of the target that the
+                                answer names as at fault */
+  CfEventStream event_stream;
+  gint64 last_event_ms;    /**< when the last event was forwarded; 0: none */
+  gint64 first_event_ms;   /**< time from the request to the first event */
   gint64 longest_pause_ms; /**< between two events */
 };
 
-/* Its beginning and end. */
+/* Start and end. */
 
-/** cf_exchange_caller_timeout_ms: how long its caller waits; not positive if
- * the caller does not say. */
+/** cf_exchange_caller_timeout_ms: how long its caller waits, as the request
+ * says; not positive if it does not say. */
 gint64 cf_exchange_caller_timeout_ms (const CfExchange *x);
 
-/** cf_exchange_remaining_ms: how much time it has left. */
+/** cf_exchange_remaining_ms: time left until its deadline. */
 gint64 cf_exchange_remaining_ms (const CfExchange *x);
 
-/** cf_exchange_target_id: its target's id, or "-". */
+/** cf_exchange_target_id: the id of its target, or "-". */
 const char *cf_exchange_target_id (const CfExchange *x);
 
-/** cf_exchange_release_target: lets go of the target; @cancel stops what it
- * still does. */
+/** cf_exchange_release_target: drops its target; @cancel resets the
+ * connection, so that the target stops its work. */
 void cf_exchange_release_target (CfExchange *x, gboolean cancel);
 
-/** cf_exchange_engine_model: (nullable): the model of its service's engines. */
+/** cf_exchange_engine_model: (nullable): the engine model of its service. */
 const CfEngineModel *cf_exchange_engine_model (const CfExchange *x);
 
-/** cf_exchange_finish: ends it; its room goes to those that wait. */
+/** cf_exchange_finish: ends and frees it; its slot goes to a queued request.
+ */
 void cf_exchange_finish (CfExchange *x, CfOutcome o, int status,
                          const char *reason);
 
-/** cf_exchange_refuse: answers 503: nothing of it ran; room is expected in
- * @busy_ms. */
-void cf_exchange_refuse (CfExchange *x, const char *reason, gint64 busy_ms);
+/** cf_exchange_refuse: answers 503, for a request that did not run; a slot is
+ * expected to be free in @backoff_ms. */
+void cf_exchange_refuse (CfExchange *x, const char *reason, gint64 backoff_ms);
 
-/** cf_exchange_fail: answers 502, or breaks off: it may have run. */
+/** cf_exchange_fail: answers 502, or aborts an answer that has started, for a
+ * request that may have run. */
 void cf_exchange_fail (CfExchange *x, const char *reason);
 
-/** cf_exchange_route: finds its route and organisation, and goes on. */
+/** cf_exchange_route: finds its route and organisation, and sends or queues
+ * it. */
 void cf_exchange_route (CfExchange *x);
 
-/* Requests that come before the process knows the configuration. */
+/* Requests that arrive before the configuration is known. */
 
 /**
  * cf_exchange_defer_routing:
- * Called before it is routed.
- * Returns: %TRUE if it waits until what it needs is known.
+ * Makes a request wait if it cannot be routed yet but may be soon.
+ * Returns: %FALSE if it is not to wait; route it now.
  */
 gboolean cf_exchange_defer_routing (CfExchange *x);
 
-/** cf_exchange_remove_unrouted: it waits for that no longer. */
+/** cf_exchange_remove_unrouted: ends the wait that cf_exchange_defer_routing()
+ * began, if any. */
 void cf_exchange_remove_unrouted (CfExchange *x);
 
-/* Whom it is sent to, and when. */
+/* Choice of a target, queueing and retries. */
 
-/** cf_exchange_backoff_ms: when those that are refused may find room. */
+/** cf_exchange_backoff_ms: in how long a refused request may find a slot. */
 gint64 cf_exchange_backoff_ms (const CfExchange *x);
 
-/** cf_exchange_may_retry: whether another target may get it. */
+/** cf_exchange_may_retry: whether it may be sent to another target. */
 gboolean cf_exchange_may_retry (CfExchange *x);
 
-/** cf_exchange_send_or_queue: sends it to a target, or has it wait for room. */
+/** cf_exchange_send_or_queue: sends it to a target, or queues it until one has
+ * a free slot. */
 void cf_exchange_send_or_queue (CfExchange *x);
 
-/** cf_exchange_retry_or_end: this try is over without a good answer. */
+/** cf_exchange_retry_or_end: the current attempt failed; tries another target
+ * if the route and the retry budget allow it, else answers the caller. */
 void cf_exchange_retry_or_end (CfExchange *x, const char *reason);
 
-/** cf_exchange_on_queue_timeout: it waited for room as long as it could. */
+/** cf_exchange_on_queue_timeout: it has been queued for as long as it may. */
 void cf_exchange_on_queue_timeout (CfExchange *x);
 
-/* The end of this process. */
+/* Shutdown of this process. */
 
-/** cf_exchange_stop_slack_ms: for how long it may still wait and be whole
- * before a process that stops ends; %G_MAXINT64 if it does not. */
+/**
+ * cf_exchange_stop_slack_ms:
+ * Returns: for how long it may still wait before it is sent, and be complete
+ *   before the stopping process ends; %G_MAXINT64 if shutdown does not limit
+ *   it.
+ */
 gint64 cf_exchange_stop_slack_ms (const CfExchange *x);
 
 /**
  * cf_exchange_refuse_too_late:
- * Looked at before each sending: what cannot be whole before this process
- * ends is not sent any more.
- * Returns: %TRUE if it was answered for that, and is gone.
+ * Called before each send: a request that cannot be complete before this
+ * process ends is not sent.
+ * Returns: %TRUE if it was answered for that reason, and is freed.
  */
 gboolean cf_exchange_refuse_too_late (CfExchange *x);
 
-/* Targets that show nothing. */
+/* Targets that send nothing. */
 
-/** cf_exchange_start_silence_timer: limits the silence of its target, or its
- * wait for room. */
+/** cf_exchange_start_silence_timer: limits its target's silence, or its wait
+ * in the queue, to @ms. */
 void cf_exchange_start_silence_timer (CfExchange *x, gint64 ms);
 
 /** cf_exchange_silence_timeout_ms: how long its target may be silent. */
 gint64 cf_exchange_silence_timeout_ms (const CfExchange *x);
 
-/** cf_exchange_first_check_ms: after how long a silence its target is looked
- * at: a stream's sooner than its limit, since the target may stand still. */
+/** cf_exchange_first_check_ms: after how long a silence its target is first
+ * checked.  For a stream that is before the silence timeout, since its target
+ * alone may have stalled. */
 gint64 cf_exchange_first_check_ms (const CfExchange *x);
 
-/** cf_exchange_caller_wait_ms: how long callers wait for a first sign: a
- * stream's for some objectives and some seconds, another request's for its
- * answer in time. */
+/** cf_exchange_caller_wait_ms: how long callers wait for the first event of a
+ * stream, or for another answer to meet its objective. */
 gint64 cf_exchange_caller_wait_ms (const CfExchange *x);
 
-/** cf_exchange_caller_remaining_ms: how much longer a stream's caller waits for
- * its first event, less what an answer of ours needs to be there first;
- * %G_MAXINT64 for what has begun, or is no stream. */
+/**
+ * cf_exchange_caller_remaining_ms:
+ * Returns: how much longer a stream's caller waits for its first event, less
+ *   the time that an error answer takes to reach it; %G_MAXINT64 if events
+ *   have been sent, or it is no stream.
+ */
 gint64 cf_exchange_caller_remaining_ms (const CfExchange *x);
 
-/** cf_exchange_is_service_silent: whether no target of a service of streams has
- * shown any work for more than @ms, as the ranks of a group do while one of
- * them is missed. */
+/** cf_exchange_is_service_silent: whether no target of a streaming service has
+ * sent anything for more than @ms, as happens to all ranks of a group while
+ * one of them is missing. */
 gboolean cf_exchange_is_service_silent (const CfExchange *x, gint64 ms);
 
-/** cf_exchange_on_silence_timer: its target, or the queue, took too long. */
+/** cf_exchange_on_silence_timer: libev callback of the silence timer. */
 void cf_exchange_on_silence_timer (struct ev_loop *loop, ev_timer *w,
                                    int revents);
 
@@ -184,38 +204,41 @@
 
 /**
  * cf_exchange_probe_lost_target:
- * The connection to its target ended before the answer did; if the target has
- * crashed, the request is suspected.
- * Returns: %TRUE if it goes on, or ends, once that is known.
+ * Called when the connection to its target ended before the answer did.  If
+ * the target has crashed, the request becomes suspected of being the cause.
+ * Returns: %TRUE if the exchange waits for the result of the probe, and is
+ *   retried or ended then.
  */
 gboolean cf_exchange_probe_lost_target (CfExchange *x);
 
-/** cf_exchange_clear_suspicion: its target has run it to an end. */
+/** cf_exchange_clear_suspicion: a target answered it without crashing. */
 void cf_exchange_clear_suspicion (CfExchange *x);
 
-/** cf_exchange_is_suspected: whether its target may have crashed, and another
- * one has during the same request. */
+/** cf_exchange_is_suspected: whether its target may have crashed, and a crash
+ * of a target during the same request is on record. */
 gboolean cf_exchange_is_suspected (CfExchange *x);
 
 /**
  * cf_exchange_refuse_quarantined:
- * Called before each sending.
- * Returns: %TRUE if its request is quarantined; it was answered, and is gone.
+ * Called before each send.
+ * Returns: %TRUE if its request is in quarantine; it was answered, and is
+ *   freed.
  */
 gboolean cf_exchange_refuse_quarantined (CfExchange *x);
 
-/* What comes of the target's answer. */
+/* Handling of the target's answer. */
 
-/** cf_exchange_discard_answer: drops what came in of an answer that is not
- * passed on. */
+/** cf_exchange_discard_answer: drops what was received of an answer that is
+ * not forwarded. */
 void cf_exchange_discard_answer (CfExchange *x);
 
-/** cf_exchange_record_failure: counts a failure of @t. */
+/** cf_exchange_record_failure: counts a failure of @t, which may eject it. */
 void cf_exchange_record_failure (CfExchange *x, CfTarget *t,
                                  const char *reason);
 
-/** cf_exchange_on_upstream_failure: its exchange with the target broke off. */
+/** cf_exchange_on_upstream_failure: the upstream connection failed. */
 void cf_exchange_on_upstream_failure (void *owner, CfUpstreamFailure f);
 
-/** cf_exchange_upstream_callbacks: what an exchange has its target call. */
+/** cf_exchange_upstream_callbacks: for the upstream connection of an exchange.
+ */
 extern const CfUpstreamCallbacks cf_exchange_upstream_callbacks;
--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -5,19 +5,19 @@
 #include "forward.h"
 #include "log.h"
 
-/** Requests that may wait for room, for each slot of their service: with
- * more the last would wait past its limit even at full speed. */
-#define WAITERS_PER_SLOT 1
-/** Time left under which sending is pointless: two network ways and a step
- * of a target. */
-#define LEAST_LEFT_MS 10
+/** Requests that may be queued for each slot of their service.  With more, the
+ * last would exceed its queue timeout even at full speed. */
+#define QUEUED_PER_SLOT 1
+/** Remaining time below which sending is pointless: a network round trip and
+ * one step of a target's engine. */
+#define MIN_REMAINING_MS 10
 
 gint64
 cf_exchange_backoff_ms (const CfExchange *x)
 {
   const CfLane *l = x->lane;
 
-  if (cf_outage_is_long (&l->outage, cf_gateway_now (x->g)))
+  if (cf_outage_is_long (&l->outage, cf_gateway_now (x->gateway)))
     return cf_wait_busy_ms (CF_NO_ROOM_LONG_OUTAGE);
   if (l->outage.since_ms != 0)
     return cf_wait_busy_ms (CF_NO_ROOM_OUTAGE);
@@ -33,16 +33,16 @@
     return FALSE;
   if (cf_exchange_is_suspected (x))
     return FALSE;
-  if (CF_WITHOUT_RETRIES || (CF_WITHOUT_RESUME && x->begun))
+  if (CF_WITHOUT_RETRIES || (CF_WITHOUT_RESUME && x->answer_started))
     return FALSE;
   return x->sends < x->route->max_attempts
-         && cf_exchange_remaining_ms (x) > LEAST_LEFT_MS
+         && cf_exchange_remaining_ms (x) > MIN_REMAINING_MS
          && cf_exchange_stop_slack_ms (x) > 0;
 }
 
-/* Looked at before each sending; %TRUE if @x is gone. */
+/* Called before each send.  TRUE if @x was answered instead, and is freed. */
 static gboolean
-is_answered_instead (CfExchange *x)
+refuse_before_send (CfExchange *x)
 {
   return cf_exchange_refuse_quarantined (x) || cf_exchange_refuse_too_late (x);
 }
@@ -50,15 +50,15 @@
 static void
 send_to (CfExchange *x, CfTarget *t)
 {
-  CfForwardHeaders ours = { 0 };
-  gboolean head_only = x->c->reader.parser.method == HTTP_HEAD;
+  CfForwardHeaders added = { 0 };
+  gboolean head_only = x->caller->reader.parser.method == HTTP_HEAD;
   GString *req;
 
-  ours.deadline_ms = cf_exchange_remaining_ms (x);
-  ours.expect = t->record.id;
-  ours.org = x->org;
-  ours.last_event = x->events.last_id;
-  req = cf_forward_build_request (&x->c->reader, x->c->body, &ours);
+  added.deadline_ms = cf_exchange_remaining_ms (x);
+  added.expect = t->record.id;
+  added.org = x->org;
+  added.last_event = x->event_stream.last_id;
+  req = cf_forward_build_request (&x->caller->reader, x->caller->body, &added);
   cf_log (LOG_INFO, CF_EV_ROUTE,
           "id=%s route=%s service=%s org=%s target=%s dc=%s send=%u "
           "in_flight=%u slots=%" G_GINT64_FORMAT " config=%" G_GINT64_FORMAT
@@ -66,31 +66,32 @@
           x->id, x->route->name, x->service, x->org ? x->org : "-",
           t->record.id, t->record.data_centre ? t->record.data_centre : "-",
           x->sends + 1, t->in_flight, t->record.slots, x->policy->version,
-          cf_gateway_now (x->g) - x->g->targets_at_ms, ours.deadline_ms);
-  if (x->begun)
+          cf_gateway_now (x->gateway) - x->gateway->targets_at_ms,
+          added.deadline_ms);
+  if (x->answer_started)
     {
-      x->g->stats.resumes++;
+      x->gateway->stats.resumes++;
       cf_log (LOG_NOTICE, CF_EV_RESUME,
               "id=%s target=%s after_event=%" G_GINT64_FORMAT, x->id,
-              t->record.id, ours.last_event);
+              t->record.id, added.last_event);
     }
-  cf_outage_sent (&x->lane->outage, cf_gateway_now (x->g));
+  cf_outage_sent (&x->lane->outage, cf_gateway_now (x->gateway));
   x->target = cf_target_ref (t);
-  cf_target_work_begun (t, cf_gateway_now (x->g));
+  cf_target_work_begun (t, cf_gateway_now (x->gateway));
   cf_rate_limit_sent (&t->limit);
   if (x->lane->in_flight++ == 0)
-    x->lane->busy_since_ms = cf_gateway_now (x->g);
+    x->lane->busy_since_ms = cf_gateway_now (x->gateway);
   x->sends++;
-  x->events_at_send = x->events.n_events;
-  x->sent_ms = cf_gateway_now (x->g);
+  x->events_at_send = x->event_stream.n_events;
+  x->sent_ms = cf_gateway_now (x->gateway);
   if (x->route->stream)
     x->expected_first_ms = cf_pace_first_ms (
         &x->lane->pace, cf_exchange_engine_model (x), &x->size);
-  x->g->stats.sends++;
-  g_ptr_array_add (x->tried, cf_target_ref (t));
-  x->up = cf_upstream_send (x->g->loop, t, req, x->id, head_only,
-                            &cf_exchange_upstream_callbacks, x);
-  if (!x->up)
+  x->gateway->stats.sends++;
+  g_ptr_array_add (x->tried_targets, cf_target_ref (t));
+  x->upstream = cf_upstream_send (x->gateway->loop, t, req, x->id, head_only,
+                                  &cf_exchange_upstream_callbacks, x);
+  if (!x->upstream)
     {
       cf_exchange_on_upstream_failure (x, CF_FAILURE_UNSENT);
       return;
@@ -99,17 +100,18 @@
     cf_exchange_start_silence_timer (x, cf_exchange_first_check_ms (x));
 }
 
+/* How many requests may be queued for its service. */
 static guint
-waiters_max (const CfExchange *x)
+max_queued (const CfExchange *x)
 {
-  gint64 slots = cf_target_table_slots (&x->g->targets, x->service);
+  gint64 slots = cf_target_table_slots (&x->gateway->targets, x->service);
 
-  return (guint)MAX (slots * WAITERS_PER_SLOT, 1);
+  return (guint)MAX (slots * QUEUED_PER_SLOT, 1);
 }
 
-/* When it has to be sent, at the latest, to meet its objective. */
+/* The latest time to send it at which it still meets its objective. */
 static gint64
-start_by_ms (const CfExchange *x)
+latest_start_for_objective_ms (const CfExchange *x)
 {
   gint64 first = 0;
 
@@ -119,10 +121,10 @@
   return cf_waiter_in_time_ms (x->start_ms, x->route->aim_ms, first);
 }
 
-/* When it has to be sent, at the latest, for its answer to be whole before
- * its deadline, if it is of usual length. */
+/* The latest time to send it at which an answer of usual length is complete
+ * before its deadline. */
 static gint64
-whole_by_ms (const CfExchange *x)
+latest_start_for_deadline_ms (const CfExchange *x)
 {
   if (!x->route->stream)
     return x->deadline_ms;
@@ -131,19 +133,20 @@
                                    &x->size);
 }
 
-/* Waits for room, for as long as that leaves time for the work itself. */
+/* Queues it until a target has a free slot, at most for as long as that leaves
+ * time for the work itself. */
 static void
-wait_for_room (CfExchange *x)
+enqueue (CfExchange *x)
 {
-  gint64 now = cf_gateway_now (x->g);
+  gint64 now = cf_gateway_now (x->gateway);
   gint64 limit = cf_wait_limit_ms (cf_exchange_caller_wait_ms (x),
                                    cf_exchange_remaining_ms (x));
   CfWaiter *evicted;
 
   x->waiter.since_ms = now;
-  x->waiter.in_time_ms = start_by_ms (x);
-  x->waiter.whole_by_ms = whole_by_ms (x);
-  if (!cf_wait_queue_add (&x->lane->queue, &x->waiter, waiters_max (x),
+  x->waiter.in_time_ms = latest_start_for_objective_ms (x);
+  x->waiter.whole_by_ms = latest_start_for_deadline_ms (x);
+  if (!cf_wait_queue_add (&x->lane->queue, &x->waiter, max_queued (x),
                           &evicted))
     {
       if (x->may_have_run)
@@ -152,7 +155,7 @@
         cf_exchange_refuse (x, "queue-full", cf_exchange_backoff_ms (x));
       return;
     }
-  x->g->stats.queued++;
+  x->gateway->stats.queued++;
   cf_log (LOG_INFO, CF_EV_QUEUE,
           "id=%s service=%s waiting=%u in_flight=%u limit_ms=%" G_GINT64_FORMAT,
           x->id, x->service, x->lane->queue.n, x->lane->in_flight, limit);
@@ -162,68 +165,71 @@
                         cf_exchange_backoff_ms (x));
 }
 
-/* The targets that are left take less than comes: waits for its turn if that
- * comes in time, else is told at once when to come back. */
+/* All remaining targets are at their rate limits: queues it if the limits let
+ * it be sent in time, else refuses it at once with a Retry-After. */
 static void
-wait_for_rate (CfExchange *x)
+enqueue_if_rate_allows (CfExchange *x)
 {
-  double per_s
-      = cf_balancer_limited_per_s (&x->g->targets, x->service, x->g->place);
+  double per_s = cf_balancer_limited_per_s (&x->gateway->targets, x->service,
+                                            x->gateway->place);
   double wait_ms = (x->lane->queue.n + 1) * 1000.0 / per_s;
   gint64 limit = cf_wait_limit_ms (cf_exchange_caller_wait_ms (x),
                                    cf_exchange_remaining_ms (x));
 
   if (per_s > 0 && wait_ms <= (double)limit)
-    wait_for_room (x);
+    enqueue (x);
   else if (x->may_have_run)
     cf_exchange_fail (x, "rate-limited");
   else
     cf_exchange_refuse (x, "rate-limited", cf_exchange_backoff_ms (x));
 }
 
-/* Whether it may be the request that is sent to see: its last attempt is
- * kept until it cannot wait any more. */
+/* Whether it may be sent as the probe of an outage.  Its last attempt is saved
+ * until its queue timeout expires. */
 static gboolean
 may_probe (const CfExchange *x)
 {
-  return x->last_chance || x->sends + 1 < x->route->max_attempts;
+  return x->queue_timed_out || x->sends + 1 < x->route->max_attempts;
 }
 
+/* Whether it must not be sent now, whatever slots are free. */
 static gboolean
-is_held (const CfExchange *x)
+is_held_back (const CfExchange *x)
 {
   const CfOutage *o = &x->lane->outage;
 
-  /* More work sent there would only be given up by its callers, at targets
-   * that may not hear of it. */
+  /* Callers would give up on any more work that is sent to this service, and
+   * its stalled targets may not notice that they did. */
   if (!CF_WITHOUT_STALL_CHECK
       && cf_exchange_is_service_silent (x, cf_pace_stall_ms (&x->lane->pace)))
     return TRUE;
   if (CF_WITHOUT_OUTAGE_WAIT)
     return FALSE;
   return o->since_ms
-         && (cf_outage_holds (o, cf_gateway_now (x->g)) || !may_probe (x));
+         && (cf_outage_holds (o, cf_gateway_now (x->gateway))
+             || !may_probe (x));
 }
 
 static CfPickWhy
-pick (CfExchange *x, CfTarget **t)
+pick_target (CfExchange *x, CfTarget **t)
 {
   const CfService *sv = cf_policy_service (x->policy, x->service);
   CfPickInput in = { 0 };
 
-  if (is_held (x))
+  if (is_held_back (x))
     return CF_PICK_FULL;
 
   in.service = x->service;
-  in.data_centre = x->g->set.data_centre;
-  in.tried = x->tried;
-  in.now_ms = cf_gateway_now (x->g);
-  in.fleet = x->g->fleet_size;
-  in.place = x->g->place;
+  in.data_centre = x->gateway->set.data_centre;
+  in.tried = x->tried_targets;
+  in.now_ms = cf_gateway_now (x->gateway);
+  in.fleet = x->gateway->fleet_size;
+  in.place = x->gateway->place;
   in.in_flight = x->lane->in_flight;
   in.limit = cf_concurrency_limit_get (&x->lane->limit);
   in.max_conns = sv ? sv->max_conns : 0;
-  /* Just after an outage nobody is in time, whom room could be left for. */
+  /* Just after an outage no request is in time, so there is none to leave
+   * slots for. */
   in.yields
       = !cf_outage_is_recent (&x->lane->outage, in.now_ms)
         && cf_waiter_yields (&x->waiter, in.now_ms, x->lane->pace.pause_ms,
@@ -231,18 +237,18 @@
   if (x->route->stream)
     {
       in.stall_ms = cf_pace_stall_ms (&x->lane->pace);
-      in.ring_start = &x->g->ring_start;
+      in.ring_start = &x->gateway->ring_start;
     }
-  return cf_balancer_pick (&x->g->targets, &in, t);
+  return cf_balancer_pick (&x->gateway->targets, &in, t);
 }
 
-/* Whether its service has been without work for so long that it would only
- * wait to be refused. */
+/* Whether its service has an outage that is so long that queueing it would
+ * only delay its refusal. */
 static gboolean
-is_hopeless_to_wait (const CfExchange *x)
+is_wait_futile (const CfExchange *x)
 {
   return !x->may_have_run
-         && cf_outage_is_long (&x->lane->outage, cf_gateway_now (x->g));
+         && cf_outage_is_long (&x->lane->outage, cf_gateway_now (x->gateway));
 }
 
 void
@@ -250,32 +256,31 @@
 {
   CfTarget *t;
 
-  if (is_answered_instead (x))
+  if (refuse_before_send (x))
     return;
-  switch (pick (x, &t))
+  switch (pick_target (x, &t))
     {
     case CF_PICK_OK:
       send_to (x, t);
       break;
     case CF_PICK_FULL:
-      if (is_hopeless_to_wait (x))
+      if (is_wait_futile (x))
         cf_exchange_refuse (x, "outage", cf_exchange_backoff_ms (x));
       else
-        wait_for_room (x);
+        enqueue (x);
       break;
     case CF_PICK_LIMITED:
-      wait_for_rate (x);
+      enqueue_if_rate_allows (x);
       break;
     case CF_PICK_NO_TARGET:
       if (x->may_have_run)
         cf_exchange_fail (x, "no-target");
       else
-        cf_exchange_refuse (x, "no-target", UNKNOWN_BUSY_MS);
+        cf_exchange_refuse (x, "no-target", UNKNOWN_BACKOFF_MS);
       break;
     }
 }
 
-/* This try is over without a good answer: another target, or the end. */
 void
 cf_exchange_retry_or_end (CfExchange *x, const char *reason)
 {
@@ -294,7 +299,7 @@
   cf_exchange_release_target (x, TRUE);
   if (in_budget)
     {
-      x->g->stats.retries++;
+      x->gateway->stats.retries++;
       cf_exchange_send_or_queue (x);
     }
   else if (x->may_have_run)
@@ -303,8 +308,9 @@
     cf_exchange_refuse (x, reason, cf_exchange_backoff_ms (x));
 }
 
+/* (nullable): the first queued request that may probe an outage. */
 static CfWaiter *
-first_probe (CfLane *l)
+first_probe_candidate (CfLane *l)
 {
   CfWaiter *w;
 
@@ -314,14 +320,15 @@
   return NULL;
 }
 
-/* The waiter at the head of a queue gets the room that came free. */
+/* Sends the first request of the queue if a target has a free slot.  FALSE if
+ * none was taken from the queue. */
 static gboolean
-serve_first (CfGateway *g, CfLane *l)
+dispatch_first (CfGateway *g, CfLane *l)
 {
   CfWaitQueue *q = &l->queue;
   CfWaiter *w
       = l->outage.since_ms
-            ? first_probe (l)
+            ? first_probe_candidate (l)
             : cf_wait_queue_first (q, cf_gateway_now (g),
                                    cf_concurrency_limit_get (&l->limit));
   CfExchange *x;
@@ -330,14 +337,15 @@
   if (!w)
     return FALSE;
   x = w->owner;
-  if (pick (x, &t) != CF_PICK_OK)
+  if (pick_target (x, &t) != CF_PICK_OK)
     return FALSE;
-  if (is_answered_instead (x))
+  if (refuse_before_send (x))
     return TRUE;
-  cf_histogram_add (&x->g->stats.queue_ms, cf_gateway_now (x->g) - w->since_ms);
+  cf_histogram_add (&x->gateway->stats.queue_ms,
+                    cf_gateway_now (x->gateway) - w->since_ms);
   g->stats.begun_late += cf_gateway_now (g) > w->in_time_ms;
   cf_wait_queue_remove (q, w);
-  ev_timer_stop (x->g->loop, &x->silence);
+  ev_timer_stop (x->gateway->loop, &x->silence_timer);
   send_to (x, t);
   return TRUE;
 }
@@ -352,22 +360,21 @@
     return;
   g_hash_table_iter_init (&it, g->lanes);
   while (g_hash_table_iter_next (&it, NULL, &lane))
-    while (serve_first (g, lane))
+    while (dispatch_first (g, lane))
       ;
 }
 
-/* It waited for as long as it could; an attempt kept back in an outage is
- * worth a try now. */
+/* In an outage, the last attempt that may_probe() saved is used now. */
 void
 cf_exchange_on_queue_timeout (CfExchange *x)
 {
   gboolean outage = x->lane->outage.since_ms != 0;
   CfTarget *t;
 
-  if (is_answered_instead (x))
+  if (refuse_before_send (x))
     return;
-  x->last_chance = outage;
-  if (outage && pick (x, &t) == CF_PICK_OK)
+  x->queue_timed_out = outage;
+  if (outage && pick_target (x, &t) == CF_PICK_OK)
     {
       cf_wait_queue_remove (&x->lane->queue, &x->waiter);
       send_to (x, t);
--- a/gateway/exchange-silence.c
+++ b/gateway/exchange-silence.c
@@ -2,52 +2,55 @@
 
 #include "ablation.h"
 
-/** Silence of a target, in objectives, after which an idempotent call is
- * tried elsewhere: past the longest call of a hundred, whose mean is a fifth
- * of the objective. */
-#define SILENCE_AIMS 2.5
-/** Beyond the time that a rank group stalls over a lost rank, a stream's
- * silence is its own target's. */
+/** Silence of a target after which an idempotent call is retried elsewhere, as
+ * a multiple of the latency objective.  It exceeds the longest of a hundred
+ * calls whose mean is a fifth of the objective. */
+#define SILENCE_OBJECTIVES 2.5
+/** Added to the time for which a rank group stalls over a lost rank.  A stream
+ * that is silent for longer is silent because of its own target. */
 #define SILENCE_MARGIN_MS 150
-/** Of callers' patience, how long all targets of a service may be silent
- * before they count as standing still: callers of what is sent later would
- * leave before the first event. */
-#define ALL_SILENT_PART 0.5
-/** Callers give a stream up without an event for two seconds, four times the
- * objective or eight times that for pauses, whichever is longest. */
-#define PATIENCE_LEAST_MS 2000
-#define PATIENCE_AIMS 4
-#define PATIENCE_GAPS 8
-/** A target that shows no sign of work for so many times as long as first
- * events and pauses take stands still. */
-#define STRANDED_TIMES 2
-/** Before its caller leaves, when a stream that has not begun is looked at for
- * the last time: an answer of ours has to be there first.  The caller comes
- * back for it, and does not leave work at a target that cannot hear of it. */
-#define LEAVES_MARGIN_MS 150
-/** How often a target is looked at once more before the caller leaves. */
-#define LOOK_AGAIN_MS 50
-/** A limit this near is reached: timers fire some ms early or late. */
-#define LOOK_LEAST_MS 10
+/** Silence of all targets of a service after which the service counts as
+ * stalled, as a fraction of the time that callers wait.  Callers of requests
+ * that are sent later would leave before the first event. */
+#define SERVICE_SILENCE_FRACTION 0.5
+/** Callers give up on a stream that sends no event for 2 s, four times the
+ * latency objective or eight times the objective for pauses, whichever is
+ * longest. */
+#define CALLER_WAIT_MIN_MS 2000
+#define CALLER_WAIT_OBJECTIVES 4
+#define CALLER_WAIT_PAUSES 8
+/** A target has stalled if it sends nothing for this many times as long as
+ * first events and pauses usually take. */
+#define TARGET_STALL_FACTOR 2
+/** How long before its caller gives up a stream without an event is checked for
+ * the last time.  An error answer has to reach the caller before that: it then
+ * retries, and does not leave work at a target that cannot be notified of the
+ * cancellation. */
+#define CALLER_WAIT_MARGIN_MS 150
+/** Interval of further checks of a target until the caller gives up. */
+#define RECHECK_INTERVAL_MS 50
+/** A time limit counts as reached this much earlier, since timers fire some ms
+ * early or late. */
+#define TIMER_TOLERANCE_MS 10
 
 void
 cf_exchange_start_silence_timer (CfExchange *x, gint64 ms)
 {
-  gint64 stay = cf_exchange_caller_remaining_ms (x);
+  gint64 remaining = cf_exchange_caller_remaining_ms (x);
 
-  if (stay > 0)
-    ms = MIN (ms, MAX (stay, 1));
-  ev_timer_stop (x->g->loop, &x->silence);
-  ev_timer_set (&x->silence, (double)ms / 1000, 0);
-  ev_timer_start (x->g->loop, &x->silence);
+  if (remaining > 0)
+    ms = MIN (ms, MAX (remaining, 1));
+  ev_timer_stop (x->gateway->loop, &x->silence_timer);
+  ev_timer_set (&x->silence_timer, (double)ms / 1000, 0);
+  ev_timer_start (x->gateway->loop, &x->silence_timer);
 }
 
 gint64
 cf_exchange_silence_timeout_ms (const CfExchange *x)
 {
   if (x->route->stream)
-    return x->g->set.stall_ms + SILENCE_MARGIN_MS;
-  return (gint64)((double)x->route->aim_ms * SILENCE_AIMS);
+    return x->gateway->set.stall_ms + SILENCE_MARGIN_MS;
+  return (gint64)((double)x->route->aim_ms * SILENCE_OBJECTIVES);
 }
 
 gint64
@@ -57,8 +60,9 @@
 
   if (!x->route->stream)
     return ms;
-  ms = MAX (ms * PATIENCE_AIMS, x->route->gap_aim_ms * PATIENCE_GAPS);
-  return MAX (ms, PATIENCE_LEAST_MS);
+  ms = MAX (ms * CALLER_WAIT_OBJECTIVES,
+            x->route->gap_aim_ms * CALLER_WAIT_PAUSES);
+  return MAX (ms, CALLER_WAIT_MIN_MS);
 }
 
 gint64
@@ -66,14 +70,16 @@
 {
   if (!x->route->stream || x->last_event_ms != 0)
     return G_MAXINT64;
-  return x->start_ms + cf_exchange_caller_wait_ms (x) - LEAVES_MARGIN_MS
-         - cf_gateway_now (x->g);
+  return x->start_ms + cf_exchange_caller_wait_ms (x) - CALLER_WAIT_MARGIN_MS
+         - cf_gateway_now (x->gateway);
 }
 
+/* Silence of a service after which it counts as stalled. */
 static gint64
-all_silent_ms (const CfExchange *x)
+service_silence_timeout_ms (const CfExchange *x)
 {
-  return (gint64)((double)cf_exchange_caller_wait_ms (x) * ALL_SILENT_PART);
+  return (gint64)((double)cf_exchange_caller_wait_ms (x)
+                  * SERVICE_SILENCE_FRACTION);
 }
 
 gboolean
@@ -83,21 +89,21 @@
   gint64 since = MAX (l->last_event_ms, l->busy_since_ms);
 
   return x->route->stream && l->in_flight > 0
-         && cf_gateway_now (x->g) - since > ms;
+         && cf_gateway_now (x->gateway) - since > ms;
 }
 
 static gboolean
-all_silent (const CfExchange *x)
+is_service_stalled (const CfExchange *x)
 {
-  return cf_exchange_is_service_silent (x, all_silent_ms (x));
+  return cf_exchange_is_service_silent (x, service_silence_timeout_ms (x));
 }
 
-/* For how long a target may show no sign of any work before a stream that it
- * has not begun is taken elsewhere. */
+/* For how long a target may send nothing at all before a stream without an
+ * event is retried elsewhere. */
 static gint64
-stranded_ms (const CfExchange *x)
+target_stall_timeout_ms (const CfExchange *x)
 {
-  return STRANDED_TIMES
+  return TARGET_STALL_FACTOR
          * MAX (cf_pace_stall_ms (&x->lane->pace), x->expected_first_ms);
 }
 
@@ -106,63 +112,66 @@
 {
   gint64 limit = cf_exchange_silence_timeout_ms (x);
 
-  return x->route->stream ? MIN (stranded_ms (x), limit) : limit;
+  return x->route->stream ? MIN (target_stall_timeout_ms (x), limit) : limit;
 }
 
-/* Whether a stream's target alone stands still, before its first event: its
- * caller would leave while the request lies there out of reach. */
+/* Whether a stream without an event waits for a target that has stalled while
+ * its service has not: the caller would leave while the request stays at that
+ * target and cannot be cancelled there. */
 static gboolean
-is_stranded (const CfExchange *x)
+is_only_target_stalled (const CfExchange *x)
 {
-  gint64 now = cf_gateway_now (x->g);
+  gint64 now = cf_gateway_now (x->gateway);
 
   return !CF_WITHOUT_STALL_CHECK && x->route->stream && x->last_event_ms == 0
-         && cf_target_quiet_ms (x->target, now) >= stranded_ms (x)
+         && cf_target_quiet_ms (x->target, now) >= target_stall_timeout_ms (x)
          && now - x->lane->last_event_ms < cf_pace_stall_ms (&x->lane->pace);
 }
 
-/* Whether its target, or its whole service, shows no sign of any work. */
+/* Whether its target, or its whole service, sends nothing. */
 static gboolean
-is_quiet (const CfExchange *x)
+is_target_or_service_silent (const CfExchange *x)
 {
   gint64 stall = cf_pace_stall_ms (&x->lane->pace);
 
   return cf_exchange_is_service_silent (x, stall)
-         || cf_target_quiet_ms (x->target, cf_gateway_now (x->g)) > stall;
+         || cf_target_quiet_ms (x->target, cf_gateway_now (x->gateway)) > stall;
 }
 
-/* Whether a stream's caller leaves before anything can come of it. */
+/* Whether a stream's caller gives up now, before its silent target answers. */
 static gboolean
-is_hopeless (const CfExchange *x)
+is_caller_about_to_leave (const CfExchange *x)
 {
   return !CF_WITHOUT_STALL_CHECK
-         && cf_exchange_caller_remaining_ms (x) <= LOOK_LEAST_MS
-         && is_quiet (x);
+         && cf_exchange_caller_remaining_ms (x) <= TIMER_TOLERANCE_MS
+         && is_target_or_service_silent (x);
 }
 
-/* Whether another target can show a first event before the caller leaves: if
- * not, two have its work once it left, and only one can hear of that. */
+/* Whether another target can send a first event before the caller gives up.  If
+ * not, a retry would leave two targets with work for nobody, only one of which
+ * can be notified of the cancellation. */
 static gboolean
-has_time_elsewhere (const CfExchange *x)
+has_time_for_retry (const CfExchange *x)
 {
   return cf_exchange_caller_remaining_ms (x) > cf_pace_first_ms (
              &x->lane->pace, cf_exchange_engine_model (x), &x->size);
 }
 
-/* Whether another target may have it now.  Without a retry in the budget its
- * own target, silent or not, is the only one that may still answer. */
+/* Whether another target may be tried now.  Its silent target may have run it
+ * already.  Without a retry in the budget its own target, silent or not, is the
+ * only one that can still answer. */
 static gboolean
-may_leave (CfExchange *x)
+may_retry_elsewhere (CfExchange *x)
 {
   x->may_have_run = TRUE;
   return cf_exchange_may_retry (x) && cf_retry_budget_has (&x->lane->budget);
 }
 
-/* Tries another target; FALSE if it may not have one. */
+/* Retries at another target; FALSE if that is not allowed or too late. */
 static gboolean
-leave_stranded (CfExchange *x)
+retry_stalled (CfExchange *x)
 {
-  if (!may_leave (x) || !has_time_elsewhere (x))
+  if (!may_retry_elsewhere (x) || !has_time_for_retry (x))
     return FALSE;
   cf_exchange_record_failure (x, x->target, "stands-still");
   cf_exchange_discard_answer (x);
@@ -170,48 +179,48 @@
   return TRUE;
 }
 
-/* The target, or the queue, took too long. */
 void
 cf_exchange_on_silence_timer (struct ev_loop *loop, ev_timer *w, int revents)
 {
   CfExchange *x = w->data;
-  gint64 left
-      = x->sent_ms + cf_exchange_silence_timeout_ms (x) - cf_gateway_now (x->g);
+  gint64 left = x->sent_ms + cf_exchange_silence_timeout_ms (x)
+                - cf_gateway_now (x->gateway);
 
   if (x->waiter.queued)
     {
       cf_exchange_on_queue_timeout (x);
       return;
     }
-  if (is_hopeless (x))
+  if (is_caller_about_to_leave (x))
     {
       x->may_have_run = TRUE;
       cf_exchange_fail (x, "stands-still");
       return;
     }
-  if (x->last_event_ms == 0 && left > LOOK_LEAST_MS)
+  if (x->last_event_ms == 0 && left > TIMER_TOLERANCE_MS)
     {
-      if (is_stranded (x) && leave_stranded (x))
+      if (is_only_target_stalled (x) && retry_stalled (x))
         return;
       cf_exchange_start_silence_timer (
-          x, cf_exchange_caller_remaining_ms (x) <= LOOK_LEAST_MS
-                 ? LOOK_AGAIN_MS
-                 : MIN (left, stranded_ms (x) / 2));
+          x, cf_exchange_caller_remaining_ms (x) <= TIMER_TOLERANCE_MS
+                 ? RECHECK_INTERVAL_MS
+                 : MIN (left, target_stall_timeout_ms (x) / 2));
       return;
     }
-  /* When all targets are silent, as the ranks of a group are while one of
-   * them is missed, another has nothing to say either. */
-  if (all_silent (x))
+  /* When all targets are silent, as the ranks of a group are while one of them
+   * is missing, another target would not answer either. */
+  if (is_service_stalled (x))
     {
-      cf_exchange_start_silence_timer (x, all_silent_ms (x));
+      cf_exchange_start_silence_timer (x, service_silence_timeout_ms (x));
       return;
     }
-  /* Without another target to try, the one that is silent may still answer. */
-  if (!may_leave (x) || (is_quiet (x) && !has_time_elsewhere (x)))
+  /* Without another target to try, only the silent one can still answer. */
+  if (!may_retry_elsewhere (x)
+      || (is_target_or_service_silent (x) && !has_time_for_retry (x)))
     {
       if (x->route->stream && x->last_event_ms == 0)
         cf_exchange_start_silence_timer (
-            x, MAX (cf_exchange_caller_remaining_ms (x), LOOK_AGAIN_MS));
+            x, MAX (cf_exchange_caller_remaining_ms (x), RECHECK_INTERVAL_MS));
       return;
     }
   cf_exchange_record_failure (x, x->target, "silent");
--- a/gateway/exchange-stop.c
+++ b/gateway/exchange-stop.c
@@ -2,33 +2,34 @@
 
 #include "log.h"
 
-/** Back-off asked of callers that come to a process about to end: another
- * connection reaches another VM. */
-#define STOPPING_BUSY_MS 20
-/** The same for callers that came on a new connection: for some 2 s more the
- * platform sends them here again, or no other VM takes them and this one has
- * to be back first, 0.5 s after its end. */
-#define RESTART_BUSY_MS 1000
+/** Back-off for callers of a process that is about to end: a new connection
+ * reaches another VM. */
+#define STOPPING_BACKOFF_MS 20
+/** The same for callers that came on a new connection.  For about another 2 s
+ * the platform routes new connections here again; or no other VM accepts them,
+ * and this one has to restart first, 0.5 s after it ended. */
+#define RESTART_BACKOFF_MS 1000
 
-/* From now until its answer is whole, at most: its time limit, or what its
- * size takes. */
+/* The longest time from now until its answer is complete: its remaining time,
+ * or the estimate for its size if that is shorter. */
 static gint64
-whole_ms (const CfExchange *x)
+completion_ms (const CfExchange *x)
 {
   gint64 left = cf_exchange_remaining_ms (x);
   gint64 whole = -1;
 
   if (x->route->stream)
     whole = cf_pace_whole_ms (&x->lane->pace, cf_exchange_engine_model (x),
-                              &x->size, cf_gateway_now (x->g));
+                              &x->size, cf_gateway_now (x->gateway));
   return whole < 0 ? left : MIN (whole, left);
 }
 
-/* A call takes some ms where its time limit is seconds, so while the platform
- * still sends callers here it is taken; of the few that come later its time
- * limit decides. */
+/* Whether nothing but its time limit bounds how long it takes.  Such a call
+ * takes some ms where its limit is seconds, so it is accepted while the
+ * platform still routes callers here; of the few that come later, the limit
+ * decides. */
 static gboolean
-is_unforeseen (const CfExchange *x)
+has_unknown_duration (const CfExchange *x)
 {
   return !x->route->stream || !cf_exchange_engine_model (x);
 }
@@ -36,29 +37,31 @@
 gint64
 cf_exchange_stop_slack_ms (const CfExchange *x)
 {
-  const CfGateway *g = x->g;
+  const CfGateway *g = x->gateway;
 
-  if (!g->stopping || x->begun || (!g->stop_heard && is_unforeseen (x)))
+  if (!g->stopping || x->answer_started
+      || (!g->stop_heard && has_unknown_duration (x)))
     return G_MAXINT64;
-  return g->end_at_ms - cf_gateway_now (g) - whole_ms (x);
+  return g->end_at_ms - cf_gateway_now (g) - completion_ms (x);
 }
 
 static void
-note_look (const CfExchange *x, const char *outcome)
+log_stop_check (const CfExchange *x, const char *outcome)
 {
   cf_log (LOG_INFO, CF_EV_STOP_LOOK,
           "id=%s outcome=%s whole_ms=%" G_GINT64_FORMAT
           " left_ms=%" G_GINT64_FORMAT
           " pause_ms=%.1f answer=%" G_GINT64_FORMAT,
-          x->id, outcome, whole_ms (x), x->g->end_at_ms - cf_gateway_now (x->g),
+          x->id, outcome, completion_ms (x),
+          x->gateway->end_at_ms - cf_gateway_now (x->gateway),
           x->lane->pace.pause_ms, x->size.answer);
 }
 
-/* From SIGTERM on, though the platform sends callers here for 2.3 s more: a
- * stream that was taken on unlooked would be cut off at the end.
+/* The check applies from SIGTERM on, although the platform routes callers here
+ * for another 2.3 s: a stream accepted unchecked would be cut off at the end.
  *
- * An answer that has begun goes on at another target: breaking it off would
- * be the cut that is to be avoided. */
+ * An answer that has started may still be resumed at another target; refusing
+ * that would cut it off, which is what the check is to avoid. */
 gboolean
 cf_exchange_refuse_too_late (CfExchange *x)
 {
@@ -68,15 +71,16 @@
     return FALSE;
   if (slack > 0)
     {
-      note_look (x, "in-time");
+      log_stop_check (x, "in-time");
       return FALSE;
     }
-  note_look (x, "too-late");
+  log_stop_check (x, "too-late");
   if (x->may_have_run)
     cf_exchange_fail (x, "stopping");
   else
     cf_exchange_refuse (x, "stopping",
-                        x->c->served ? STOPPING_BUSY_MS : RESTART_BUSY_MS);
+                        x->caller->served ? STOPPING_BACKOFF_MS
+                                          : RESTART_BACKOFF_MS);
   return TRUE;
 }
 
@@ -107,13 +111,13 @@
 void
 cf_exchange_end_at_shutdown (CfExchange *x)
 {
-  if (x->begun)
+  if (x->answer_started)
     {
-      x->c->x = NULL;
+      x->caller->x = NULL;
       cf_exchange_finish (x, CF_OUT_BROKEN, x->status, "cut-by-stop");
     }
-  else if (x->up || x->may_have_run)
+  else if (x->upstream || x->may_have_run)
     cf_exchange_fail (x, "cut-by-stop");
   else
-    cf_exchange_refuse (x, "stopping", RESTART_BUSY_MS);
+    cf_exchange_refuse (x, "stopping", RESTART_BACKOFF_MS);
 }
--- a/gateway/exchange-unrouted.c
+++ b/gateway/exchange-unrouted.c
@@ -1,33 +1,34 @@
 #include "exchange-parts.h"
 
-/** A process that starts learns its configuration and targets within some
- * 100 ms, from the store or a peer; if it has not by then, neither may be in
- * reach, and callers are told so at once. */
-#define STARTUP_MS 2000
-/** A request waits for so long at most: a third of what its caller allows. */
-#define UNROUTED_MOST_MS 1000
-#define UNROUTED_PART 0.33
+/** For how long after its start a process makes requests wait for its
+ * configuration and targets.  It usually gets both from the store or a peer
+ * within about 100 ms.  If it has not got them by this time, the store and all
+ * peers may be unreachable, and requests are refused at once. */
+#define STARTUP_TIMEOUT_MS 2000
+/** Limits of a request's wait: a time, and a third of the caller's timeout. */
+#define UNROUTED_MAX_MS 1000
+#define UNROUTED_FRACTION 0.33
 
-/* Whether it may be routed soon, though not yet. */
+/* Whether requests cannot be routed yet but may be soon. */
 static gboolean
-is_worth_waiting (const CfGateway *g)
+may_become_routable (const CfGateway *g)
 {
   return !cf_gateway_is_informed (g) && !g->stopping
-         && cf_gateway_now (g) - g->started_ms < STARTUP_MS;
+         && cf_gateway_now (g) - g->started_ms < STARTUP_TIMEOUT_MS;
 }
 
 static gint64
-limit_ms (const CfExchange *x)
+unrouted_timeout_ms (const CfExchange *x)
 {
   gint64 allowed = cf_exchange_caller_timeout_ms (x);
 
   if (allowed <= 0)
-    return UNROUTED_MOST_MS;
-  return MIN (UNROUTED_MOST_MS, (gint64)((double)allowed * UNROUTED_PART));
+    return UNROUTED_MAX_MS;
+  return MIN (UNROUTED_MAX_MS, (gint64)((double)allowed * UNROUTED_FRACTION));
 }
 
 static void
-on_limit (struct ev_loop *loop, ev_timer *t, int revents)
+on_unrouted_timeout (struct ev_loop *loop, ev_timer *t, int revents)
 {
   CfExchange *x = t->data;
 
@@ -38,15 +39,16 @@
 gboolean
 cf_exchange_defer_routing (CfExchange *x)
 {
-  CfGateway *g = x->g;
+  CfGateway *g = x->gateway;
 
-  if (!is_worth_waiting (g))
+  if (!may_become_routable (g))
     return FALSE;
-  TAILQ_INSERT_TAIL (&g->unrouted, x, unrouted);
+  TAILQ_INSERT_TAIL (&g->unrouted, x, unrouted_link);
   x->is_unrouted = TRUE;
-  ev_timer_init (&x->unrouted_limit, on_limit, (double)limit_ms (x) / 1000, 0);
-  x->unrouted_limit.data = x;
-  ev_timer_start (g->loop, &x->unrouted_limit);
+  ev_timer_init (&x->unrouted_timer, on_unrouted_timeout,
+                 (double)unrouted_timeout_ms (x) / 1000, 0);
+  x->unrouted_timer.data = x;
+  ev_timer_start (g->loop, &x->unrouted_timer);
   g->stats.unrouted++;
   return TRUE;
 }
@@ -56,9 +58,9 @@
 {
   if (!x->is_unrouted)
     return;
-  TAILQ_REMOVE (&x->g->unrouted, x, unrouted);
+  TAILQ_REMOVE (&x->gateway->unrouted, x, unrouted_link);
   x->is_unrouted = FALSE;
-  ev_timer_stop (x->g->loop, &x->unrouted_limit);
+  ev_timer_stop (x->gateway->loop, &x->unrouted_timer);
 }
 
 void
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -7,7 +7,7 @@
 gint64
 cf_exchange_remaining_ms (const CfExchange *x)
 {
-  return x->deadline_ms - cf_gateway_now (x->g);
+  return x->deadline_ms - cf_gateway_now (x->gateway);
 }
 
 const char *
@@ -19,25 +19,24 @@
 static void
 free_exchange (CfExchange *x)
 {
-  x->g->n_exchanges--;
+  x->gateway->n_exchanges--;
   g_clear_pointer (&x->policy, cf_policy_unref);
-  g_ptr_array_free (x->tried, TRUE);
-  g_string_free (x->head, TRUE);
-  g_string_free (x->held, TRUE);
-  cf_event_stream_clear (&x->events);
-  g_free (x->faulty);
+  g_ptr_array_free (x->tried_targets, TRUE);
+  g_string_free (x->answer_head, TRUE);
+  g_string_free (x->held_body, TRUE);
+  cf_event_stream_clear (&x->event_stream);
+  g_free (x->faulty_addr);
   g_free (x->id);
   g_free (x);
 }
 
-/* Lets go of the target; @cancel stops what it may still do for us. */
 void
 cf_exchange_release_target (CfExchange *x, gboolean cancel)
 {
-  CfUpstream *up = x->up;
+  CfUpstream *up = x->upstream;
 
-  ev_timer_stop (x->g->loop, &x->silence);
-  x->up = NULL;
+  ev_timer_stop (x->gateway->loop, &x->silence_timer);
+  x->upstream = NULL;
   if (up && cancel)
     cf_upstream_cancel (up);
   if (!x->target)
@@ -47,19 +46,19 @@
   g_clear_pointer (&x->target, cf_target_unref);
 }
 
+/* Whether the request ran, for the log. */
 static const char *
-ran_name (const CfExchange *x, CfOutcome o)
+run_state_name (const CfExchange *x, CfOutcome o)
 {
   if (o == CF_OUT_SUCCESS || o == CF_OUT_TARGET_FAIL)
     return "yes";
-  return x->may_have_run || x->up ? "maybe" : "no";
+  return x->may_have_run || x->upstream ? "maybe" : "no";
 }
 
-/* The exchange ends here; its room goes to those that wait. */
 void
 cf_exchange_finish (CfExchange *x, CfOutcome o, int status, const char *reason)
 {
-  CfGateway *g = x->g;
+  CfGateway *g = x->gateway;
   gint64 ms = cf_gateway_now (g) - x->start_ms;
 
   cf_log (LOG_INFO, CF_EV_ANSWER,
@@ -68,30 +67,31 @@
           " first_ms=%" G_GINT64_FORMAT " expected_first_ms=%" G_GINT64_FORMAT
           " longest_pause_ms=%" G_GINT64_FORMAT " config=%" G_GINT64_FORMAT,
           x->id, cf_outcome_name (o), status, reason, cf_exchange_target_id (x),
-          x->sends, ran_name (x, o), ms, x->events.n_events, x->first_ms,
-          x->expected_first_ms, x->longest_pause_ms,
+          x->sends, run_state_name (x, o), ms, x->event_stream.n_events,
+          x->first_event_ms, x->expected_first_ms, x->longest_pause_ms,
           x->policy ? x->policy->version : 0);
   g->stats.outcomes[o]++;
-  if (o == CF_OUT_SUCCESS && !x->events.n_events)
+  if (o == CF_OUT_SUCCESS && !x->event_stream.n_events)
     cf_histogram_add (&g->stats.whole_ms, ms);
   if (x->lane)
     cf_wait_queue_remove (&x->lane->queue, &x->waiter);
   cf_exchange_remove_unrouted (x);
-  ev_timer_stop (g->loop, &x->deadline);
+  ev_timer_stop (g->loop, &x->deadline_timer);
   cf_exchange_release_target (x, TRUE);
-  cf_crash_waiter_leave (&x->verdict);
+  cf_crash_waiter_leave (&x->crash_waiter);
   free_exchange (x);
   cf_exchange_dispatch_queued (g);
 }
 
-/* Answers with a status of our own, as a short JSON text. */
+/* Sends an answer of the gateway's own, with a short JSON body.
+ * @retry_ms: for the Retry-After header; none is sent if negative */
 static void
-answer_self (CfExchange *x, CfOutcome o, int status, const char *reason,
-             gint64 retry_ms)
+answer_locally (CfExchange *x, CfOutcome o, int status, const char *reason,
+                gint64 retry_ms)
 {
   GString *h = g_string_new ("Content-Type: application/json\r\n");
   char *body = g_strdup_printf ("{\"error\":\"%s\"}\n", reason);
-  CfCaller *c = x->c;
+  CfCaller *c = x->caller;
 
   if (retry_ms >= 0)
     g_string_append_printf (h, "Retry-After: %.3f\r\n",
@@ -104,24 +104,22 @@
   cf_exchange_finish (x, o, status, reason);
 }
 
-/* Nothing of it ran and nothing will; the caller may come back. */
 void
-cf_exchange_refuse (CfExchange *x, const char *reason, gint64 busy_ms)
+cf_exchange_refuse (CfExchange *x, const char *reason, gint64 backoff_ms)
 {
-  answer_self (
+  answer_locally (
       x, CF_OUT_REFUSED, 503, reason,
-      cf_retry_after_ms (cf_exchange_remaining_ms (x), busy_ms, x->hash));
+      cf_retry_after_ms (cf_exchange_remaining_ms (x), backoff_ms, x->hash));
 }
 
-/* It may have run and there is no good answer. */
 void
 cf_exchange_fail (CfExchange *x, const char *reason)
 {
-  CfCaller *c = x->c;
+  CfCaller *c = x->caller;
 
-  if (!x->begun)
+  if (!x->answer_started)
     {
-      answer_self (x, CF_OUT_FAILED, 502, reason, -1);
+      answer_locally (x, CF_OUT_FAILED, 502, reason, -1);
       return;
     }
   cf_exchange_finish (x, CF_OUT_BROKEN, x->status, reason);
@@ -132,51 +130,54 @@
 on_deadline (struct ev_loop *loop, ev_timer *w, int revents)
 {
   CfExchange *x = w->data;
-  CfCaller *c = x->c;
+  CfCaller *c = x->caller;
 
-  if (x->begun)
+  if (x->answer_started)
     {
       cf_exchange_finish (x, CF_OUT_TIMEOUT, x->status, "deadline");
       cf_caller_abort (c);
     }
-  else if (x->up || x->may_have_run)
-    answer_self (x, CF_OUT_TIMEOUT, 504, "deadline", -1);
+  else if (x->upstream || x->may_have_run)
+    answer_locally (x, CF_OUT_TIMEOUT, 504, "deadline", -1);
   else
-    answer_self (x, CF_OUT_TIMEOUT, 503, "deadline", 0);
+    answer_locally (x, CF_OUT_TIMEOUT, 503, "deadline", 0);
 }
 
-/* Finds the organisation of the caller's key; FALSE if it has to have a
- * good one and has not. */
+/* Sets the organisation that the caller's API key belongs to.  FALSE if the
+ * request needs a valid key and has none. */
 static gboolean
-find_org (CfExchange *x)
+identify_org (CfExchange *x)
 {
-  const char *value = cf_http_reader_header (&x->c->reader, CF_HDR_API_KEY);
+  const char *value
+      = cf_http_reader_header (&x->caller->reader, CF_HDR_API_KEY);
   const char *key = value ? cf_platform_api_key (value) : NULL;
 
   x->org = key ? g_hash_table_lookup (x->policy->tenants, key) : NULL;
   return x->org || x->route->keyless || !x->policy->needs_keys;
 }
 
+/* The organisation's priority if it has one, else the route's. */
 static gint64
-priority_of (const CfExchange *x)
+request_priority (const CfExchange *x)
 {
-  gpointer rank = NULL;
+  gpointer org_priority = NULL;
 
   if (x->org)
-    rank = g_hash_table_lookup (x->policy->org_rank, x->org);
-  return rank ? GPOINTER_TO_INT (rank) - 1 : x->route->priority;
+    org_priority = g_hash_table_lookup (x->policy->org_rank, x->org);
+  return org_priority ? GPOINTER_TO_INT (org_priority) - 1 : x->route->priority;
 }
 
 gint64
 cf_exchange_caller_timeout_ms (const CfExchange *x)
 {
-  const char *v = cf_http_reader_header (&x->c->reader, CF_HDR_DEADLINE);
+  const char *v = cf_http_reader_header (&x->caller->reader, CF_HDR_DEADLINE);
 
   return v ? g_ascii_strtoll (v, NULL, 10) : 0;
 }
 
+/* The time limit: the shorter of the caller's and the route's. */
 static gint64
-time_allowed (const CfExchange *x)
+allowed_ms (const CfExchange *x)
 {
   gint64 ms = cf_exchange_caller_timeout_ms (x);
 
@@ -194,17 +195,17 @@
 static void
 start_routed (CfExchange *x)
 {
-  gint64 allowed = time_allowed (x);
+  gint64 allowed = allowed_ms (x);
 
   x->service = cf_route_pick (x->route, x->hash);
-  x->lane = cf_gateway_lane (x->g, x->service);
-  cf_platform_size (cf_http_reader_header (&x->c->reader, CF_HDR_SIZE),
+  x->lane = cf_gateway_lane (x->gateway, x->service);
+  cf_platform_size (cf_http_reader_header (&x->caller->reader, CF_HDR_SIZE),
                     &x->size.prompt, &x->size.answer);
   x->deadline_ms = x->start_ms + allowed;
-  x->waiter.priority = priority_of (x);
+  x->waiter.priority = request_priority (x);
   cf_retry_budget_request (&x->lane->budget);
-  ev_timer_set (&x->deadline, (double)allowed / 1000, 0);
-  ev_timer_start (x->g->loop, &x->deadline);
+  ev_timer_set (&x->deadline_timer, (double)allowed / 1000, 0);
+  ev_timer_start (x->gateway->loop, &x->deadline_timer);
   cf_exchange_send_or_queue (x);
 }
 
@@ -214,21 +215,22 @@
   CfExchange *x = g_new0 (CfExchange, 1);
   const char *id = cf_http_reader_header (&c->reader, CF_HDR_REQUEST_ID);
 
-  x->g = g;
-  x->c = c;
+  x->gateway = g;
+  x->caller = c;
   x->id = g_strdup (id ? id : "-");
   x->hash = g_str_hash (x->id);
   x->waiter.owner = x;
   x->start_ms = cf_gateway_now (g);
   x->deadline_ms = x->start_ms;
-  x->tried = g_ptr_array_new_with_free_func ((GDestroyNotify)cf_target_unref);
-  x->head = g_string_new (NULL);
-  x->held = g_string_new (NULL);
-  cf_event_stream_init (&x->events);
-  ev_timer_init (&x->deadline, on_deadline, 0, 0);
-  x->deadline.data = x;
-  ev_timer_init (&x->silence, cf_exchange_on_silence_timer, 0, 0);
-  x->silence.data = x;
+  x->tried_targets
+      = g_ptr_array_new_with_free_func ((GDestroyNotify)cf_target_unref);
+  x->answer_head = g_string_new (NULL);
+  x->held_body = g_string_new (NULL);
+  cf_event_stream_init (&x->event_stream);
+  ev_timer_init (&x->deadline_timer, on_deadline, 0, 0);
+  x->deadline_timer.data = x;
+  ev_timer_init (&x->silence_timer, cf_exchange_on_silence_timer, 0, 0);
+  x->silence_timer.data = x;
   g->n_exchanges++;
   g->stats.requests++;
   c->x = x;
@@ -238,22 +240,22 @@
 void
 cf_exchange_route (CfExchange *x)
 {
-  CfGateway *g = x->g;
-  const char *host = cf_http_reader_header (&x->c->reader, CF_HDR_HOST);
-  const char *target = cf_http_reader_target (&x->c->reader);
+  CfGateway *g = x->gateway;
+  const char *host = cf_http_reader_header (&x->caller->reader, CF_HDR_HOST);
+  const char *path = cf_http_reader_target (&x->caller->reader);
 
   if (!g->policy)
     {
-      x->deadline_ms += UNKNOWN_BUSY_MS * 4;
-      cf_exchange_refuse (x, "no-configuration", UNKNOWN_BUSY_MS);
+      x->deadline_ms += UNKNOWN_BACKOFF_MS * 4;
+      cf_exchange_refuse (x, "no-configuration", UNKNOWN_BACKOFF_MS);
       return;
     }
   x->policy = cf_policy_ref (g->policy);
-  x->route = cf_policy_route (x->policy, host, target);
+  x->route = cf_policy_route (x->policy, host, path);
   if (!x->route)
-    answer_self (x, CF_OUT_DENIED, 404, "no-route", -1);
-  else if (!find_org (x))
-    answer_self (x, CF_OUT_DENIED, 401, "unknown-key", -1);
+    answer_locally (x, CF_OUT_DENIED, 404, "no-route", -1);
+  else if (!identify_org (x))
+    answer_locally (x, CF_OUT_DENIED, 401, "unknown-key", -1);
   else
     start_routed (x);
 }
@@ -264,7 +266,7 @@
   CfExchange *x = new_exchange (g, c);
 
   if (!cf_http_reader_header (&c->reader, CF_HDR_HOST))
-    answer_self (x, CF_OUT_DENIED, 400, "no-host", -1);
+    answer_locally (x, CF_OUT_DENIED, 400, "no-host", -1);
   else if (!cf_exchange_defer_routing (x))
     cf_exchange_route (x);
 }
@@ -272,7 +274,7 @@
 void
 cf_exchange_abandon (CfExchange *x)
 {
-  x->c = NULL;
+  x->caller = NULL;
   cf_log (LOG_INFO, CF_EV_CALLER_GONE, "id=%s target=%s", x->id,
           cf_exchange_target_id (x));
   cf_exchange_finish (x, CF_OUT_GONE, 0, "caller-left");
@@ -281,6 +283,6 @@
 void
 cf_exchange_unpause_upstream (CfExchange *x)
 {
-  if (x->up)
-    cf_upstream_set_paused (x->up, FALSE);
+  if (x->upstream)
+    cf_upstream_set_paused (x->upstream, FALSE);
 }
--- a/gateway/exchange.h
+++ b/gateway/exchange.h
@@ -2,31 +2,34 @@
 
 #include "caller.h"
 
-/** cf_exchange_start: answers the request that @c has read. */
+/** cf_exchange_start: begins to answer the request that @c has read. */
 void cf_exchange_start (CfGateway *g, CfCaller *c);
 
-/** cf_exchange_abandon: the caller left; all work for it is stopped. */
+/** cf_exchange_abandon: the caller disconnected; ends @x and cancels its work
+ * at the target. */
 void cf_exchange_abandon (CfExchange *x);
 
-/** cf_exchange_unpause_upstream: all of the answer so far has been sent. */
+/** cf_exchange_unpause_upstream: the caller's output buffer is empty again;
+ * reads on from the target. */
 void cf_exchange_unpause_upstream (CfExchange *x);
 
-/** cf_exchange_refuse_all_too_late: this process stops; what waits and cannot
- * be whole before it ends is answered now. */
+/** cf_exchange_refuse_all_too_late: during shutdown, answers the queued
+ * requests that cannot be complete before this process ends. */
 void cf_exchange_refuse_all_too_late (CfGateway *g);
 
-/** cf_exchange_refuse_all_quarantined: requests were quarantined; what waits to
- * be sent for one of them is answered now. */
+/** cf_exchange_refuse_all_quarantined: answers the queued requests that have
+ * been put in quarantine. */
 void cf_exchange_refuse_all_quarantined (CfGateway *g);
 
-/** cf_exchange_end_at_shutdown: this process ends: @x is refused if it has
- * not run, failed if it may have, and cut off if its answer has begun. */
+/** cf_exchange_end_at_shutdown: ends @x as the process exits: refuses it if it
+ * has not run, fails it if it may have, and cuts off an answer that has
+ * started. */
 void cf_exchange_end_at_shutdown (CfExchange *x);
 
-/** cf_exchange_route_unrouted: the configuration or the targets may be known;
- * requests that wait for them go on. */
+/** cf_exchange_route_unrouted: routes the requests that arrived before the
+ * configuration and the targets were known, once both are. */
 void cf_exchange_route_unrouted (CfGateway *g);
 
-/** cf_exchange_dispatch_queued: room may have come free; those that wait may
- * get it. */
+/** cf_exchange_dispatch_queued: sends queued requests to targets that have
+ * free slots. */
 void cf_exchange_dispatch_queued (CfGateway *g);
--- a/gateway/forward.c
+++ b/gateway/forward.c
@@ -2,8 +2,10 @@
 
 #include <string.h>
 
+/* Whether a header of the caller is not forwarded: it concerns the gateway
+ * alone, or is one that the gateway sets. */
 static gboolean
-is_ours (CfHeaderKind kind, const CfForwardHeaders *ours)
+is_stripped (CfHeaderKind kind, const CfForwardHeaders *added)
 {
   switch (kind)
     {
@@ -15,13 +17,14 @@
     case CF_HDR_PRIORITY:
       return TRUE;
     case CF_HDR_LAST_EVENT:
-      return ours->last_event >= 0;
+      return added->last_event >= 0;
     default:
       return FALSE;
     }
 }
 
-/* A body, or a method that has one, needs its length said. */
+/* A request that has a body, or whose method usually has one, needs a
+ * Content-Length header. */
 static gboolean
 needs_length (const CfHttpReader *r, const GString *body)
 {
@@ -31,7 +34,7 @@
 
 GString *
 cf_forward_build_request (const CfHttpReader *r, const GString *body,
-                          const CfForwardHeaders *ours)
+                          const CfForwardHeaders *added)
 {
   GString *out = g_string_sized_new (r->text->len + body->len + 256);
 
@@ -42,10 +45,10 @@
     {
       const CfHeader *h = &g_array_index (r->headers, CfHeader, i);
 
-      if (cf_http_reader_passes (r, h) && !is_ours (h->kind, ours))
+      if (cf_http_reader_passes (r, h) && !is_stripped (h->kind, added))
         g_string_append_printf (out, "%s: %s\r\n", h->name, h->value);
     }
-  cf_platform_forward (out, ours);
+  cf_platform_forward (out, added);
   if (needs_length (r, body))
     g_string_append_printf (out, "Content-Length: %" G_GSIZE_FORMAT "\r\n",
                             body->len);
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -7,18 +7,18 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/** A connect within a region takes a few ms; a lost SYN is sent again only
- * after a second, so another target is the better use of the time. */
+/** A connection within a region is established within a few ms.  A lost SYN is
+ * retransmitted only after a second, so trying another target is faster. */
 #define CONNECT_TIMEOUT_S 0.4
-/** Kept idle when the target names no time of its own. */
-#define IDLE_DEFAULT_S 2.0
-/** Of the time a target names, the part that we use: it must not close in
- * the face of a request that is on its way. */
-#define IDLE_PART 0.6
-/** Answer heads of targets; what they send is bounded too. */
-#define ANSWER_HEAD_MAX 65536
-/** One read; larger answers take several. */
-#define READ_SIZE 16384
+/** How long a connection is kept idle if the target names no timeout. */
+#define IDLE_TIMEOUT_DEFAULT_S 2.0
+/** Fraction of the idle timeout named by a target after which the gateway
+ * closes the connection, so that the target does not close it while a request
+ * is in transit. */
+#define IDLE_TIMEOUT_FRACTION 0.6
+/** Limit of an answer's head: input from targets is bounded too. */
+#define ANSWER_HEAD_MAX_BYTES 65536
+#define READ_BYTES 16384
 
 const char *
 cf_upstream_failure_name (CfUpstreamFailure f)
@@ -39,20 +39,21 @@
 free_upstream (CfUpstream *u)
 {
   cf_http_reader_clear (&u->reader);
-  if (u->out)
-    g_string_free (u->out, TRUE);
+  if (u->request)
+    g_string_free (u->request, TRUE);
   g_free (u->request_id);
   cf_target_unref (u->target);
   g_free (u);
 }
 
-/* Closes the connection; the memory goes when no read is on the stack. */
+/* Closes the connection.  Within a read, read_available() frees the memory
+ * later. */
 static void
-shut (CfUpstream *u)
+close_connection (CfUpstream *u)
 {
-  if (u->dead)
+  if (u->is_closed)
     return;
-  u->dead = TRUE;
+  u->is_closed = TRUE;
   ev_io_stop (u->loop, &u->io);
   ev_timer_stop (u->loop, &u->timer);
   close (u->io.fd);
@@ -69,15 +70,15 @@
 fail (CfUpstream *u, CfUpstreamFailure f)
 {
   void *owner = u->owner;
-  const CfUpstreamCallbacks *calls = u->calls;
+  const CfUpstreamCallbacks *callbacks = u->callbacks;
 
-  shut (u);
+  close_connection (u);
   if (owner)
-    calls->fail (owner, f);
+    callbacks->on_failure (owner, f);
 }
 
 static void
-want (CfUpstream *u, int events)
+watch_events (CfUpstream *u, int events)
 {
   if (u->io.events == events && ev_is_active (&u->io))
     return;
@@ -88,23 +89,24 @@
 }
 
 static int
-events_wanted (const CfUpstream *u)
+needed_events (const CfUpstream *u)
 {
   int events = u->paused ? 0 : EV_READ;
 
-  if (u->out && u->out_sent < u->out->len)
+  if (u->request && u->n_sent < u->request->len)
     events |= EV_WRITE;
   return events;
 }
 
-/* Returns FALSE if the connection broke; it is closed then. */
+/* Sends as much of the request as the socket takes.  FALSE if that failed and
+ * the connection was closed. */
 static gboolean
 flush (CfUpstream *u)
 {
-  while (u->out_sent < u->out->len)
+  while (u->n_sent < u->request->len)
     {
-      ssize_t n = send (u->io.fd, u->out->str + u->out_sent,
-                        u->out->len - u->out_sent, MSG_NOSIGNAL);
+      ssize_t n = send (u->io.fd, u->request->str + u->n_sent,
+                        u->request->len - u->n_sent, MSG_NOSIGNAL);
 
       if (n < 0 && errno == EINTR)
         continue;
@@ -116,14 +118,14 @@
           return FALSE;
         }
       u->sent_any = TRUE;
-      u->out_sent += (gsize)n;
+      u->n_sent += (gsize)n;
     }
-  want (u, events_wanted (u));
+  watch_events (u, needed_events (u));
   return TRUE;
 }
 
 static gboolean
-answers_us (const CfUpstream *u)
+is_matching_answer (const CfUpstream *u)
 {
   const char *id = cf_http_reader_header (&u->reader, CF_HDR_REQUEST_ID);
 
@@ -135,9 +137,10 @@
 {
   CfUpstream *u = owner;
 
-  u->skipping = !answers_us (u) || u->reader.parser.status_code < 200;
-  if (!u->skipping && u->owner)
-    u->calls->head (u->owner, &u->reader);
+  u->skipping_answer
+      = !is_matching_answer (u) || u->reader.parser.status_code < 200;
+  if (!u->skipping_answer && u->owner)
+    u->callbacks->on_head (u->owner, &u->reader);
 }
 
 static void
@@ -145,15 +148,15 @@
 {
   CfUpstream *u = owner;
 
-  if (!u->skipping && u->owner)
-    u->calls->body (u->owner, data, n);
+  if (!u->skipping_answer && u->owner)
+    u->callbacks->on_body (u->owner, data, n);
 }
 
-static const CfHttpReaderCalls reader_calls = { on_head, on_body, NULL };
+static const CfHttpReaderCalls reader_callbacks = { on_head, on_body, NULL };
 
-/* The time in a Keep-Alive header, as far as we use it. */
+/* How long to keep the connection idle, by the target's Keep-Alive header. */
 static double
-idle_time (const CfHttpReader *r)
+idle_timeout_s (const CfHttpReader *r)
 {
   const char *at;
 
@@ -165,21 +168,23 @@
           && g_ascii_strcasecmp (h->name, "Keep-Alive") == 0
           && (at = strstr (h->value, "timeout=")))
         return (double)g_ascii_strtoll (at + strlen ("timeout="), NULL, 10)
-               * IDLE_PART;
+               * IDLE_TIMEOUT_FRACTION;
     }
-  return IDLE_DEFAULT_S;
+  return IDLE_TIMEOUT_DEFAULT_S;
 }
 
-/* The answer is whole: the connection goes idle, if it can be used again. */
+/* The answer is complete: keeps the connection idle if it can be reused, else
+ * closes it. */
 static void
-finish (CfUpstream *u, gboolean keep)
+finish_answer (CfUpstream *u, gboolean keep)
 {
   void *owner = u->owner;
-  const CfUpstreamCallbacks *calls = u->calls;
+  const CfUpstreamCallbacks *callbacks = u->callbacks;
 
-  u->idle_s = idle_time (&u->reader);
-  keep = keep && cf_http_reader_keeps (&u->reader) && u->out_sent == u->out->len
-         && u->target->listed && !u->target->record.leaving && u->idle_s > 0;
+  u->idle_timeout_s = idle_timeout_s (&u->reader);
+  keep = keep && cf_http_reader_keeps (&u->reader)
+         && u->n_sent == u->request->len && u->target->listed
+         && !u->target->record.leaving && u->idle_timeout_s > 0;
   if (keep)
     {
       u->owner = NULL;
@@ -187,13 +192,13 @@
       TAILQ_REMOVE (&u->target->busy, u, link);
       TAILQ_INSERT_HEAD (&u->target->idle, u, link);
       ev_timer_stop (u->loop, &u->timer);
-      ev_timer_set (&u->timer, u->idle_s, 0);
+      ev_timer_set (&u->timer, u->idle_timeout_s, 0);
       ev_timer_start (u->loop, &u->timer);
     }
   else
-    shut (u);
+    close_connection (u);
   if (owner)
-    calls->done (owner);
+    callbacks->on_done (owner);
 }
 
 static void
@@ -201,11 +206,11 @@
 {
   gsize used;
 
-  while (n > 0 && !u->dead)
+  while (n > 0 && !u->is_closed)
     {
-      if (!u->owner) /* bytes that no request asked for */
+      if (!u->owner) /* data without a pending request */
         {
-          shut (u);
+          close_connection (u);
           return;
         }
       if (!cf_http_reader_feed (&u->reader, data, n, &used))
@@ -215,36 +220,36 @@
         }
       data += used;
       n -= used;
-      if (u->dead || !u->reader.is_complete)
+      if (u->is_closed || !u->reader.is_complete)
         continue;
-      if (u->skipping)
+      if (u->skipping_answer)
         cf_http_reader_next (&u->reader);
       else
         {
-          finish (u, n == 0);
+          finish_answer (u, n == 0);
           return;
         }
     }
 }
 
 static void
-at_eof (CfUpstream *u)
+handle_eof (CfUpstream *u)
 {
-  gboolean whole = u->owner && u->reader.has_head && !u->skipping
+  gboolean whole = u->owner && u->reader.has_head && !u->skipping_answer
                    && cf_http_reader_eof (&u->reader);
 
-  if (u->dead)
+  if (u->is_closed)
     return;
   if (whole)
-    finish (u, FALSE);
+    finish_answer (u, FALSE);
   else
     fail (u, u->sent_any ? CF_FAILURE_LOST : CF_FAILURE_UNSENT);
 }
 
 static void
-read_some (CfUpstream *u)
+read_available (CfUpstream *u)
 {
-  char buf[READ_SIZE];
+  char buf[READ_BYTES];
   ssize_t n = recv (u->io.fd, buf, sizeof buf, 0);
 
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
@@ -253,11 +258,11 @@
   if (n > 0)
     feed (u, buf, (gsize)n);
   else if (n == 0)
-    at_eof (u);
+    handle_eof (u);
   else
     fail (u, u->sent_any ? CF_FAILURE_LOST : CF_FAILURE_UNSENT);
   u->in_read = FALSE;
-  if (u->dead)
+  if (u->is_closed)
     free_upstream (u);
 }
 
@@ -287,7 +292,7 @@
   if ((revents & EV_WRITE) && !flush (u))
     return;
   if (revents & EV_READ)
-    read_some (u);
+    read_available (u);
 }
 
 static void
@@ -297,7 +302,7 @@
 }
 
 static CfUpstream *
-open_new (struct ev_loop *loop, CfTarget *t)
+open_connection (struct ev_loop *loop, CfTarget *t)
 {
   int fd = cf_socket_connect (&t->addr);
   CfUpstream *u;
@@ -308,8 +313,8 @@
   u->loop = loop;
   u->target = cf_target_ref (t);
   u->connecting = TRUE;
-  cf_http_reader_init (&u->reader, HTTP_RESPONSE, &reader_calls, u,
-                       ANSWER_HEAD_MAX);
+  cf_http_reader_init (&u->reader, HTTP_RESPONSE, &reader_callbacks, u,
+                       ANSWER_HEAD_MAX_BYTES);
   ev_io_init (&u->io, on_io, fd, EV_WRITE);
   u->io.data = u;
   ev_timer_init (&u->timer, on_timer, CONNECT_TIMEOUT_S, 0);
@@ -330,54 +335,55 @@
   ev_timer_stop (u->loop, &u->timer);
   u->reused = TRUE;
   u->sent_any = FALSE;
-  u->skipping = FALSE;
+  u->skipping_answer = FALSE;
   return u;
 }
 
-/* A new connection sends once it is made, a kept one in the loop's next
- * turn, so that failures come after cf_upstream_send() has returned. */
+/* A new connection sends once it is established, a reused one in the next
+ * event loop iteration, so that failures are reported after this function has
+ * returned. */
 CfUpstream *
 cf_upstream_send (struct ev_loop *loop, CfTarget *t, GString *request,
                   const char *request_id, gboolean head_only,
-                  const CfUpstreamCallbacks *calls, void *owner)
+                  const CfUpstreamCallbacks *callbacks, void *owner)
 {
   CfUpstream *u = take_idle (t);
 
   if (!u)
-    u = open_new (loop, t);
+    u = open_connection (loop, t);
   if (!u)
     {
       g_string_free (request, TRUE);
       return NULL;
     }
-  if (u->out)
-    g_string_free (u->out, TRUE);
+  if (u->request)
+    g_string_free (u->request, TRUE);
   g_free (u->request_id);
-  u->out = request;
-  u->out_sent = 0;
+  u->request = request;
+  u->n_sent = 0;
   u->request_id = g_strdup (request_id);
   u->reader.no_body = head_only;
-  u->calls = calls;
+  u->callbacks = callbacks;
   u->owner = owner;
   TAILQ_INSERT_TAIL (&t->busy, u, link);
   if (u->reused && !u->connecting)
     {
-      want (u, EV_READ | EV_WRITE);
+      watch_events (u, EV_READ | EV_WRITE);
       ev_feed_event (loop, &u->io, EV_WRITE);
     }
   return u;
 }
 
-/* With a reset: a target that stands still and has not read the request yet
- * meets that before it.  An orderly end lies behind the request, and may be
- * that of a caller which has no more to say. */
+/* Resets the connection.  A stalled target that has not read the request yet
+ * then sees the reset first.  A FIN would be queued behind the request, and may
+ * also mean that the sender has only finished sending. */
 void
 cf_upstream_cancel (CfUpstream *u)
 {
   const struct linger hard = { 1, 0 };
 
   setsockopt (u->io.fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
-  shut (u);
+  close_connection (u);
 }
 
 void
@@ -386,7 +392,7 @@
   if (u->paused == pause || u->connecting)
     return;
   u->paused = pause;
-  want (u, events_wanted (u));
+  watch_events (u, needed_events (u));
 }
 
 void
@@ -395,7 +401,7 @@
   CfUpstream *u;
 
   while ((u = TAILQ_FIRST (&t->idle)))
-    shut (u);
+    close_connection (u);
 }
 
 void
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -5,51 +5,53 @@
 
 #include <ev.h>
 
-/** CfUpstreamFailure: how an exchange with a target broke off. */
+/** CfUpstreamFailure: how a request to a target failed. */
 typedef enum
 {
-  CF_FAILURE_UNSENT,    /**< no byte of the request left us: it did not run */
-  CF_FAILURE_LOST,      /**< the connection ended before the whole answer */
-  CF_FAILURE_MALFORMED, /**< bytes that are no answer to this request */
+  CF_FAILURE_UNSENT,    /**< no byte of the request was sent: it did not run */
+  CF_FAILURE_LOST,      /**< the connection ended before the complete answer */
+  CF_FAILURE_MALFORMED, /**< the target sent no valid HTTP answer */
 } CfUpstreamFailure;
 
 const char *cf_upstream_failure_name (CfUpstreamFailure f);
 
-/** CfUpstreamCallbacks: what the owner of an exchange with a target is told. */
+/** CfUpstreamCallbacks: how the owner of a request to a target is notified.
+ * Either @on_done or @on_failure is the last call. */
 typedef struct
 {
-  void (*head) (void *owner, const CfHttpReader *r);
-  void (*body) (void *owner, const char *data, gsize n);
-  void (*done) (void *owner);
-  void (*fail) (void *owner, CfUpstreamFailure f);
+  void (*on_head) (void *owner, const CfHttpReader *r);
+  void (*on_body) (void *owner, const char *data, gsize n);
+  void (*on_done) (void *owner);
+  void (*on_failure) (void *owner, CfUpstreamFailure f);
 } CfUpstreamCallbacks;
 
 /**
  * CfUpstream:
- * A connection to a target that carries one request at a time and is kept
- * for the next.  An answer is matched to its request by the request's id;
- * a request is never sent a second time here.
+ * A connection to a target.  It carries one request at a time and is kept for
+ * reuse.  An answer is matched to its request by the request id.  A request is
+ * never sent a second time at this level.
  */
 struct CfUpstream
 {
   TAILQ_ENTRY (CfUpstream) link; /**< in the target's idle or busy list */
   ev_io io;
-  ev_timer timer; /**< limits connecting, and idling */
+  ev_timer timer; /**< connect timeout, then idle timeout */
   struct ev_loop *loop;
   CfTarget *target;
   CfHttpReader reader;
-  GString *out; /**< of the request, what is not sent yet */
-  gsize out_sent;
+  GString *request;
+  gsize n_sent; /**< bytes of @request sent so far */
   char *request_id;
-  const CfUpstreamCallbacks *calls;
-  void *owner;   /**< %NULL while idle */
-  double idle_s; /**< how long the target keeps it when idle */
+  const CfUpstreamCallbacks *callbacks;
+  void *owner;           /**< %NULL while idle */
+  double idle_timeout_s; /**< how long it is kept when idle */
   gboolean connecting;
-  gboolean sent_any;
-  gboolean skipping; /**< reading an answer that is not ours */
+  gboolean sent_any;        /**< some byte of @request was sent */
+  gboolean skipping_answer; /**< an interim answer, or one with another
+                                 request id */
   gboolean paused;
-  gboolean in_read; /**< freed only after the read */
-  gboolean dead;
+  gboolean in_read; /**< while set, freeing is left to the reader */
+  gboolean is_closed;
   gboolean reused;
 };
 
@@ -57,17 +59,19 @@
  * cf_upstream_send:
  * Sends @request on an idle connection to @t, or on a new one.
  * @request: (transfer full): head and body
- * @request_id: the id that the answer has to carry
+ * @request_id: (nullable): the id that the answer has to carry, if it has one
  * @head_only: the answer to this method has no body
- * Returns: (nullable): the connection; %NULL if no socket could be made.
- *   Nothing is called back before this returns.
+ * Returns: (nullable): the connection; %NULL if no socket could be created.
+ *   No callback is called before this returns.
  */
 CfUpstream *cf_upstream_send (struct ev_loop *loop, CfTarget *t,
                               GString *request, const char *request_id,
                               gboolean head_only,
-                              const CfUpstreamCallbacks *calls, void *owner);
+                              const CfUpstreamCallbacks *callbacks,
+                              void *owner);
 
-/** cf_upstream_cancel: resets it; the target sees that nobody waits. */
+/** cf_upstream_cancel: resets the connection, so that the target stops its
+ * work. */
 void cf_upstream_cancel (CfUpstream *u);
 
 /** cf_upstream_set_paused: stops or resumes reading, for a slow caller. */
@@ -76,6 +80,6 @@
 /** cf_upstream_close_idle: closes all idle connections to @t. */
 void cf_upstream_close_idle (CfTarget *t);
 
-/** cf_upstream_fail_all: the process behind @t is gone: closes its idle
- * connections and fails what the others carry. */
+/** cf_upstream_fail_all: the process behind @t has ended: closes its idle
+ * connections and fails the requests on the others. */
 void cf_upstream_fail_all (CfTarget *t);
