--- a/gateway/exchange-stop.c
+++ b/gateway/exchange-stop.c
@@ -5,9 +5,9 @@
 /** Back-off for callers of a process that is about to end: a new connection
  * reaches another VM. */
 #define STOPPING_BACKOFF_MS 20
-/** The same for callers that came on a new connection.  For about another 2 s
- * the platform routes new connections here again; or no other VM accepts them,
- * and this one has to restart first, 0.5 s after it ended. */
+/** The same for callers that came on a new connection.  Either the platform
+ * still routes new connections here, for about another 2 s, or no other VM
+ * accepts them and this one has to restart first, 0.5 s after it ended. */
 #define RESTART_BACKOFF_MS 1000
 
 /* The longest time from now until its answer is complete: its remaining time,
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -16,7 +16,8 @@
 const char *cf_upstream_failure_name (CfUpstreamFailure f);
 
 /** CfUpstreamCallbacks: how the owner of a request to a target is notified.
- * Either @on_done or @on_failure is the last call. */
+ * Either @on_done or @on_failure is the last call, unless the request is
+ * cancelled. */
 typedef struct
 {
   void (*on_head) (void *owner, const CfHttpReader *r);
@@ -50,7 +51,8 @@
   gboolean skipping_answer; /**< an interim answer, or one with another
                                  request id */
   gboolean paused;
-  gboolean in_read; /**< while set, freeing is left to the reader */
+  gboolean in_read; /**< a read is in progress, and frees the connection at its
+                         end if that was closed */
   gboolean is_closed;
   gboolean reused;
 };
--- a/t/t-gateway.c
+++ b/t/t-gateway.c
@@ -1,6 +1,6 @@
 /*
- * The gateway as a process, before the stand-in of the platform: what
- * callers get and what targets see, in calm and under faults.
+ * Runs the gateway process against the fake platform: what callers receive and
+ * what targets see, with and without faults.
  */
 #include "harness.h"
 #include "platform-harness.h"
@@ -30,38 +30,40 @@
 }
 
 static char *
-ask (const char *method_and_path, const char *id, const char *headers,
-     const char *body)
+send_request (const char *method_and_path, const char *id, const char *headers,
+              const char *body)
 {
   g_autofree char *req = p_request (method_and_path, id, headers, body);
 
   return p_ask (front, req);
 }
 
-/* The next @x requests at each plain target, or each rank, meet @kind. */
+/* Makes the next @x requests at each plain target, or each rank, meet the fault
+ * @kind. */
 static void
-fault_desks (const char *kind, int x)
+set_desk_fault (const char *kind, int x)
 {
   p_fault (DESK_1, 2, kind, x);
 }
 
 static void
-fault_ranks (const char *kind, int x)
+set_rank_fault (const char *kind, int x)
 {
   p_fault (RANK_1, N_RANKS, kind, x);
 }
 
+/* The sum of the counter @what over the plain targets. */
 static double
-at_desks (const char *what)
+desk_counter (const char *what)
 {
   return p_runs (DESK_1, 2, what);
 }
 
-START_TEST (a_request_passes_unchanged)
+START_TEST (request_is_forwarded_unchanged)
 {
-  g_autofree char *a
-      = ask ("POST /order/a%20b?c=d", "r1",
-             "X-Other: 1\r\nComfreypost-Tenant: forged\r\n", "two parcels");
+  g_autofree char *a = send_request (
+      "POST /order/a%20b?c=d", "r1",
+      "X-Other: 1\r\nComfreypost-Tenant: forged\r\n", "two parcels");
 
   ck_assert_int_eq (p_status (a), 200);
   ck_assert_ptr_nonnull (strstr (a, "Comfreypost-Server-Signature: desk-"));
@@ -71,7 +73,7 @@
 }
 END_TEST
 
-START_TEST (a_public_route_needs_no_key)
+START_TEST (public_route_needs_no_api_key)
 {
   g_autofree char *a
       = p_ask (front, "GET /open/x HTTP/1.1\r\nHost: demo.example\r\n"
@@ -83,7 +85,7 @@
 }
 END_TEST
 
-START_TEST (improper_requests_are_answered)
+START_TEST (invalid_requests_get_error_status)
 {
   const struct
   {
@@ -114,7 +116,7 @@
 }
 END_TEST
 
-START_TEST (large_heads_are_refused)
+START_TEST (oversized_headers_are_refused)
 {
   GString *s = g_string_new ("GET /quote/ HTTP/1.1\r\nX: ");
   g_autofree char *a = NULL;
@@ -128,7 +130,7 @@
 }
 END_TEST
 
-START_TEST (requests_follow_on_one_connection)
+START_TEST (connection_serves_many_requests)
 {
   int fd = p_connect (front);
 
@@ -148,15 +150,15 @@
 }
 END_TEST
 
-/* A target's second answer to one request is never given to the next. */
-START_TEST (extra_answers_reach_nobody)
+/* A target's second answer to one request is never used for the next one. */
+START_TEST (unsolicited_answers_are_dropped)
 {
-  fault_desks ("extra", 50);
+  set_desk_fault ("extra", 50);
   for (int i = 0; i < 30; i++)
     {
       g_autofree char *id = g_strdup_printf ("e%d", i);
       g_autofree char *want = g_strdup_printf ("Request-Id: %s\r\n", id);
-      g_autofree char *a = ask ("GET /quote/a", id, NULL, "");
+      g_autofree char *a = send_request ("GET /quote/a", id, NULL, "");
 
       ck_assert_int_eq (p_status (a), 200);
       ck_assert_ptr_nonnull (strstr (a, want));
@@ -165,7 +167,7 @@
 }
 END_TEST
 
-START_TEST (idempotent_requests_are_tried_again)
+START_TEST (idempotent_requests_are_retried)
 {
   const char *const kinds[]
       = { "lost", "truncate", "garbage", "unsigned", "full", "fail" };
@@ -176,28 +178,29 @@
           = g_strdup_printf ("POST /test/fault?kind=%s&x=1", kinds[i]);
       g_autofree char *a = NULL;
 
-      /* One target fails once; whichever is asked first. */
+      /* One target fails once; the request may reach the other first. */
       g_free (p_test (DESK_1, call, ""));
-      a = ask ("GET /quote/a", kinds[i], NULL, "");
+      a = send_request ("GET /quote/a", kinds[i], NULL, "");
       ck_assert_msg (p_status (a) == 200, "%s: %s", kinds[i], a);
       g_free (p_test (DESK_1, "POST /test/fault?kind=x&x=0", ""));
     }
 }
 END_TEST
 
-START_TEST (answers_without_length_are_whole)
+START_TEST (answer_without_length_is_complete)
 {
   g_autofree char *a = NULL;
 
-  fault_desks ("unframed", 1);
-  a = ask ("GET /quote/a", "u1", NULL, "");
+  set_desk_fault ("unframed", 1);
+  a = send_request ("GET /quote/a", "u1", NULL, "");
   ck_assert_int_eq (p_status (a), 200);
   ck_assert_ptr_nonnull (strstr (a, "unframed desk-"));
 }
 END_TEST
 
-/* What may have run is not sent again, and never called "not run". */
-START_TEST (orders_run_at_most_once)
+/* A request that may have run is not sent again, and its caller is never told
+ * that it did not run. */
+START_TEST (non_idempotent_requests_run_at_most_once)
 {
   const char *const kinds[] = { "lost", "truncate", "garbage", "unsigned" };
 
@@ -205,65 +208,66 @@
     {
       g_autofree char *a = NULL;
 
-      fault_desks (kinds[i], 1);
-      a = ask ("POST /order/a", kinds[i], NULL, "x");
+      set_desk_fault (kinds[i], 1);
+      a = send_request ("POST /order/a", kinds[i], NULL, "x");
       ck_assert_msg (p_status (a) == 502, "%s: %s", kinds[i], a);
-      fault_desks ("x", 0);
+      set_desk_fault ("x", 0);
     }
-  ck_assert_double_eq (at_desks ("runs"), G_N_ELEMENTS (kinds));
-  ck_assert_double_eq (at_desks ("doubled"), 0);
+  ck_assert_double_eq (desk_counter ("runs"), G_N_ELEMENTS (kinds));
+  ck_assert_double_eq (desk_counter ("doubled"), 0);
 }
 END_TEST
 
-START_TEST (a_refused_order_may_come_back)
+START_TEST (refused_request_gets_retry_after)
 {
   g_autofree char *a = NULL;
 
-  fault_desks ("full", 1);
-  a = ask ("POST /order/a", "f1", NULL, "x");
+  set_desk_fault ("full", 1);
+  a = send_request ("POST /order/a", "f1", NULL, "x");
   ck_assert_int_eq (p_status (a), 503);
   ck_assert_ptr_nonnull (strstr (a, "Retry-After: "));
   ck_assert_ptr_null (strstr (a, "Signature"));
-  ck_assert_double_eq (at_desks ("runs"), 0);
+  ck_assert_double_eq (desk_counter ("runs"), 0);
 }
 END_TEST
 
-START_TEST (a_targets_failure_passes_as_it_is)
+START_TEST (target_failure_is_forwarded_unchanged)
 {
   g_autofree char *a = NULL;
 
-  fault_desks ("fail", 1);
-  a = ask ("POST /order/a", "x1", NULL, "x");
+  set_desk_fault ("fail", 1);
+  a = send_request ("POST /order/a", "x1", NULL, "x");
   ck_assert_int_eq (p_status (a), 500);
   ck_assert_ptr_nonnull (strstr (a, "Signature: desk-"));
   ck_assert_ptr_nonnull (strstr (a, "failed\n"));
 }
 END_TEST
 
-/* A target that hangs: an order is answered at its route's timeout, not
- * before and not later; a quote is tried elsewhere long before. */
-START_TEST (hanging_targets)
+/* At a target that hangs, a request that must not be repeated is answered at
+ * its route's timeout, neither before nor later.  One that may be repeated is
+ * retried elsewhere long before. */
+START_TEST (hanging_target_times_out)
 {
   gint64 begun = g_get_monotonic_time () / 1000;
   g_autofree char *a = NULL;
   g_autofree char *b = NULL;
   gint64 ms;
 
-  fault_desks ("hang", 1);
-  a = ask ("POST /order/a", "h1", NULL, "x");
+  set_desk_fault ("hang", 1);
+  a = send_request ("POST /order/a", "h1", NULL, "x");
   ms = g_get_monotonic_time () / 1000 - begun;
   ck_assert_int_eq (p_status (a), 504);
   ck_assert_int_ge (ms, 750);
   ck_assert_int_le (ms, 1200);
-  fault_desks ("x", 0);
+  set_desk_fault ("x", 0);
   g_free (p_test (DESK_1, "POST /test/fault?kind=hang&x=1", ""));
-  b = ask ("GET /quote/a", "h2", NULL, "");
+  b = send_request ("GET /quote/a", "h2", NULL, "");
   ck_assert_int_eq (p_status (b), 200);
 }
 END_TEST
 
 static guint
-count_of (const char *text, const char *needle)
+count_occurrences (const char *text, const char *needle)
 {
   guint n = 0;
 
@@ -275,10 +279,10 @@
   return n;
 }
 
-START_TEST (streams_are_passed_whole)
+START_TEST (stream_is_forwarded_completely)
 {
-  g_autofree char *a
-      = ask ("POST /chat/a", "s1", "Comfreypost-Token-Count: 10,80\r\n", "");
+  g_autofree char *a = send_request ("POST /chat/a", "s1",
+                                     "Comfreypost-Token-Count: 10,80\r\n", "");
 
   ck_assert_int_eq (p_status (a), 200);
   for (int e = 1; e <= 20; e++)
@@ -286,30 +290,31 @@
       g_autofree char *ev
           = g_strdup_printf ("id: %d\ndata: token-%d\n\n", e, e);
 
-      ck_assert_uint_eq (count_of (a, ev), 1);
+      ck_assert_uint_eq (count_occurrences (a, ev), 1);
     }
   ck_assert (g_str_has_suffix (a, "0\r\n\r\n"));
 }
 END_TEST
 
-/* A stream that breaks off within an event goes on at another rank. */
-START_TEST (broken_streams_are_resumed)
+/* A stream that is cut off within an event is resumed at another rank. */
+START_TEST (interrupted_stream_is_resumed)
 {
   g_autofree char *a = NULL;
 
-  fault_ranks ("cut", 1);
-  a = ask ("POST /chat/a", "s2", "Comfreypost-Token-Count: 10,80\r\n", "");
-  /* The second rank breaks off too: the route allows two attempts. */
+  set_rank_fault ("cut", 1);
+  a = send_request ("POST /chat/a", "s2", "Comfreypost-Token-Count: 10,80\r\n",
+                    "");
+  /* The second rank cuts it off too, and the route allows two attempts. */
   ck_assert_int_eq (p_status (a), 200);
   ck_assert (!g_str_has_suffix (a, "0\r\n\r\n"));
-  ck_assert_uint_eq (count_of (a, "id: 4\n"), 1);
-  fault_ranks ("x", 0);
+  ck_assert_uint_eq (count_occurrences (a, "id: 4\n"), 1);
+  set_rank_fault ("x", 0);
   g_free (p_test (RANK_1, "POST /test/fault?kind=cut&x=100", ""));
   for (int i = 0; i < 8; i++)
     {
       g_autofree char *id = g_strdup_printf ("s3-%d", i);
-      g_autofree char *b
-          = ask ("POST /chat/a", id, "Comfreypost-Token-Count: 10,80\r\n", "");
+      g_autofree char *b = send_request (
+          "POST /chat/a", id, "Comfreypost-Token-Count: 10,80\r\n", "");
 
       ck_assert (g_str_has_suffix (b, "0\r\n\r\n"));
       for (int e = 1; e <= 20; e++)
@@ -317,15 +322,15 @@
           g_autofree char *ev
               = g_strdup_printf ("id: %d\ndata: token-%d\n\n", e, e);
 
-          ck_assert_uint_eq (count_of (b, ev), 1);
+          ck_assert_uint_eq (count_occurrences (b, ev), 1);
         }
     }
 }
 END_TEST
 
-/* The peak memory of a process, in kB. */
+/* The peak resident memory of a process, in kB. */
 static gint64
-peak_kb (pid_t pid)
+peak_rss_kb (pid_t pid)
 {
   g_autofree char *path = g_strdup_printf ("/proc/%d/status", (int)pid);
   g_autofree char *text = NULL;
@@ -337,9 +342,9 @@
   return g_ascii_strtoll (at + strlen ("VmHWM:"), NULL, 10);
 }
 
-/* Callers that do not read their streams hold up nobody else, and little
- * of what they do not read is held here. */
-START_TEST (slow_readers_cost_only_themselves)
+/* Callers that do not read their streams delay no other caller, and the gateway
+ * buffers little of what they do not read. */
+START_TEST (slow_readers_do_not_delay_others)
 {
   int fds[8];
   gint64 begun;
@@ -358,19 +363,20 @@
   for (int i = 0; i < 20; i++)
     {
       g_autofree char *id = g_strdup_printf ("quick%d", i);
-      g_autofree char *a = ask ("GET /quote/a", id, NULL, "");
+      g_autofree char *a = send_request ("GET /quote/a", id, NULL, "");
 
       ck_assert_int_eq (p_status (a), 200);
     }
   ck_assert_int_lt (g_get_monotonic_time () / 1000 - begun, 2000);
-  ck_assert_int_lt (peak_kb (gateway), 32768);
+  ck_assert_int_lt (peak_rss_kb (gateway), 32768);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
 }
 END_TEST
 
-/* A kept connection serves until the idle limit (3 s here), then ends. */
-START_TEST (kept_connections_live_to_the_idle_limit)
+/* An idle connection is usable until the idle timeout (3 s here), then it is
+ * closed. */
+START_TEST (idle_connection_closes_after_timeout)
 {
   g_autofree char *first = p_request ("POST /order/a", "i1", NULL, "x");
   g_autofree char *second = p_request ("POST /order/a", "i2", NULL, "x");
@@ -396,38 +402,38 @@
 }
 END_TEST
 
-START_TEST (work_of_callers_that_left_is_stopped)
+START_TEST (request_is_cancelled_when_caller_leaves)
 {
   g_autofree char *req = p_request ("POST /order/a", "g1", NULL, "x");
   int fd;
 
-  fault_desks ("hang", 1);
+  set_desk_fault ("hang", 1);
   fd = p_connect (front);
   p_send (fd, req);
   usleep (100000);
-  ck_assert_double_eq (at_desks ("runs"), 1);
+  ck_assert_double_eq (desk_counter ("runs"), 1);
   close (fd);
-  for (int i = 0; i < 50 && at_desks ("gone") == 0; i++)
+  for (int i = 0; i < 50 && desk_counter ("gone") == 0; i++)
     usleep (10000);
-  ck_assert_double_eq (at_desks ("gone"), 1);
+  ck_assert_double_eq (desk_counter ("gone"), 1);
 }
 END_TEST
 
-START_TEST (leaving_targets_get_no_new_work)
+START_TEST (draining_target_gets_no_new_requests)
 {
   g_free (p_test (DESK_1, "POST /test/drain", ""));
   usleep (300000);
   for (int i = 0; i < 10; i++)
     {
       g_autofree char *id = g_strdup_printf ("d%d", i);
-      g_autofree char *a = ask ("POST /order/a", id, NULL, "x");
+      g_autofree char *a = send_request ("POST /order/a", id, NULL, "x");
 
       ck_assert_ptr_nonnull (strstr (a, "Signature: desk-1\r\n"));
     }
   g_free (p_test (STORE, "POST /test/delete?key=servers/desk-1", ""));
   usleep (300000);
   {
-    g_autofree char *a = ask ("POST /order/a", "d-last", NULL, "x");
+    g_autofree char *a = send_request ("POST /order/a", "d-last", NULL, "x");
 
     ck_assert_int_eq (p_status (a), 503);
     ck_assert_ptr_nonnull (strstr (a, "Retry-After: "));
@@ -435,9 +441,10 @@
 }
 END_TEST
 
-/* The store was away and is back for longer than lapsed entries get to come
- * back: a target that leaves then gets no more work at once. */
-START_TEST (leaving_is_heard_after_the_stores_return)
+/* The store has recovered from an outage for longer than the time that expired
+ * entries have to come back.  A target that is removed then gets no more
+ * requests at once. */
+START_TEST (target_removal_is_seen_after_store_outage)
 {
   g_free (p_test (STORE, "POST /test/mode?mode=busy", ""));
   g_free (p_test (STORE, "POST /test/forget", ""));
@@ -449,7 +456,7 @@
   for (int i = 0; i < 10; i++)
     {
       g_autofree char *id = g_strdup_printf ("r%d", i);
-      g_autofree char *a = ask ("POST /order/a", id, NULL, "x");
+      g_autofree char *a = send_request ("POST /order/a", id, NULL, "x");
 
       ck_assert_ptr_nonnull (strstr (a, "Signature: desk-1\r\n"));
     }
@@ -463,9 +470,9 @@
   "\"services\":[{\"name\":\"desk\",\"max-conns\":9}],\"tenants\":["           \
   "{\"name\":\"museum\",\"api-keys\":[\"key-museum\"]}]}"
 
-/* Crashed targets are back under other ids while the list still names the
- * starts before: those take nothing any more. */
-START_TEST (restarted_targets_are_used_at_once)
+/* Crashed targets have restarted under other ids while the list still shows the
+ * old incarnations, which accept nothing any more. */
+START_TEST (restarted_targets_are_used_immediately)
 {
   g_free (p_test (DESK_1, "POST /test/restart", ""));
   g_free (p_test (DESK_2, "POST /test/restart", ""));
@@ -473,18 +480,16 @@
   for (int i = 0; i < 20; i++)
     {
       g_autofree char *id = g_strdup_printf ("n%d", i);
-      g_autofree char *a = ask ("POST /order/a", id, NULL, "x");
+      g_autofree char *a = send_request ("POST /order/a", id, NULL, "x");
 
       ck_assert_msg (p_status (a) == 200, "%d: %s", i, a);
     }
 }
 END_TEST
 
-/* A listed target's address has gone to another service: it is found out by
- * the first refusal.  With a pause of 50 ms for it, 7 of 30 were refused. */
-/* How often the request @id ran at the desks. */
+/* How often the request @id ran at the plain targets. */
 static double
-times_at_desks (const char *id)
+run_count (const char *id)
 {
   g_autofree char *call = g_strdup_printf ("GET /test/runs?id=%s", id);
   g_autofree char *a = p_test (DESK_1, call, "");
@@ -493,10 +498,11 @@
   return p_number (a, "times") + p_number (b, "times");
 }
 
-/* Both desks work on a request that they will never answer, on VMs that
- * lost power; they start again under their ids.  A call that may be repeated
- * is sent to the next start at once, and an order is answered at once as one
- * that may have run: 375 ms of silence is what it takes without. */
+/* Both plain targets work on a request that they will never answer, since their
+ * VMs lose power; they restart under the same ids.  A request that may be
+ * repeated is sent to the new incarnation at once.  One that may not is
+ * answered at once, as one that may have run.  Without the restart being
+ * noticed, either takes 375 ms of silence. */
 START_TEST (a_restart_under_the_same_id_ends_what_ran_there)
 {
   g_autofree char *quote = p_request ("GET /quote/a", "s1", "", "");
@@ -505,7 +511,7 @@
   g_autofree char *b = NULL;
   int fd[2];
 
-  fault_desks ("hang", 1);
+  set_desk_fault ("hang", 1);
   fd[0] = p_connect (front);
   p_send (fd[0], quote);
   fd[1] = p_connect (front);
@@ -517,15 +523,15 @@
   b = p_read (fd[1], 200);
   ck_assert_int_eq (p_status (a), 200);
   ck_assert_int_eq (p_status (b), 502);
-  ck_assert_double_eq (times_at_desks ("s1"), 2);
-  ck_assert_double_eq (times_at_desks ("s2"), 1);
+  ck_assert_double_eq (run_count ("s1"), 2);
+  ck_assert_double_eq (run_count ("s2"), 1);
   close (fd[0]);
   close (fd[1]);
 }
 END_TEST
 
-/* A write of the start before, done late, says that it drains. */
-START_TEST (a_former_start_cannot_drain_the_next)
+/* A delayed write of the old incarnation says that the target drains. */
+START_TEST (old_incarnation_cannot_drain_new_one)
 {
   char *late[2];
 
@@ -545,7 +551,7 @@
   usleep (50000);
   for (int i = 0; i < 4; i++)
     {
-      g_autofree char *a = ask ("GET /quote/a", "f1", "", "");
+      g_autofree char *a = send_request ("GET /quote/a", "f1", "", "");
 
       ck_assert_int_eq (p_status (a), 200);
     }
@@ -554,9 +560,10 @@
 }
 END_TEST
 
-/* Entries that another writer spoiled: the others hold, each is logged once
- * a revision, and what stood under the id before is used no more. */
-START_TEST (spoiled_entries_name_no_target)
+/* Invalid entries in the store do not affect the others.  Each is logged once
+ * per revision, and the target that the id named before is not used any more.
+ */
+START_TEST (invalid_entries_are_ignored)
 {
   const char *const puts[][2] = {
     { "POST /test/put?key=servers/x-1", "no json" },
@@ -575,12 +582,12 @@
   for (gsize i = 0; i < G_N_ELEMENTS (puts); i++)
     g_free (p_test (STORE, puts[i][0], puts[i][1]));
   ck_assert (p_log_says_times (log, "outcome=bad", 5, 1000));
-  /* The whole list is read again. */
+  /* Makes the gateway read the complete list again. */
   g_free (p_test (STORE, "POST /test/forget", ""));
   usleep (300000);
   for (int i = 0; i < 6; i++)
     {
-      g_autofree char *a = ask ("GET /quote/a", "p1", "", "");
+      g_autofree char *a = send_request ("GET /quote/a", "p1", "", "");
 
       ck_assert_int_eq (p_status (a), 200);
       ck_assert_ptr_nonnull (strstr (a, "Server-Signature: desk-0"));
@@ -589,7 +596,10 @@
 }
 END_TEST
 
-START_TEST (a_reused_address_is_left_alone)
+/* A listed target's address now belongs to another service, which the first
+ * refusal shows.  When a refusal only paused the target for 50 ms, 7 of 30
+ * requests were refused. */
+START_TEST (reused_address_is_avoided)
 {
   int refused = 0;
 
@@ -597,7 +607,7 @@
   for (int i = 0; i < 30; i++)
     {
       g_autofree char *id = g_strdup_printf ("m%d", i);
-      g_autofree char *a = ask ("POST /order/a", id, NULL, "x");
+      g_autofree char *a = send_request ("POST /order/a", id, NULL, "x");
 
       refused += p_status (a) != 200;
     }
@@ -605,7 +615,7 @@
 }
 END_TEST
 
-START_TEST (versions_come_into_force_and_never_go_back)
+START_TEST (config_version_never_goes_back)
 {
   const char put[] = "POST /test/put?key=op/config";
   g_autofree char *a = NULL;
@@ -615,28 +625,28 @@
 
   g_free (p_test (STORE, put, CONFIG ("9", "/nine/")));
   usleep (300000);
-  a = ask ("GET /nine/", "c1", NULL, "");
+  a = send_request ("GET /nine/", "c1", NULL, "");
   ck_assert_int_eq (p_status (a), 200);
-  b = ask ("GET /quote/", "c2", NULL, "");
+  b = send_request ("GET /quote/", "c2", NULL, "");
   ck_assert_int_eq (p_status (b), 404);
-  /* An older one and a broken one change nothing. */
+  /* An older version and an invalid one change nothing. */
   g_free (p_test (STORE, put, CONFIG ("8", "/eight/")));
   g_free (p_test (STORE, put, "{\"version\":10,\"routes\":[{}]}"));
   usleep (300000);
-  c = ask ("GET /nine/", "c3", NULL, "");
+  c = send_request ("GET /nine/", "c3", NULL, "");
   ck_assert_int_eq (p_status (c), 200);
-  /* History forgotten: the next one is found all the same. */
+  /* The store has dropped its history: the next version is still found. */
   g_free (p_test (STORE, "POST /test/forget", ""));
   g_free (p_test (STORE, put, CONFIG ("11", "/eleven/")));
   usleep (800000);
-  d = ask ("GET /eleven/", "c4", NULL, "");
+  d = send_request ("GET /eleven/", "c4", NULL, "");
   ck_assert_int_eq (p_status (d), 200);
 }
 END_TEST
 
-/* A store that answers late, or refuses every second call, still brings
- * each version within two seconds. */
-START_TEST (slow_and_choosy_stores_are_followed)
+/* From a store that answers late, or refuses every second call, each version
+ * still arrives within two seconds. */
+START_TEST (config_arrives_from_slow_or_failing_store)
 {
   const char put[] = "POST /test/put?key=op/config";
   g_autofree char *a = NULL;
@@ -645,18 +655,18 @@
   g_free (p_test (STORE, "POST /test/mode?mode=slow", ""));
   g_free (p_test (STORE, put, CONFIG ("3", "/three/")));
   usleep (1200000);
-  a = ask ("GET /three/", "w1", NULL, "");
+  a = send_request ("GET /three/", "w1", NULL, "");
   ck_assert_int_eq (p_status (a), 200);
   g_free (p_test (STORE, "POST /test/mode?mode=some", ""));
   g_free (p_test (STORE, put, CONFIG ("4", "/four/")));
   usleep (1900000);
-  b = ask ("GET /four/", "w2", NULL, "");
+  b = send_request ("GET /four/", "w2", NULL, "");
   ck_assert_int_eq (p_status (b), 200);
 }
 END_TEST
 
-/* A store that shows only the past takes nothing back. */
-START_TEST (stale_stores_take_nothing_back)
+/* A store that serves only old revisions does not revert the configuration. */
+START_TEST (stale_store_does_not_revert_config)
 {
   const char put[] = "POST /test/put?key=op/config";
   g_autofree char *a = NULL;
@@ -667,15 +677,16 @@
   g_free (p_test (STORE, "POST /test/mode?mode=stale", ""));
   g_free (p_test (STORE, put, CONFIG ("6", "/six/")));
   usleep (500000);
-  a = ask ("GET /five/", "v1", NULL, "");
+  a = send_request ("GET /five/", "v1", NULL, "");
   ck_assert_int_eq (p_status (a), 200);
-  b = ask ("GET /six/", "v2", NULL, "");
+  b = send_request ("GET /six/", "v2", NULL, "");
   ck_assert_int_eq (p_status (b), 404);
 }
 END_TEST
 
-/* Wrong settings end the program with a message that names the remedy. */
-START_TEST (wrong_settings_are_named)
+/* Invalid settings end the program with a message that names the setting and a
+ * remedy. */
+START_TEST (invalid_settings_are_reported)
 {
   g_autofree char *out = NULL;
   g_autofree char *err = NULL;
@@ -692,17 +703,17 @@
 }
 END_TEST
 
-START_TEST (a_large_body_passes_whole)
+START_TEST (large_body_is_forwarded)
 {
   g_autofree char *body = g_strnfill (60000, 'b');
-  g_autofree char *a = ask ("POST /order/a", "big", NULL, body);
+  g_autofree char *a = send_request ("POST /order/a", "big", NULL, body);
 
   ck_assert_int_eq (p_status (a), 200);
   ck_assert_ptr_nonnull (strstr (a, body));
 }
 END_TEST
 
-START_TEST (a_gateway_without_the_store_learns_from_a_peer)
+START_TEST (gateway_without_store_learns_from_peer)
 {
   g_autofree char *req = p_request ("POST /order/a", "p1", NULL, "x");
   g_autofree char *a = NULL;
@@ -714,9 +725,9 @@
 }
 END_TEST
 
-/* All processes had been killed: what came while they read the configuration
- * again was refused, most of it for the last time. */
-START_TEST (a_request_waits_for_the_configuration_at_a_start)
+/* After a kill of all gateways, requests that arrived while the new processes
+ * read the configuration were refused, most of them on their last attempt. */
+START_TEST (request_waits_for_config_at_startup)
 {
   g_autofree char *req = p_request ("POST /order/a", "u1", NULL, "x");
   g_autofree char *a = NULL;
@@ -735,7 +746,7 @@
 }
 END_TEST
 
-START_TEST (a_gateway_that_knows_nothing_is_not_ready)
+START_TEST (gateway_without_config_is_not_ready)
 {
   g_autofree char *req = p_request ("POST /order/a", "n1", NULL, "x");
   g_autofree char *a = NULL;
@@ -754,10 +765,11 @@
 }
 END_TEST
 
-/* A planned stop cuts off nothing: what runs is ended; what comes late is
- * answered if it ends in time, else refused, not run, and told to come back
- * when this process is there again, since no other takes it. */
-START_TEST (a_planned_stop_ends_what_runs)
+/* A planned stop cuts off nothing.  Running requests are completed.  A late
+ * request is answered if it completes in time; else it is refused as not run,
+ * with a Retry-After at which this process has restarted, since no other
+ * accepts it. */
+START_TEST (planned_stop_completes_running_requests)
 {
   g_autofree char *stream = p_request (
       "POST /chat/a", "t1", "Comfreypost-Token-Count: 10,1800\r\n", "");
@@ -790,14 +802,14 @@
   ck_assert_ptr_nonnull (strstr (too_late, "Retry-After: 1."));
   whole = p_read (fd, 5000);
   ck_assert (g_str_has_suffix (whole, "0\r\n\r\n"));
-  ck_assert_uint_eq (count_of (whole, "id: 450\n"), 1);
+  ck_assert_uint_eq (count_occurrences (whole, "id: 450\n"), 1);
   ck_assert_int_eq (p_stop (gateway), 0);
   close (fd);
   close (kept);
 }
 END_TEST
 
-START_TEST (a_reload_cuts_off_nothing)
+START_TEST (reload_interrupts_no_stream)
 {
   g_autofree char *stream = p_request (
       "POST /chat/a", "u1", "Comfreypost-Token-Count: 10,200\r\n", "");
@@ -815,7 +827,7 @@
 
 START_TEST (metrics_are_served)
 {
-  g_autofree char *a = ask ("POST /order/a", "m1", NULL, "x");
+  g_autofree char *a = send_request ("POST /order/a", "m1", NULL, "x");
   g_autofree char *m = p_ask (front + 3, "GET /metrics HTTP/1.1\r\n\r\n");
 
   ck_assert_int_eq (p_status (a), 200);
@@ -827,14 +839,14 @@
 }
 END_TEST
 
-/** Targets that register one by one, and the pause between two. */
-#define REGISTERED 40
-#define REGISTER_EVERY_MS 25
-/** Calls that a gateway may need for them: for each half second one, and
+/** Targets that register one by one, and the time between two. */
+#define N_REGISTRATIONS 40
+#define REGISTRATION_INTERVAL_MS 25
+/** Store calls that a gateway may need for them: one for each half second, and
  * some at either end. */
-#define REGISTER_CALLS 8
+#define MAX_STORE_CALLS 8
 
-/* A counter or gauge on the metrics page of gateway @n. */
+/* The value of a counter or gauge that gateway @n exports. */
 static double
 metric (int n, const char *name)
 {
@@ -848,16 +860,17 @@
 }
 
 /*
- * At a start of 35 gateways and 197 targets the store was called 7,300 times,
- * nine tenths of them while targets registered one by one: each entry woke
- * the watch of each gateway, which asked again at once.  News that come close
- * together are asked for together.
+ * Guards against a flood of store calls while targets register one by one. When
+ * each new entry completed the watch of each gateway, which watched again at
+ * once, the start of 35 gateways and 197 targets took 7,300 store calls, nine
+ * tenths of them for that reason.  Changes that are close together are fetched
+ * together.
  */
-START_TEST (targets_that_register_one_by_one_cost_few_calls)
+START_TEST (registrations_are_batched_into_few_store_calls)
 {
   double before = metric (1, "store_calls_total");
 
-  for (int i = 0; i < REGISTERED; i++)
+  for (int i = 0; i < N_REGISTRATIONS; i++)
     {
       g_autofree char *call
           = g_strdup_printf ("POST /test/put?key=servers/new-%d", i);
@@ -867,30 +880,32 @@
           i);
 
       g_free (p_test (BASE, call, entry));
-      usleep (REGISTER_EVERY_MS * 1000);
+      usleep (REGISTRATION_INTERVAL_MS * 1000);
     }
   ck_assert_double_lt (metric (1, "store_calls_total") - before,
-                       REGISTER_CALLS);
+                       MAX_STORE_CALLS);
 }
 END_TEST
 
-/** Of 220 descriptors 200 are for files, and half of the rest for callers. */
-#define FEW_FDS 220
-#define FEW_CALLERS 10
+/** Of 220 descriptors, 200 are reserved for files, and half of the rest are for
+ * callers. */
+#define MAX_FDS 220
+#define MAX_CALLERS 10
 
-/* Callers that hold connections do not take those that targets need: one that
- * is idle makes room for the next, one that waits for its answer does not. */
-START_TEST (callers_leave_descriptors_for_targets)
+/* Callers' connections do not use up the descriptors that targets need.  An
+ * idle caller is disconnected for the next one; one that waits for its answer
+ * is not. */
+START_TEST (callers_do_not_use_up_file_descriptors)
 {
   g_autofree char *quick = p_request ("POST /order/a", "f", NULL, "x");
   g_autofree char *stream = p_request (
       "POST /chat/a", "f", "Comfreypost-Token-Count: 10,100\r\n", "");
-  int idle[2 * FEW_CALLERS];
-  int fds[FEW_CALLERS];
+  int idle[2 * MAX_CALLERS];
+  int fds[MAX_CALLERS];
 
-  p_detours.max_fds = FEW_FDS;
+  p_detours.max_fds = MAX_FDS;
   p_ready_gateway (BASE, 2);
-  for (int i = 0; i < 2 * FEW_CALLERS; i++)
+  for (int i = 0; i < 2 * MAX_CALLERS; i++)
     {
       g_autofree char *a = NULL;
 
@@ -899,21 +914,21 @@
       a = p_read (idle[i], 3000);
       ck_assert_msg (p_status (a) == 200, "%d: %s", i, a);
     }
-  ck_assert_double_eq (metric (2, "callers"), FEW_CALLERS);
-  for (int i = 0; i < FEW_CALLERS; i++)
+  ck_assert_double_eq (metric (2, "callers"), MAX_CALLERS);
+  for (int i = 0; i < MAX_CALLERS; i++)
     {
       fds[i] = p_connect (p_front (BASE, 2));
       p_send (fds[i], stream);
     }
   usleep (100000);
-  ck_assert_double_eq (metric (2, "callers"), FEW_CALLERS);
+  ck_assert_double_eq (metric (2, "callers"), MAX_CALLERS);
   {
     g_autofree char *a = p_ask (p_front (BASE, 2), quick);
 
     ck_assert_str_eq (a, "");
     ck_assert_double_eq (metric (2, "callers_turned_away_total"), 1);
   }
-  for (int i = 0; i < FEW_CALLERS; i++)
+  for (int i = 0; i < MAX_CALLERS; i++)
     {
       g_autofree char *a = p_read (fds[i], 8000);
 
@@ -924,10 +939,10 @@
 
     ck_assert_int_eq (p_status (a), 200);
   }
-  for (int i = 0; i < FEW_CALLERS; i++)
+  for (int i = 0; i < MAX_CALLERS; i++)
     {
       close (idle[i]);
-      close (idle[FEW_CALLERS + i]);
+      close (idle[MAX_CALLERS + i]);
       close (fds[i]);
     }
 }
@@ -941,43 +956,43 @@
 
   tcase_set_timeout (t, 30);
   tcase_add_checked_fixture (t, setup, p_stop_all);
-  tcase_add_test (t, a_request_passes_unchanged);
-  tcase_add_test (t, a_public_route_needs_no_key);
-  tcase_add_test (t, improper_requests_are_answered);
-  tcase_add_test (t, large_heads_are_refused);
-  tcase_add_test (t, requests_follow_on_one_connection);
-  tcase_add_test (t, extra_answers_reach_nobody);
-  tcase_add_test (t, idempotent_requests_are_tried_again);
-  tcase_add_test (t, answers_without_length_are_whole);
-  tcase_add_test (t, orders_run_at_most_once);
-  tcase_add_test (t, a_refused_order_may_come_back);
-  tcase_add_test (t, a_targets_failure_passes_as_it_is);
-  tcase_add_test (t, hanging_targets);
-  tcase_add_test (t, streams_are_passed_whole);
-  tcase_add_test (t, broken_streams_are_resumed);
-  tcase_add_test (t, slow_readers_cost_only_themselves);
-  tcase_add_test (t, kept_connections_live_to_the_idle_limit);
-  tcase_add_test (t, work_of_callers_that_left_is_stopped);
-  tcase_add_test (t, leaving_targets_get_no_new_work);
-  tcase_add_test (t, leaving_is_heard_after_the_stores_return);
-  tcase_add_test (t, restarted_targets_are_used_at_once);
+  tcase_add_test (t, request_is_forwarded_unchanged);
+  tcase_add_test (t, public_route_needs_no_api_key);
+  tcase_add_test (t, invalid_requests_get_error_status);
+  tcase_add_test (t, oversized_headers_are_refused);
+  tcase_add_test (t, connection_serves_many_requests);
+  tcase_add_test (t, unsolicited_answers_are_dropped);
+  tcase_add_test (t, idempotent_requests_are_retried);
+  tcase_add_test (t, answer_without_length_is_complete);
+  tcase_add_test (t, non_idempotent_requests_run_at_most_once);
+  tcase_add_test (t, refused_request_gets_retry_after);
+  tcase_add_test (t, target_failure_is_forwarded_unchanged);
+  tcase_add_test (t, hanging_target_times_out);
+  tcase_add_test (t, stream_is_forwarded_completely);
+  tcase_add_test (t, interrupted_stream_is_resumed);
+  tcase_add_test (t, slow_readers_do_not_delay_others);
+  tcase_add_test (t, idle_connection_closes_after_timeout);
+  tcase_add_test (t, request_is_cancelled_when_caller_leaves);
+  tcase_add_test (t, draining_target_gets_no_new_requests);
+  tcase_add_test (t, target_removal_is_seen_after_store_outage);
+  tcase_add_test (t, restarted_targets_are_used_immediately);
   tcase_add_test (t, a_restart_under_the_same_id_ends_what_ran_there);
-  tcase_add_test (t, a_former_start_cannot_drain_the_next);
-  tcase_add_test (t, spoiled_entries_name_no_target);
-  tcase_add_test (t, a_reused_address_is_left_alone);
-  tcase_add_test (t, versions_come_into_force_and_never_go_back);
-  tcase_add_test (t, slow_and_choosy_stores_are_followed);
-  tcase_add_test (t, stale_stores_take_nothing_back);
-  tcase_add_test (t, wrong_settings_are_named);
-  tcase_add_test (t, a_large_body_passes_whole);
-  tcase_add_test (t, a_gateway_without_the_store_learns_from_a_peer);
-  tcase_add_test (t, a_request_waits_for_the_configuration_at_a_start);
-  tcase_add_test (t, a_gateway_that_knows_nothing_is_not_ready);
-  tcase_add_test (t, a_planned_stop_ends_what_runs);
-  tcase_add_test (t, a_reload_cuts_off_nothing);
+  tcase_add_test (t, old_incarnation_cannot_drain_new_one);
+  tcase_add_test (t, invalid_entries_are_ignored);
+  tcase_add_test (t, reused_address_is_avoided);
+  tcase_add_test (t, config_version_never_goes_back);
+  tcase_add_test (t, config_arrives_from_slow_or_failing_store);
+  tcase_add_test (t, stale_store_does_not_revert_config);
+  tcase_add_test (t, invalid_settings_are_reported);
+  tcase_add_test (t, large_body_is_forwarded);
+  tcase_add_test (t, gateway_without_store_learns_from_peer);
+  tcase_add_test (t, request_waits_for_config_at_startup);
+  tcase_add_test (t, gateway_without_config_is_not_ready);
+  tcase_add_test (t, planned_stop_completes_running_requests);
+  tcase_add_test (t, reload_interrupts_no_stream);
   tcase_add_test (t, metrics_are_served);
-  tcase_add_test (t, targets_that_register_one_by_one_cost_few_calls);
-  tcase_add_test (t, callers_leave_descriptors_for_targets);
+  tcase_add_test (t, registrations_are_batched_into_few_store_calls);
+  tcase_add_test (t, callers_do_not_use_up_file_descriptors);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-network.c
+++ b/t/t-network.c
@@ -1,7 +1,7 @@
 /*
- * What a network, a clock and many ends at once do to the gateway's
- * processes: connections that fall silent, cuts of one way, jumps of the
- * time of day, entries that lapse, all gateways killed.
+ * Effects of the network, the clock and mass failures on the gateway's
+ * processes: silent connections, partitions in one direction, jumps of the wall
+ * clock, expired store entries, a kill of all gateways.
  */
 #include "harness.h"
 #include "platform-harness.h"
@@ -11,20 +11,20 @@
 #include <unistd.h>
 
 #define BASE 23000
-/** A pass at even load: about half of the 120 ms that callers accept between
- * two events, so that an uneven map is worth mending. */
+/** Time of a pass at balanced load: about half of the 120 ms that callers
+ * accept between two events, so that an unbalanced map is worth changing. */
 #define STEP_MS "60"
-/** When a start began, in Unix ms: later than all of a test's stand-ins. */
-#define LATER_START "4000000000000"
-/** Tokens of an event. */
-#define STRIDE 4
-/** What one of three gateways may have at once: 12 slots a rank, shared out
- * with a quarter more. */
-#define SHARE (5 * N_RANKS)
-/** Callers of streams leave 2 s after they came; some ms less. */
-#define CALLER_STAYS_MS 1980
-/** Less than a stream may wait for room, 1.2 s. */
-#define WAITS_MS 1140
+/** Start time of an incarnation, in Unix ms, later than that of any fake target
+ * of a test. */
+#define LATER_INCARNATION "4000000000000"
+#define TOKENS_PER_EVENT 4
+/** Requests that one of three gateways may have in flight: a third of the 12
+ * slots of each rank, and a quarter more. */
+#define GATEWAY_SLOTS (5 * N_RANKS)
+/** Callers of streams leave 2 s after their request; some ms less. */
+#define CALLER_WAIT_MS 1980
+/** Less than a stream may be queued, 1.2 s. */
+#define QUEUE_WAIT_MS 1140
 #define STORE BASE
 #define DESK_1 (BASE + 1)
 #define DESK_PROXY (BASE + 52)
@@ -53,9 +53,9 @@
   platform = p_platform (BASE, "--ranks", "4", NULL);
 }
 
-/* Passes of 70 ms at the map that a group forms with, 110 ms in a crowd. */
+/* Passes take 70 ms with the map that a group forms with, 110 ms under load. */
 static void
-setup_crowded (void)
+setup_busy (void)
 {
   platform = p_platform (BASE, "--ranks", "4", "--step-ms", "45",
                          "--per-seq-ms", "5", NULL);
@@ -70,9 +70,9 @@
   return p_status (a);
 }
 
-/* Whether gateway @n answers a path with 200 within @ms. */
+/* Whether gateway @n answers a request with 200 within @ms. */
 static gboolean
-comes_into_force (int n, const char *method_and_path, int ms)
+answers_ok_within (int n, const char *method_and_path, int ms)
 {
   for (int i = 0; i <= ms; i += 50)
     {
@@ -84,29 +84,30 @@
 }
 
 static void
-put (const char *key, const char *value)
+put_entry (const char *key, const char *value)
 {
   g_autofree char *call = g_strdup_printf ("POST /test/put?key=%s", key);
 
   g_free (p_test (STORE, call, value));
 }
 
-/* A watch whose connection fell silent is made anew when its answer is
- * overdue; it learns what it missed. */
-START_TEST (a_silent_watch_is_made_anew)
+/* A watch whose connection has fallen silent is reconnected when its answer is
+ * overdue, and receives what it missed. */
+START_TEST (silent_watch_is_reconnected)
 {
   pid_t proxy = p_proxy (STORE_PROXY, STORE);
 
   p_detours.store = STORE_PROXY;
   p_ready_gateway (BASE, 1);
   p_signal (proxy, SIGUSR1);
-  put ("op/config", CONFIG ("5", "/five/"));
-  ck_assert (comes_into_force (1, "GET /five/", 8000));
+  put_entry ("op/config", CONFIG ("5", "/five/"));
+  ck_assert (answers_ok_within (1, "GET /five/", 8000));
 }
 END_TEST
 
-/* Calls reach the store, answers do not come back: peers teach the rest. */
-START_TEST (answers_that_do_not_come_back)
+/* A gateway's calls reach the store but the answers are lost: it gets the
+ * configuration from a peer. */
+START_TEST (config_spreads_when_store_answers_are_lost)
 {
   pid_t proxy = p_proxy (STORE_PROXY, STORE);
 
@@ -116,23 +117,23 @@
   p_ready_gateway (BASE, 2);
   p_signal (proxy, SIGUSR2);
   usleep (200000);
-  put ("op/config", CONFIG ("5", "/five/"));
-  ck_assert (comes_into_force (2, "GET /five/", 1500));
-  ck_assert (comes_into_force (1, "GET /five/", 3000));
+  put_entry ("op/config", CONFIG ("5", "/five/"));
+  ck_assert (answers_ok_within (2, "GET /five/", 1500));
+  ck_assert (answers_ok_within (1, "GET /five/", 3000));
 }
 END_TEST
 
 static double
-mixed_passes (void)
+passes_with_mixed_maps (void)
 {
   g_autofree char *a = p_test (RANK_1, "GET /test/runs", "");
 
   return p_number (a, "mixed");
 }
 
-/* Links between agents and the leader fall silent: they are made anew, and
- * maps go on being changed. */
-START_TEST (silent_links_of_agents_are_made_anew)
+/* Links between rank agents and the leader fall silent.  They are reconnected,
+ * and expert maps continue to be changed. */
+START_TEST (silent_agent_links_are_reconnected)
 {
   pid_t proxy = p_proxy (SEED_PROXY, SEED_1);
   int fds[8];
@@ -152,15 +153,15 @@
   usleep (300000);
   before = p_log_count (LOG_1, "why=changed");
   ck_assert (p_log_says_times (LOG_1, "why=changed", before + 1, 9000));
-  ck_assert_double_eq (mixed_passes (), 0);
+  ck_assert_double_eq (passes_with_mixed_maps (), 0);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
 }
 END_TEST
 
-/* The first to lead is killed in the middle of a change and is back at
- * once: one of the two leads, and no pass has two maps. */
-START_TEST (a_leader_that_returns_in_mid_change)
+/* The leader is killed in the middle of a map change and restarts at once.  One
+ * of the two gateways leads then, and no pass runs with two maps. */
+START_TEST (leader_restart_during_map_change)
 {
   int fds[8];
   pid_t first;
@@ -182,14 +183,14 @@
   ck_assert_uint_eq (p_log_count (LOG_1, "nothing-pending")
                          + p_log_count (LOG_2, "nothing-pending"),
                      1);
-  ck_assert_double_eq (mixed_passes (), 0);
+  ck_assert_double_eq (passes_with_mixed_maps (), 0);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
 }
 END_TEST
 
-/* Durations and deadlines do not follow the time of day. */
-START_TEST (the_time_of_day_does_not_matter)
+/* Durations and deadlines do not depend on the wall clock. */
+START_TEST (wall_clock_jumps_have_no_effect)
 {
   gint64 until;
   int n = 0;
@@ -215,14 +216,15 @@
 }
 END_TEST
 
-/* Entries lapse while the store is away and are back a second after it: the
- * targets serve all the while.  One that does not come back is gone. */
-START_TEST (entries_that_lapse_come_back)
+/* Entries expire during an outage of the store and come back a second after it.
+ * Their targets get requests all the time.  A target whose entry does not come
+ * back is removed. */
+START_TEST (expired_target_entries_come_back)
 {
   const char back[] = "{\"service\":\"desk\",\"addr\":\"127.0.0.1:23001\","
                       "\"zone\":\"dc1\",\"version\":\"v1\",\"slots\":6,"
                       "\"state\":\"ready\",\"cold-left-ms\":0,\"seq\":9,"
-                      "\"born\":" LATER_START "}";
+                      "\"born\":" LATER_INCARNATION "}";
 
   p_ready_gateway (BASE, 1);
   g_free (p_test (STORE, "POST /test/mode?mode=busy", ""));
@@ -234,7 +236,7 @@
   for (int i = 0; i < 40; i++)
     {
       if (i == 10)
-        put ("servers/desk-0", back);
+        put_entry ("servers/desk-0", back);
       ck_assert_int_eq (ask_status (1, "POST /order/a", "l"), 200);
       usleep (50000);
     }
@@ -243,10 +245,10 @@
 }
 END_TEST
 
-/* A removal that the store tells after its return is none that it missed: the
- * target gets work no longer than a drain may take, here much shorter than
- * lapsed entries get to come back. */
-START_TEST (a_removal_after_the_return_keeps_to_the_drain)
+/* A removal that the store reports after an outage is not an entry that expired
+ * during it.  The target gets requests for no longer than a drain may take,
+ * here much shorter than the time that expired entries have to come back. */
+START_TEST (removal_after_store_outage_is_not_delayed)
 {
   p_detours.drain_ms = 700;
   p_ready_gateway (BASE, 1);
@@ -269,8 +271,8 @@
 }
 END_TEST
 
-/* Nothing of the processes lasts, and nothing is missing for it. */
-START_TEST (all_gateways_are_killed_at_once)
+/* No state of a gateway survives a kill, and a restarted one needs none. */
+START_TEST (config_survives_kill_of_all_gateways)
 {
   pid_t pids[3];
 
@@ -278,9 +280,9 @@
     pids[n - 1] = p_gateway (BASE, n);
   for (int n = 1; n <= 3; n++)
     p_await_ready (BASE, n);
-  put ("op/config", CONFIG ("5", "/five/"));
+  put_entry ("op/config", CONFIG ("5", "/five/"));
   for (int n = 1; n <= 3; n++)
-    ck_assert (comes_into_force (n, "GET /five/", 2000));
+    ck_assert (answers_ok_within (n, "GET /five/", 2000));
   for (int i = 0; i < 3; i++)
     p_signal (pids[i], SIGKILL);
   for (int n = 1; n <= 3; n++)
@@ -294,20 +296,20 @@
 }
 END_TEST
 
-/* Kept connections to a target fall silent: what may be repeated is answered
- * by another target in time, what may not runs once at most, and new
- * connections to the target are used again. */
-START_TEST (silent_connections_to_a_target)
+/* Reused connections to a target fall silent.  A request that may be repeated
+ * is answered by another target in time, one that may not runs at most once,
+ * and new connections to the target are used again. */
+START_TEST (silent_target_connections)
 {
   const char behind[] = "{\"service\":\"desk\",\"addr\":\"127.0.0.1:23052\","
                         "\"zone\":\"dc1\",\"version\":\"v1\",\"slots\":6,"
                         "\"state\":\"ready\",\"cold-left-ms\":0,\"seq\":9,"
-                        "\"born\":" LATER_START "}";
+                        "\"born\":" LATER_INCARNATION "}";
   pid_t proxy = p_proxy (DESK_PROXY, DESK_1);
   int lost = 0;
 
   p_ready_gateway (BASE, 1);
-  put ("servers/desk-0", behind);
+  put_entry ("servers/desk-0", behind);
   ck_assert (p_log_says (LOG_1, "addr=127.0.0.1:23052", 2000));
   for (int i = 0; i < 6; i++)
     {
@@ -324,19 +326,20 @@
       ck_assert_int_eq (ask_status (1, "GET /quote/a", id), 200);
       lost += ask_status (1, "POST /order/a", once) != 200;
     }
-  /* Each kept connection costs one order at most. */
+  /* Each reused connection loses at most one request that may not be repeated.
+   */
   ck_assert_int_le (lost, 6);
   ck_assert_double_eq (p_runs (DESK_1, 2, "doubled"), 0);
   ck_assert_int_eq (ask_status (1, "POST /order/a", "last"), 200);
 }
 END_TEST
 
-/* A stream of @events events at gateway 1; its socket. */
+/* Begins a stream of @events events at gateway 1.  Returns its socket. */
 static int
 begin_stream (const char *id, int events)
 {
-  g_autofree char *size
-      = g_strdup_printf ("Comfreypost-Token-Count: 10,%d\r\n", events * STRIDE);
+  g_autofree char *size = g_strdup_printf ("Comfreypost-Token-Count: 10,%d\r\n",
+                                           events * TOKENS_PER_EVENT);
   g_autofree char *req = p_request ("POST /chat/a", id, size, "");
   int fd = p_connect (p_front (BASE, 1));
 
@@ -345,23 +348,24 @@
 }
 
 static double
-runs_of_ranks (void)
+rank_run_count (void)
 {
   return p_runs (RANK_1, N_RANKS, "runs");
 }
 
-/* Waits up to @ms until ranks have @n runs. */
+/* Waits up to @ms until the ranks have run @n requests.  Whether it is exactly
+ * @n. */
 static gboolean
-ranks_run (double n, int ms)
+wait_for_rank_runs (double n, int ms)
 {
-  for (int i = 0; i <= ms && runs_of_ranks () < n; i += 20)
+  for (int i = 0; i <= ms && rank_run_count () < n; i += 20)
     usleep (20000);
-  return runs_of_ranks () == n;
+  return rank_run_count () == n;
 }
 
-/* VMs stand still, and wake after the caller has left: what they find of it
- * is not begun. */
-START_TEST (a_woken_target_begins_nothing_for_who_left)
+/* VMs are paused and resume after the caller has left.  The targets do not run
+ * the request that they read then. */
+START_TEST (paused_target_skips_cancelled_requests)
 {
   g_autofree char *req = p_request ("GET /quote/a", "w1", NULL, "");
   int fd;
@@ -379,9 +383,9 @@
 }
 END_TEST
 
-/* A target that is slow to begin was left for another one, though the budget
- * allowed no second attempt: the caller got 502 while its work went on. */
-START_TEST (a_stream_without_a_retry_stays_at_its_target)
+/* Guards against giving up a target that is slow to begin when the retry budget
+ * allows no other attempt: the caller got a 502 while its work continued. */
+START_TEST (stream_without_retry_budget_is_not_moved)
 {
   g_autofree char *answer = NULL;
   int fds[3];
@@ -389,43 +393,44 @@
   p_detours.one_retry = TRUE;
   p_ready_gateway (BASE, 1);
   fds[0] = begin_stream ("s1", 4000);
-  ck_assert (ranks_run (1, 2000));
+  ck_assert (wait_for_rank_runs (1, 2000));
   p_fault (RANK_1, N_RANKS, "tardy", 2);
   fds[1] = begin_stream ("s2", 10);
-  ck_assert (ranks_run (3, 2000));
+  ck_assert (wait_for_rank_runs (3, 2000));
   fds[2] = begin_stream ("s3", 10);
-  answer = p_read (fds[2], 2 * CALLER_STAYS_MS);
+  answer = p_read (fds[2], 2 * CALLER_WAIT_MS);
   ck_assert_int_eq (p_status (answer), 200);
-  ck_assert_double_eq (runs_of_ranks (), 4);
+  ck_assert_double_eq (rank_run_count (), 4);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
 }
 END_TEST
 
-/* Both tries of a stream met ranks that stand still, while others go on: its
- * caller is told before it leaves, 2 s after it came. */
-START_TEST (callers_at_ranks_that_stand_still_are_told)
+/* Both attempts of a stream reach ranks that have stalled while others work.
+ * Its caller gets an error before it leaves, 2 s after its request. */
+START_TEST (caller_at_stalled_ranks_gets_error_in_time)
 {
   g_autofree char *answer = NULL;
-  int lively;
+  int working;
   int stream;
 
   p_ready_gateway (BASE, 1);
-  lively = begin_stream ("s1", 4000);
-  ck_assert (ranks_run (1, 2000));
+  working = begin_stream ("s1", 4000);
+  ck_assert (wait_for_rank_runs (1, 2000));
   p_fault (RANK_1, N_RANKS, "hang", 1);
   stream = begin_stream ("s2", 10);
-  answer = p_read (stream, CALLER_STAYS_MS);
+  answer = p_read (stream, CALLER_WAIT_MS);
   ck_assert_int_eq (p_status (answer), 502);
-  ck_assert_double_eq (runs_of_ranks (), 3);
-  close (lively);
+  ck_assert_double_eq (rank_run_count (), 3);
+  close (working);
   close (stream);
 }
 END_TEST
 
-/* The gateway learns from it that first events take long. */
+/* Delays the first event of a stream, from which the gateway learns that first
+ * events take long. */
 static void
-show_first_event_late (void)
+delay_first_event (void)
 {
   p_signal (platform, SIGSTOP);
   usleep (450000);
@@ -433,44 +438,44 @@
   usleep (200000);
 }
 
-/* A stream that had to wait for room meets a rank that stands still: another
- * one could not show a first event before the caller leaves, so only one is
- * left with work for nobody. */
-START_TEST (none_is_sent_once_more_when_its_caller_leaves_first)
+/* A stream that was queued reaches a rank that has stalled.  Another rank could
+ * not send a first event before the caller leaves, so the stream is not
+ * retried, and only one rank is left with work for nobody. */
+START_TEST (no_retry_if_caller_leaves_first)
 {
   g_autofree char *answer = NULL;
-  int busy[SHARE];
+  int busy[GATEWAY_SLOTS];
   int stream;
 
   p_ready_gateway (BASE, 1);
   p_ready_gateway (BASE, 2);
   usleep (1500000);
-  for (int i = 0; i < SHARE; i++)
+  for (int i = 0; i < GATEWAY_SLOTS; i++)
     {
       g_autofree char *id = g_strdup_printf ("b%d", i);
 
       busy[i] = begin_stream (id, 4000);
       if (i == 0)
-        show_first_event_late ();
-      /* The second is at another rank than the first. */
+        delay_first_event ();
+      /* Makes the second stream go to another rank than the first. */
       if (i == 1)
-        ck_assert (ranks_run (2, 3000));
+        ck_assert (wait_for_rank_runs (2, 3000));
     }
-  ck_assert (ranks_run (SHARE, 3000));
+  ck_assert (wait_for_rank_runs (GATEWAY_SLOTS, 3000));
   usleep (300000);
   stream = begin_stream ("s3", 10);
-  usleep (WAITS_MS * 1000);
-  ck_assert_double_eq (runs_of_ranks (), SHARE);
+  usleep (QUEUE_WAIT_MS * 1000);
+  ck_assert_double_eq (rank_run_count (), GATEWAY_SLOTS);
   p_fault (RANK_1, N_RANKS, "hang", 1);
-  /* It gets the rank of the first, which shows no work then; the rank of the
-   * second does. */
+  /* The queued stream gets the rank of the first, which sends nothing then; the
+   * rank of the second does. */
   close (busy[0]);
   usleep (20000);
-  for (int i = 2; i < SHARE; i++)
+  for (int i = 2; i < GATEWAY_SLOTS; i++)
     close (busy[i]);
-  answer = p_read (stream, CALLER_STAYS_MS - WAITS_MS - 20);
+  answer = p_read (stream, CALLER_WAIT_MS - QUEUE_WAIT_MS - 20);
   ck_assert_int_eq (p_status (answer), 502);
-  ck_assert_double_eq (runs_of_ranks (), SHARE + 1);
+  ck_assert_double_eq (rank_run_count (), GATEWAY_SLOTS + 1);
   close (busy[1]);
   close (stream);
 }
@@ -481,26 +486,26 @@
 {
   Suite *s = suite_create ("network");
   TCase *t = tcase_create ("network");
-  TCase *crowded = tcase_create ("crowded");
+  TCase *busy_case = tcase_create ("crowded");
 
   tcase_set_timeout (t, 40);
   tcase_add_checked_fixture (t, setup, p_stop_all);
-  tcase_add_test (t, a_silent_watch_is_made_anew);
-  tcase_add_test (t, answers_that_do_not_come_back);
-  tcase_add_test (t, silent_links_of_agents_are_made_anew);
-  tcase_add_test (t, a_leader_that_returns_in_mid_change);
-  tcase_add_test (t, the_time_of_day_does_not_matter);
-  tcase_add_test (t, entries_that_lapse_come_back);
-  tcase_add_test (t, a_removal_after_the_return_keeps_to_the_drain);
-  tcase_add_test (t, all_gateways_are_killed_at_once);
-  tcase_add_test (t, silent_connections_to_a_target);
-  tcase_add_test (t, a_woken_target_begins_nothing_for_who_left);
-  tcase_add_test (t, a_stream_without_a_retry_stays_at_its_target);
-  tcase_add_test (t, callers_at_ranks_that_stand_still_are_told);
+  tcase_add_test (t, silent_watch_is_reconnected);
+  tcase_add_test (t, config_spreads_when_store_answers_are_lost);
+  tcase_add_test (t, silent_agent_links_are_reconnected);
+  tcase_add_test (t, leader_restart_during_map_change);
+  tcase_add_test (t, wall_clock_jumps_have_no_effect);
+  tcase_add_test (t, expired_target_entries_come_back);
+  tcase_add_test (t, removal_after_store_outage_is_not_delayed);
+  tcase_add_test (t, config_survives_kill_of_all_gateways);
+  tcase_add_test (t, silent_target_connections);
+  tcase_add_test (t, paused_target_skips_cancelled_requests);
+  tcase_add_test (t, stream_without_retry_budget_is_not_moved);
+  tcase_add_test (t, caller_at_stalled_ranks_gets_error_in_time);
   suite_add_tcase (s, t);
-  tcase_set_timeout (crowded, 40);
-  tcase_add_checked_fixture (crowded, setup_crowded, p_stop_all);
-  tcase_add_test (crowded, none_is_sent_once_more_when_its_caller_leaves_first);
-  suite_add_tcase (s, crowded);
+  tcase_set_timeout (busy_case, 40);
+  tcase_add_checked_fixture (busy_case, setup_busy, p_stop_all);
+  tcase_add_test (busy_case, no_retry_if_caller_leaves_first);
+  suite_add_tcase (s, busy_case);
   return t_run (s);
 }
--- a/t/t-planned-stop.c
+++ b/t/t-planned-stop.c
@@ -1,23 +1,19 @@
 /*
- * What a gateway takes on after SIGTERM ends before it does.
+ * A gateway that stops must not cut off a stream that it accepted after
+ * SIGTERM.
  *
- * The story.  All gateways of a deployment were stopped and started again in
- * turn.  Callers saw streams end in the middle of their answers: accepted
- * 5.2 s after SIGTERM, cut 7.6 s after it, seven events before the end.
+ * Two gateways of a deployment are stopping and refuse most requests, so the
+ * engine has less to do and its passes take 25 ms instead of 40 ms.  The third
+ * gateway, 5.2 s into its own stop, estimates from these passes that a stream
+ * of 60 events takes 2.35 s (1.5 x 24.4 ms x 60 + 157 ms) of the 2.39 s it has,
+ * and accepts it.  Then the other two are back and passes take 44 to 52 ms. The
+ * stream, with pauses of 44 ms, is cut off 7.6 s after SIGTERM with 53 events
+ * sent, seven short of its end.  Another stream of that size, 0.1 s after it
+ * was accepted, is refused.
  *
- * Order of events: two gateways refuse most of what comes, since they are
- * about to end; the engine has less to do, and its passes, 40 ms before,
- * take 25 ms; the third gateway, 5.2 s into its own stop, reckons from these
- * that 60 events take 2.35 s and that it has 2.39 s; the two are back with
- * their callers, passes take 44 to 52 ms; the third cuts the stream off.
- *
- * Cause: what cannot be taken back, accepting a stream, was decided by the
- * pace of a lull, and only once: a request that then waits for room, or is
- * sent again, was not looked at any more.
- *
- * Evidence: the gateways' own lines say 1.5 x 24.4 ms x 60 + 157 ms expected,
- * 44 ms a pause in fact, 53 events when it was cut; the next stream of that
- * size was refused 0.1 s later.
+ * The cause: accepting a stream cannot be undone, but was decided by the pace
+ * of a short lull, and only once.  A request that waited for a free slot, or
+ * was retried, was not checked again.
  */
 #include "harness.h"
 #include "platform-harness.h"
@@ -30,19 +26,19 @@
 #define LOG "t/out/gateway-28000-1.log"
 #define RANK_1 (BASE + 3)
 #define N_RANKS 4
-/** When a gateway that stops takes on only what ends in time, and some ms. */
-#define PICKY_MS 2400
-/** Tokens of an event. */
-#define STRIDE 4
-/** What one of three gateways may have at once: 12 slots a rank, shared out
- * with a quarter more. */
-#define SHARE (5 * N_RANKS)
+/** Time from SIGTERM until a gateway accepts only requests that complete in
+ * time, and some ms more. */
+#define STRICT_CHECK_MS 2400
+#define TOKENS_PER_EVENT 4
+/** Requests that one of three gateways may have in flight: a third of the 12
+ * slots of each rank, and a quarter more. */
+#define GATEWAY_SLOTS (5 * N_RANKS)
 
 static pid_t gateway;
 
-/* Two gateways before a group whose passes grow with its streams. */
+/* Two gateways and a rank group whose passes take longer with more streams. */
 static void
-setup_two (const char *step_ms, const char *per_seq_ms)
+start_two_gateways (const char *step_ms, const char *per_seq_ms)
 {
   p_platform (BASE, "--ranks", "4", "--step-ms", step_ms, "--per-seq-ms",
               per_seq_ms, NULL);
@@ -53,13 +49,13 @@
 static void
 setup_loaded (void)
 {
-  setup_two ("8", "4");
+  start_two_gateways ("8", "4");
 }
 
 static void
-setup_crowded (void)
+setup_busy (void)
 {
-  setup_two ("30", "6");
+  start_two_gateways ("30", "6");
 }
 
 static void
@@ -69,14 +65,14 @@
   gateway = p_ready_gateway (BASE, 1);
 }
 
-/* A stream of @events events at gateway @n; its socket. */
+/* Begins a stream of @events events at gateway @n.  Returns its socket. */
 static int
 begin_stream (int n, int events)
 {
   static int serial;
   g_autofree char *id = g_strdup_printf ("stop%d", ++serial);
-  g_autofree char *size
-      = g_strdup_printf ("Comfreypost-Token-Count: 10,%d\r\n", events * STRIDE);
+  g_autofree char *size = g_strdup_printf ("Comfreypost-Token-Count: 10,%d\r\n",
+                                           events * TOKENS_PER_EVENT);
   g_autofree char *req = p_request ("POST /chat/a", id, size, "");
   int fd = p_connect (p_front (BASE, n));
 
@@ -92,30 +88,30 @@
 }
 
 static void
-leave_all (const int *fds, int count)
+close_all (const int *fds, int count)
 {
   for (int i = 0; i < count; i++)
     close (fds[i]);
 }
 
-/* A process that stops ends with its last caller, so the tests keep one there
- * until it is picky. */
+/* A process that stops exits when its last caller has left, so the tests keep
+ * one connected until STRICT_CHECK_MS. */
 
-/* Four streams of @events events at gateway 1, to their ends. */
+/* Runs four streams of @events events at gateway 1 to their ends. */
 static void
-play_streams (int events)
+run_streams (int events)
 {
   int fds[N_RANKS];
 
   begin_streams (1, events, fds, N_RANKS);
   for (int i = 0; i < N_RANKS; i++)
     g_free (p_read (fds[i], 8000));
-  leave_all (fds, N_RANKS);
+  close_all (fds, N_RANKS);
 }
 
-/* Either nothing of it ran, or it is whole. */
+/* Fails unless the stream was refused as not run, or is complete. */
 static void
-check_not_cut (const char *answer)
+check_not_cut_off (const char *answer)
 {
   if (p_status (answer) == 503)
     ck_assert_ptr_nonnull (strstr (answer, "Retry-After: "));
@@ -125,105 +121,106 @@
         "cut off: ...%s", answer + MAX ((gssize)strlen (answer) - 60, 0));
 }
 
-START_TEST (a_stream_of_a_lull_is_not_cut)
+START_TEST (stream_accepted_in_lull_is_not_cut_off)
 {
-  g_autofree char *brief = NULL;
+  g_autofree char *short_answer = NULL;
   g_autofree char *answer = NULL;
-  int busy[SHARE];
-  int keeper;
+  int busy[GATEWAY_SLOTS];
+  int kept_caller;
   int stream;
-  int small;
+  int short_stream;
 
-  begin_streams (2, 4000, busy, SHARE);
-  play_streams (30);
+  begin_streams (2, 4000, busy, GATEWAY_SLOTS);
+  run_streams (30);
   p_signal (gateway, SIGTERM);
-  leave_all (busy, SHARE);
+  close_all (busy, GATEWAY_SLOTS);
   usleep (200000);
-  play_streams (45);
-  play_streams (30);
-  keeper = begin_stream (1, 60);
-  ck_assert (p_log_says (LOG, "close-idle", PICKY_MS));
+  run_streams (45);
+  run_streams (30);
+  kept_caller = begin_stream (1, 60);
+  ck_assert (p_log_says (LOG, "close-idle", STRICT_CHECK_MS));
   stream = begin_stream (1, 70);
-  small = begin_stream (1, 12);
+  short_stream = begin_stream (1, 12);
   usleep (100000);
-  begin_streams (2, 4000, busy, SHARE);
-  brief = p_read (small, 3000);
-  ck_assert_int_eq (p_status (brief), 200);
-  check_not_cut (brief);
+  begin_streams (2, 4000, busy, GATEWAY_SLOTS);
+  short_answer = p_read (short_stream, 3000);
+  ck_assert_int_eq (p_status (short_answer), 200);
+  check_not_cut_off (short_answer);
   answer = p_read (stream, 5000);
-  check_not_cut (answer);
-  leave_all (busy, SHARE);
-  close (keeper);
+  check_not_cut_off (answer);
+  close_all (busy, GATEWAY_SLOTS);
+  close (kept_caller);
   close (stream);
-  close (small);
+  close (short_stream);
 }
 END_TEST
 
-/* The group forms anew: a request waits for it, and the time that is left to
- * the gateway runs meanwhile. */
-START_TEST (a_stream_that_waited_is_not_cut)
+/* A request waits while the rank group forms again, which uses up the time that
+ * the gateway has left. */
+START_TEST (queued_stream_is_not_cut_off)
 {
   g_autofree char *answer = NULL;
   int first;
-  int keeper;
+  int kept_caller;
   int stream;
 
   p_fault (RANK_1, N_RANKS, "broken", 1000);
   first = begin_stream (1, 10);
   p_signal (gateway, SIGTERM);
   usleep (2000000);
-  keeper = begin_stream (1, 10);
-  usleep (PICKY_MS * 1000 - 2000000);
+  kept_caller = begin_stream (1, 10);
+  usleep (STRICT_CHECK_MS * 1000 - 2000000);
   stream = begin_stream (1, 20);
   usleep (1000000);
   p_fault (RANK_1, N_RANKS, "none", 0);
   answer = p_read (stream, 5000);
-  check_not_cut (answer);
+  check_not_cut_off (answer);
   close (first);
-  close (keeper);
+  close (kept_caller);
   close (stream);
 }
 END_TEST
 
-/* Before the platform has asked twice callers are still sent here; what
- * cannot end at the pace of right now is not accepted then either. */
-START_TEST (a_stream_of_a_crowd_is_not_cut)
+/* Until the platform has polled readiness twice, callers are still routed here.
+ * A request that cannot complete at the current pace is not accepted then
+ * either. */
+START_TEST (stream_accepted_under_load_is_not_cut_off)
 {
   g_autofree char *answer = NULL;
-  int busy[SHARE];
-  g_autofree char *brief = NULL;
-  int small;
+  int busy[GATEWAY_SLOTS];
+  g_autofree char *short_answer = NULL;
+  int short_stream;
   int stream;
 
-  begin_streams (2, 4000, busy, SHARE);
-  play_streams (25);
-  leave_all (busy, SHARE);
-  begin_streams (2, 4000, busy, SHARE); /* each ends after 5 s */
+  begin_streams (2, 4000, busy, GATEWAY_SLOTS);
+  run_streams (25);
+  close_all (busy, GATEWAY_SLOTS);
+  begin_streams (2, 4000, busy, GATEWAY_SLOTS); /* each takes 5 s */
   p_signal (gateway, SIGTERM);
   usleep (1800000);
   stream = begin_stream (1, 40);
-  small = begin_stream (1, 8);
-  brief = p_read (small, 3000);
-  ck_assert_int_eq (p_status (brief), 200);
+  short_stream = begin_stream (1, 8);
+  short_answer = p_read (short_stream, 3000);
+  ck_assert_int_eq (p_status (short_answer), 200);
   answer = p_read (stream, 5000);
-  check_not_cut (answer);
-  leave_all (busy, SHARE);
-  close (small);
+  check_not_cut_off (answer);
+  close_all (busy, GATEWAY_SLOTS);
+  close (short_stream);
   close (stream);
 }
 END_TEST
 
-/* A stream that the callers have begun to read loses its target, and all
- * others are busy: it has time to wait for one of them. */
-START_TEST (a_begun_stream_waits_for_room)
+/* A stream that its caller has begun to read loses its target while all others
+ * are busy.  It has time to wait for one of them. */
+START_TEST (interrupted_stream_waits_for_free_slot)
 {
   int first[N_RANKS];
-  int fill[SHARE - N_RANKS];
+  int fill[GATEWAY_SLOTS - N_RANKS];
 
   p_fault (RANK_1, 1, "cut", 1);
   begin_streams (1, 52, first, N_RANKS);
   usleep (20000);
-  begin_streams (1, 12, fill, SHARE - N_RANKS);
+  begin_streams (1, 12, fill, GATEWAY_SLOTS - N_RANKS);
   usleep (20000);
   p_signal (gateway, SIGTERM);
   for (int i = 0; i < N_RANKS; i++)
@@ -231,15 +228,15 @@
       g_autofree char *answer = p_read (first[i], 8000);
 
       ck_assert_int_eq (p_status (answer), 200);
-      check_not_cut (answer);
+      check_not_cut_off (answer);
     }
-  leave_all (first, N_RANKS);
-  leave_all (fill, SHARE - N_RANKS);
+  close_all (first, N_RANKS);
+  close_all (fill, GATEWAY_SLOTS - N_RANKS);
 }
 END_TEST
 
-/* Long time limits: the end of the gateway comes before the callers'. */
-static const char patient[]
+/* Timeouts so long that the gateway ends before the requests time out. */
+static const char long_timeouts_config[]
     = "{\"version\":2,\"routes\":["
       "{\"name\":\"chat\",\"host\":\"demo.example\",\"prefix\":\"/chat/\","
       "\"kind\":\"streaming\",\"timeout-ms\":30000,\"aim-ms\":5000,"
@@ -256,16 +253,16 @@
       "\"header-timeout-ms\":9000,\"idle-timeout-ms\":9000}}";
 
 static void
-setup_patient (void)
+setup_long_timeouts (void)
 {
   setup_slow ();
-  g_free (p_test (BASE, "POST /test/put?key=op/config", patient));
+  g_free (p_test (BASE, "POST /test/put?key=op/config", long_timeouts_config));
   ck_assert (p_log_says (LOG, "config-accept version=2", 1000));
 }
 
-/* A request that no time limit hurries; its socket. */
+/* Begins a request without a deadline of its own.  Returns its socket. */
 static int
-begin_patient (const char *method_and_path, const char *id)
+begin_request (const char *method_and_path, const char *id)
 {
   g_autofree char *req = g_strdup_printf (
       "%s HTTP/1.1\r\nHost: demo.example\r\nComfreypost-Request-Id: %s\r\n"
@@ -277,32 +274,32 @@
   return fd;
 }
 
-/* How long a call takes nobody forecasts: while the platform still sends
- * callers here, it is taken. */
-START_TEST (a_call_right_after_the_signal_is_served)
+/* The duration of a call cannot be estimated.  It is accepted while the
+ * platform still routes callers here. */
+START_TEST (call_right_after_sigterm_is_served)
 {
-  int keeper = begin_stream (1, 20);
+  int kept_caller = begin_stream (1, 20);
   g_autofree char *answer = NULL;
   int call;
 
   p_signal (gateway, SIGTERM);
   usleep (200000);
-  call = begin_patient ("GET /quote/a", "early");
+  call = begin_request ("GET /quote/a", "early");
   answer = p_read (call, 3000);
   ck_assert_msg (p_status (answer) == 200, "%s", answer);
   close (call);
-  close (keeper);
+  close (kept_caller);
 }
 END_TEST
 
-/* A call is at a target that hangs, and another is sound. */
-START_TEST (a_silent_target_is_replaced)
+/* A call is at a target that hangs while another one works. */
+START_TEST (call_at_silent_target_is_retried)
 {
   g_autofree char *answer = NULL;
   int call;
 
   p_fault (BASE + 1, 2, "hang", 1);
-  call = begin_patient ("GET /quote/a", "hung");
+  call = begin_request ("GET /quote/a", "hung");
   usleep (150000);
   p_fault (BASE + 1, 2, "none", 0);
   p_signal (gateway, SIGTERM);
@@ -312,9 +309,9 @@
 }
 END_TEST
 
-/* Too late for another try: the one that was made is given all the time
- * there is, 2.6 s, and not broken off for nothing. */
-START_TEST (a_try_is_not_ended_for_none)
+/* When it is too late for a retry, the first attempt gets all the time that is
+ * left, 2.6 s, and is not cancelled for a retry that cannot be made. */
+START_TEST (last_attempt_keeps_its_remaining_time)
 {
   g_autofree char *answer = NULL;
   gint64 sent_ms;
@@ -324,7 +321,7 @@
   p_signal (gateway, SIGTERM);
   usleep (2000000);
   sent_ms = g_get_monotonic_time () / 1000;
-  call = begin_patient ("GET /quote/a", "hung");
+  call = begin_request ("GET /quote/a", "hung");
   answer = p_read (call, 6000);
   ck_assert_int_eq (p_status (answer), 502);
   ck_assert_int_ge (g_get_monotonic_time () / 1000 - sent_ms, 2000);
@@ -332,9 +329,9 @@
 }
 END_TEST
 
-/* Requests wait for a group that stays away until the end; another's body
- * is on its way. */
-START_TEST (what_waits_at_the_end_is_answered)
+/* Requests wait for a group that does not come back before the gateway ends;
+ * the body of another is still incomplete. */
+START_TEST (queued_requests_are_answered_at_exit)
 {
   int fds[3];
   int half;
@@ -345,7 +342,7 @@
     {
       g_autofree char *id = g_strdup_printf ("wait%d", i);
 
-      fds[i] = begin_patient ("POST /chat/a", id);
+      fds[i] = begin_request ("POST /chat/a", id);
       usleep (50000);
     }
   usleep (300000);
@@ -361,7 +358,7 @@
     }
   answer = p_read (half, 7000);
   ck_assert_msg (p_status (answer) == 503, "%s", answer);
-  leave_all (fds, 3);
+  close_all (fds, 3);
   close (half);
 }
 END_TEST
@@ -383,13 +380,15 @@
 {
   Suite *s = suite_create ("planned-stop");
 
-  add_case (s, "lull", setup_loaded, a_stream_of_a_lull_is_not_cut);
-  add_case (s, "crowd", setup_crowded, a_stream_of_a_crowd_is_not_cut);
-  add_case (s, "wait", setup_slow, a_stream_that_waited_is_not_cut);
-  add_case (s, "room", setup_slow, a_begun_stream_waits_for_room);
-  add_case (s, "call", setup_patient, a_call_right_after_the_signal_is_served);
-  add_case (s, "silent", setup_patient, a_silent_target_is_replaced);
-  add_case (s, "last", setup_patient, a_try_is_not_ended_for_none);
-  add_case (s, "queued", setup_patient, what_waits_at_the_end_is_answered);
+  add_case (s, "lull", setup_loaded, stream_accepted_in_lull_is_not_cut_off);
+  add_case (s, "crowd", setup_busy, stream_accepted_under_load_is_not_cut_off);
+  add_case (s, "wait", setup_slow, queued_stream_is_not_cut_off);
+  add_case (s, "room", setup_slow, interrupted_stream_waits_for_free_slot);
+  add_case (s, "call", setup_long_timeouts, call_right_after_sigterm_is_served);
+  add_case (s, "silent", setup_long_timeouts, call_at_silent_target_is_retried);
+  add_case (s, "last", setup_long_timeouts,
+            last_attempt_keeps_its_remaining_time);
+  add_case (s, "queued", setup_long_timeouts,
+            queued_requests_are_answered_at_exit);
   return t_run (s);
 }
