--- a/gateway/expert-counts.c
+++ b/gateway/expert-counts.c
@@ -44,8 +44,8 @@
 }
 
 GArray *
-cf_expert_counts_since (CfExpertCounts *c, GArray *now, gint64 incarnation,
-                        gint64 now_ms)
+cf_expert_counts_take_delta (CfExpertCounts *c, GArray *now, gint64 incarnation,
+                             gint64 now_ms)
 {
   GArray *since = NULL;
 
--- a/gateway/expert-counts.h
+++ b/gateway/expert-counts.h
@@ -18,11 +18,11 @@
 void cf_expert_counts_clear (CfExpertCounts *c);
 
 /**
- * cf_expert_counts_since:
+ * cf_expert_counts_take_delta:
  * @now: what the rank says; taken over
  * Returns: (nullable): how often each expert was chosen since the last
  *   reading, a new array of gint64; %NULL if that was long ago, or of another
  *   start of the rank.
  */
-GArray *cf_expert_counts_since (CfExpertCounts *c, GArray *now,
-                                gint64 incarnation, gint64 now_ms);
+GArray *cf_expert_counts_take_delta (CfExpertCounts *c, GArray *now,
+                                     gint64 incarnation, gint64 now_ms);
--- a/gateway/expert-demand.c
+++ b/gateway/expert-demand.c
@@ -96,7 +96,7 @@
 }
 
 gboolean
-cf_expert_demand_known (const CfExpertDemand *d)
+cf_expert_demand_is_settled (const CfExpertDemand *d)
 {
   if (d->shifting)
     return FALSE;
--- a/gateway/expert-demand.h
+++ b/gateway/expert-demand.h
@@ -34,10 +34,10 @@
 void cf_expert_demand_tick (CfExpertDemand *d, gint64 now_ms);
 
 /**
- * cf_expert_demand_known:
+ * cf_expert_demand_is_settled:
  * Whether a plan may be made: some demand is known, and no shift is only
  * half counted.  A shift falls within a window, so that one shows old and
  * new demand mixed; a map planned for the mixture was out of date when it
  * came, and a second change followed each time.
  */
-gboolean cf_expert_demand_known (const CfExpertDemand *d);
+gboolean cf_expert_demand_is_settled (const CfExpertDemand *d);
--- a/gateway/group-map.c
+++ b/gateway/group-map.c
@@ -31,14 +31,14 @@
 }
 
 CfGroupMap *
-cf_group_map_in_turn (const CfGroupShape *shape)
+cf_group_map_round_robin (const CfGroupShape *shape)
 {
   CfGroupMap *m = cf_group_map_new (shape);
 
   for (int s = 0; s < shape->sets; s++)
     for (int e = 0; e < shape->experts; e++)
       if (e / shape->ranks < shape->places)
-        cf_group_map_at (m, s, e % shape->ranks)[e / shape->ranks] = (gint16)e;
+        cf_group_map_row (m, s, e % shape->ranks)[e / shape->ranks] = (gint16)e;
   return m;
 }
 
@@ -58,7 +58,7 @@
 }
 
 GArray *
-cf_group_map_rows (const CfGroupMap *from, const CfGroupMap *to)
+cf_group_map_diff (const CfGroupMap *from, const CfGroupMap *to)
 {
   GArray *rows = g_array_new (FALSE, FALSE, sizeof (gint64));
   int places = to->shape.places;
@@ -82,7 +82,7 @@
 }
 
 gboolean
-cf_group_map_apply (CfGroupMap *m, const GArray *rows)
+cf_group_map_apply_diff (CfGroupMap *m, const GArray *rows)
 {
   const CfGroupShape *sh = &m->shape;
   guint width = (guint)sh->places + 1;
@@ -115,7 +115,7 @@
 }
 
 gint16 *
-cf_group_map_at (const CfGroupMap *m, int set, int rank)
+cf_group_map_row (const CfGroupMap *m, int set, int rank)
 {
   return m->held + ((gsize)set * m->shape.ranks + rank) * m->shape.places;
 }
@@ -123,7 +123,7 @@
 gboolean
 cf_group_map_holds (const CfGroupMap *m, int set, int rank, int expert)
 {
-  const gint16 *at = cf_group_map_at (m, set, rank);
+  const gint16 *at = cf_group_map_row (m, set, rank);
 
   for (int p = 0; p < m->shape.places; p++)
     if (at[p] == expert)
@@ -138,7 +138,7 @@
   for (int r = 0; r < m->shape.ranks; r++)
     for (int p = 0; p < m->shape.places; p++)
       {
-        int e = cf_group_map_at (m, set, r)[p];
+        int e = cf_group_map_row (m, set, r)[p];
 
         if (e >= 0 && e < m->shape.experts)
           copies[e]++;
@@ -146,7 +146,7 @@
 }
 
 gboolean
-cf_group_map_whole (const CfGroupMap *m)
+cf_group_map_is_complete (const CfGroupMap *m)
 {
   g_autofree int *copies = g_new (int, m->shape.experts);
 
@@ -161,14 +161,14 @@
 }
 
 int
-cf_group_map_rank_added (const CfGroupMap *from, const CfGroupMap *to, int set,
-                         int rank)
+cf_group_map_count_rank_added (const CfGroupMap *from, const CfGroupMap *to,
+                               int set, int rank)
 {
   int n = 0;
 
   for (int p = 0; p < to->shape.places; p++)
     {
-      int e = cf_group_map_at (to, set, rank)[p];
+      int e = cf_group_map_row (to, set, rank)[p];
 
       if (e >= 0 && !cf_group_map_holds (from, set, rank, e))
         n++;
@@ -177,12 +177,12 @@
 }
 
 int
-cf_group_map_added (const CfGroupMap *from, const CfGroupMap *to)
+cf_group_map_count_added (const CfGroupMap *from, const CfGroupMap *to)
 {
   int n = 0;
 
   for (int s = 0; s < to->shape.sets; s++)
     for (int r = 0; r < to->shape.ranks; r++)
-      n += cf_group_map_rank_added (from, to, s, r);
+      n += cf_group_map_count_rank_added (from, to, s, r);
   return n;
 }
--- a/gateway/map-coordinator-plan.c
+++ b/gateway/map-coordinator-plan.c
@@ -21,7 +21,8 @@
 {
   if (CF_WITHOUT_MAP_CHANGES || now < c->idle_until_ms)
     return FALSE;
-  if (!cf_map_all_seen_since (c, 0) || !cf_expert_demand_known (&c->demand))
+  if (!cf_map_all_seen_since (c, 0)
+      || !cf_expert_demand_is_settled (&c->demand))
     return FALSE;
   if (cf_map_is_known (c))
     return TRUE;
@@ -52,7 +53,7 @@
   c->idle_until_ms = now + PLAN_PAUSE_MS;
   if (!c->next)
     return;
-  c->last_copies = cf_group_map_added (c->in_use, c->next);
+  c->last_copies = cf_group_map_count_added (c->in_use, c->next);
   c->skew_before = before;
   c->skew_after = after;
   c->version = cf_map_new_version (c, FALSE);
--- a/gateway/map-coordinator-reports.c
+++ b/gateway/map-coordinator-reports.c
@@ -129,7 +129,7 @@
 
   for (int s = 0; s < c->shape.sets; s++)
     for (int p = 0; p < c->shape.places; p++)
-      cf_group_map_at (c->in_use, s, rank)[p] = -1;
+      cf_group_map_row (c->in_use, s, rank)[p] = -1;
   for (guint i = 0; i < n; i++)
     {
       if (experts[i] < 0)
@@ -141,7 +141,7 @@
       if (set >= c->shape.sets || place >= c->shape.places
           || experts[i] >= c->shape.experts)
         return FALSE;
-      cf_group_map_at (c->in_use, set, rank)[place++] = (gint16)experts[i];
+      cf_group_map_row (c->in_use, set, rank)[place++] = (gint16)experts[i];
     }
   return set == c->shape.sets;
 }
--- a/gateway/map-coordinator-view.c
+++ b/gateway/map-coordinator-view.c
@@ -85,7 +85,7 @@
   for (int r = 0; r < c->shape.ranks; r++)
     if (c->ranks[r].lists_map != c->ranks[r].status.map)
       return FALSE;
-  return cf_group_map_whole (c->in_use);
+  return cf_group_map_is_complete (c->in_use);
 }
 
 gboolean
--- a/gateway/map-history.c
+++ b/gateway/map-history.c
@@ -36,8 +36,8 @@
     return NULL;
   if (base && (!from || !is_of_shape (from, shape)))
     return NULL;
-  m = from ? cf_group_map_copy (from) : cf_group_map_in_turn (shape);
-  if (!cf_group_map_apply (m, rows))
+  m = from ? cf_group_map_copy (from) : cf_group_map_round_robin (shape);
+  if (!cf_group_map_apply_diff (m, rows))
     g_clear_pointer (&m, cf_group_map_free);
   return m;
 }
--- a/gateway/map-plan.c
+++ b/gateway/map-plan.c
@@ -30,7 +30,7 @@
   double sum = 0;
 
   for (int i = 0; i < n; i++)
-    sum += cf_set_plan_slowest (&sets[i]);
+    sum += cf_set_plan_skew (&sets[i]);
   return sum / n;
 }
 
@@ -46,7 +46,7 @@
 
       cf_set_plan_init (&s, m, (CfGroupMap *)m, set,
                         tokens + (gsize)set * m->shape.experts, pace);
-      sum += cf_set_plan_slowest (&s);
+      sum += cf_set_plan_skew (&s);
       cf_set_plan_clear (&s);
     }
   return sum / m->shape.sets;
@@ -104,7 +104,7 @@
 {
   CfSetPlan *s = &p->sets[set];
 
-  p->best[set] = cf_set_plan_best_move (s);
+  p->best[set] = cf_set_plan_find_best_move (s);
   p->relief[set] = cf_set_plan_relief (s, &p->best[set]);
 }
 
@@ -130,11 +130,11 @@
 
   for (gsize i = 0; i < G_N_ELEMENTS (ranks); i++)
     p->added[ranks[i]]
-        -= cf_group_map_rank_added (s->from, s->m, set, ranks[i]);
-  cf_set_plan_make (s, &mv);
+        -= cf_group_map_count_rank_added (s->from, s->m, set, ranks[i]);
+  cf_set_plan_apply (s, &mv);
   for (gsize i = 0; i < G_N_ELEMENTS (ranks); i++)
     p->added[ranks[i]]
-        += cf_group_map_rank_added (s->from, s->m, set, ranks[i]);
+        += cf_group_map_count_rank_added (s->from, s->m, set, ranks[i]);
 }
 
 /* One look for a move: the first of each set, then the best of all sets is
@@ -146,7 +146,7 @@
 
   if (p->n_looked < p->n)
     {
-      if (p->sets[p->n_looked].is_drawn)
+      if (p->sets[p->n_looked].has_demand)
         look_for_move (p, p->n_looked);
       p->n_looked++;
       return;
@@ -157,7 +157,7 @@
       p->done = TRUE;
       return;
     }
-  if (cf_set_plan_may_make (&p->sets[set], &p->best[set]))
+  if (cf_set_plan_may_apply (&p->sets[set], &p->best[set]))
     make_move (p, set);
   look_for_move (p, set);
 }
@@ -188,7 +188,7 @@
   double gain = p->skew_before - cf_map_plan_skew_after (p);
   CfGroupMap *m = NULL;
 
-  if (gain >= p->limits.min_gain && cf_group_map_whole (p->m))
+  if (gain >= p->limits.min_gain && cf_group_map_is_complete (p->m))
     m = g_steal_pointer (&p->m);
   cf_map_plan_free (p);
   return m;
--- a/gateway/order-watch.c
+++ b/gateway/order-watch.c
@@ -50,5 +50,5 @@
 gboolean
 cf_order_watch_goes_direct (const CfOrderWatch *w, CfRankOrderKind kind)
 {
-  return cf_rank_order_halts_group (kind) || cf_order_watch_is_passed_by (w);
+  return cf_rank_order_is_blocking (kind) || cf_order_watch_is_passed_by (w);
 }
--- a/gateway/peer-msg.h
+++ b/gateway/peer-msg.h
@@ -75,7 +75,7 @@
       gint64 version;     /**< told of again once its copy is whole */
       gint64 base;        /**< version that @rows change; 0: in turn */
       CfGroupShape shape; /**< without ranks, which the agent knows */
-      GArray *rows;       /**< as cf_group_map_rows() gives them; owned */
+      GArray *rows;       /**< as cf_group_map_diff() gives them; owned */
     } prepare;
     struct
     {
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -209,8 +209,8 @@
   if (counts && incarnation != a->status.incarnation)
     g_clear_pointer (&counts, g_array_unref);
   if (counts)
-    drawn = cf_expert_counts_since (&a->counts, counts, incarnation,
-                                    cf_now_ms ());
+    drawn = cf_expert_counts_take_delta (&a->counts, counts, incarnation,
+                                         cf_now_ms ());
   tell_status (a, drawn);
   if (drawn)
     g_array_unref (drawn);
--- a/gateway/rank-service-order.c
+++ b/gateway/rank-service-order.c
@@ -178,12 +178,12 @@
   CfPreparedOrder *p = prepared_order (g, o);
 
   if (!in_whole && !p->rows)
-    p->rows = cf_group_map_rows (g->c.in_use, o->map);
+    p->rows = cf_group_map_diff (g->c.in_use, o->map);
   if (in_whole && !p->in_whole)
     {
-      CfGroupMap *in_turn = cf_group_map_in_turn (&o->map->shape);
+      CfGroupMap *in_turn = cf_group_map_round_robin (&o->map->shape);
 
-      p->in_whole = cf_group_map_rows (in_turn, o->map);
+      p->in_whole = cf_group_map_diff (in_turn, o->map);
       cf_group_map_free (in_turn);
     }
   return in_whole ? p->in_whole : p->rows;
@@ -209,7 +209,7 @@
                           gboolean is_order)
 {
   CfTarget *t = cf_rank_service_target (g->s, g->addrs[rank]);
-  gboolean halts = is_order && cf_rank_order_halts_group (o->kind);
+  gboolean halts = is_order && cf_rank_order_is_blocking (o->kind);
   char *json;
   DirectCall *d;
 
--- a/gateway/rank.c
+++ b/gateway/rank.c
@@ -49,7 +49,7 @@
 }
 
 gboolean
-cf_rank_order_halts_group (CfRankOrderKind k)
+cf_rank_order_is_blocking (CfRankOrderKind k)
 {
   return k == CF_ORDER_HOLD || k == CF_ORDER_GO;
 }
--- a/gateway/rank.h
+++ b/gateway/rank.h
@@ -48,9 +48,9 @@
 
 const char *cf_rank_order_name (CfRankOrderKind k);
 
-/** cf_rank_order_halts_group: whether all ranks wait from one such order to
+/** cf_rank_order_is_blocking: whether all ranks wait from one such order to
  * another: a hold, and the go that ends it. */
-gboolean cf_rank_order_halts_group (CfRankOrderKind k);
+gboolean cf_rank_order_is_blocking (CfRankOrderKind k);
 
 /** CfRankOrder: an order to one rank. */
 typedef struct
--- a/gateway/set-plan.c
+++ b/gateway/set-plan.c
@@ -36,7 +36,7 @@
 compute_load (CfSetPlan *s)
 {
   const CfGroupShape *sh = &s->m->shape;
-  const gint16 *held = cf_group_map_at (s->m, s->set, 0);
+  const gint16 *held = cf_group_map_row (s->m, s->set, 0);
 
   memset (s->copies, 0, sizeof *s->copies * sh->experts);
   memset (s->load, 0, sizeof *s->load * sh->ranks);
@@ -80,7 +80,7 @@
   s->next_holder = g_new (int, (gsize)sh->ranks * sh->places);
   s->load = g_new (double, sh->ranks);
   s->lightest = g_new (int, sh->ranks);
-  s->is_drawn = even_parts (sh, draw, s->tokens);
+  s->has_demand = even_parts (sh, draw, s->tokens);
   compute_load (s);
 }
 
@@ -120,9 +120,9 @@
 }
 
 double
-cf_set_plan_slowest (const CfSetPlan *s)
+cf_set_plan_skew (const CfSetPlan *s)
 {
-  return s->is_drawn ? time_of (s, slowest_rank (s)) : 1;
+  return s->has_demand ? time_of (s, slowest_rank (s)) : 1;
 }
 
 static double
@@ -234,16 +234,16 @@
 static gboolean
 may_take (CfSetPlan *s, int rank, int place, int e)
 {
-  gint16 *at = cf_group_map_at (s->m, s->set, rank) + place;
+  gint16 *at = cf_group_map_row (s->m, s->set, rank) + place;
   gint16 old = *at;
   int before;
   int after;
 
   if (cf_group_map_holds (s->m, s->set, rank, e))
     return FALSE;
-  before = cf_group_map_rank_added (s->from, s->m, s->set, rank);
+  before = cf_group_map_count_rank_added (s->from, s->m, s->set, rank);
   *at = (gint16)e;
-  after = cf_group_map_rank_added (s->from, s->m, s->set, rank);
+  after = cf_group_map_count_rank_added (s->from, s->m, s->set, rank);
   *at = old;
   return after <= s->max_new
          && s->added[rank] - before + after <= s->max_rank_new;
@@ -270,7 +270,7 @@
 static void
 consider (CfSetPlan *s, CfMove *best, const CfMove *mv)
 {
-  int old = cf_group_map_at (s->m, s->set, mv->rank)[mv->place];
+  int old = cf_group_map_row (s->m, s->set, mv->rank)[mv->place];
 
   if (!may_take (s, mv->rank, mv->place, mv->expert))
     return;
@@ -279,7 +279,7 @@
       keep_better (best, *mv, CF_MOVE_COPY,
                    score_copy (s, mv->expert, mv->rank, old));
       if (is_slow (s, mv->from_rank))
-        keep_better (best, *mv, CF_MOVE_AWAY,
+        keep_better (best, *mv, CF_MOVE_TRANSFER,
                      score_away (s, mv->expert, mv->from_rank, mv->rank, old));
     }
   if (old >= 0 && may_take (s, mv->from_rank, mv->from_place, old))
@@ -293,7 +293,7 @@
   CfMove mv = { .rank = rank, .place = place, .from_rank = rank };
 
   mv.from_place = place;
-  mv.expert = cf_group_map_at (s->m, s->set, rank)[place];
+  mv.expert = cf_group_map_row (s->m, s->set, rank)[place];
   if (mv.expert >= 0 && s->copies[mv.expert] > 1 && is_slow (s, rank))
     keep_better (best, mv, CF_MOVE_DROP, score_drop (s, mv.expert, rank));
 }
@@ -308,7 +308,7 @@
       {
         CfMove mv = { .rank = rank, .place = p, .from_rank = hot };
 
-        mv.expert = cf_group_map_at (s->m, s->set, hot)[hp];
+        mv.expert = cf_group_map_row (s->m, s->set, hot)[hp];
         mv.from_place = hp;
         if (mv.expert >= 0)
           consider (s, best, &mv);
@@ -320,7 +320,8 @@
 has_allowance (const CfSetPlan *s, int rank)
 {
   return s->added[rank] < s->max_rank_new
-         && cf_group_map_rank_added (s->from, s->m, s->set, rank) < s->max_new;
+         && cf_group_map_count_rank_added (s->from, s->m, s->set, rank)
+                < s->max_new;
 }
 
 static int
@@ -363,7 +364,7 @@
 }
 
 CfMove
-cf_set_plan_best_move (CfSetPlan *s)
+cf_set_plan_find_best_move (CfSetPlan *s)
 {
   CfMove best = { .rank = -1, .score = 0 };
   int hot = slowest_rank (s);
@@ -385,27 +386,27 @@
 }
 
 gboolean
-cf_set_plan_may_make (CfSetPlan *s, const CfMove *mv)
+cf_set_plan_may_apply (CfSetPlan *s, const CfMove *mv)
 {
   switch (mv->kind)
     {
     case CF_MOVE_DROP:
       return TRUE;
     case CF_MOVE_COPY:
-    case CF_MOVE_AWAY:
+    case CF_MOVE_TRANSFER:
       return may_take (s, mv->rank, mv->place, mv->expert);
     case CF_MOVE_SWAP:
       return may_take (s, mv->rank, mv->place, mv->expert)
              && may_take (s, mv->from_rank, mv->from_place,
-                          cf_group_map_at (s->m, s->set, mv->rank)[mv->place]);
+                          cf_group_map_row (s->m, s->set, mv->rank)[mv->place]);
     }
   return FALSE;
 }
 
 void
-cf_set_plan_make (CfSetPlan *s, const CfMove *mv)
+cf_set_plan_apply (CfSetPlan *s, const CfMove *mv)
 {
-  gint16 *held = cf_group_map_at (s->m, s->set, 0);
+  gint16 *held = cf_group_map_row (s->m, s->set, 0);
   gint16 *to = held + place_at (s, mv->rank, mv->place);
   gint16 *from = held + place_at (s, mv->from_rank, mv->from_place);
   gint16 old = *to;
@@ -419,7 +420,7 @@
     case CF_MOVE_SWAP:
       *from = old;
       break;
-    case CF_MOVE_AWAY:
+    case CF_MOVE_TRANSFER:
     case CF_MOVE_DROP:
       *from = -1;
       break;
--- a/standins/fake-group.c
+++ b/standins/fake-group.c
@@ -59,8 +59,8 @@
   FakeRank *r = &g->ranks[rank];
 
   for (int s = 0; s < g->shape.sets; s++)
-    memcpy (cf_group_map_at (g->map, s, rank),
-            cf_group_map_at (r->next, s, rank),
+    memcpy (cf_group_map_row (g->map, s, rank),
+            cf_group_map_row (r->next, s, rank),
             sizeof (gint16) * g->shape.places);
   r->s.map = r->s.armed;
   r->s.armed = 0;
@@ -219,10 +219,10 @@
         const json_t *row = json_array_get (json_array_get (sets, s), r);
 
         for (int p = 0; p < shape.places && p < (int)json_array_size (row); p++)
-          cf_group_map_at (m, s, r)[p]
+          cf_group_map_row (m, s, r)[p]
               = (gint16)json_integer_value (json_array_get (row, p));
       }
-  if (!cf_group_map_whole (m))
+  if (!cf_group_map_is_complete (m))
     g_clear_pointer (&m, cf_group_map_free);
   return m;
 }
@@ -246,7 +246,7 @@
 
       for (int p = 0; p < g->shape.places; p++)
         {
-          int e = cf_group_map_at (m, s, r->s.rank)[p];
+          int e = cf_group_map_row (m, s, r->s.rank)[p];
 
           if (e >= 0 && !cf_group_map_holds (g->map, s, r->s.rank, e))
             here++;
@@ -355,7 +355,7 @@
     g->map->held[i] = -1;
   for (int s = 0; s < shape->sets; s++)
     for (int e = 0; e < shape->experts; e++)
-      cf_group_map_at (g->map, s, e % shape->ranks)[e / shape->ranks]
+      cf_group_map_row (g->map, s, e % shape->ranks)[e / shape->ranks]
           = (gint16)e;
 }
 
--- a/standins/fake-target.c
+++ b/standins/fake-target.c
@@ -402,7 +402,7 @@
 
       for (int p = 0; p < g->shape.places; p++)
         {
-          int e = cf_group_map_at (g->map, s, t->rank)[p];
+          int e = cf_group_map_row (g->map, s, t->rank)[p];
 
           if (e >= 0)
             json_array_append_new (row, json_integer (e));
--- a/t/t-coordinator.c
+++ b/t/t-coordinator.c
@@ -122,7 +122,7 @@
       r->copied_ms = w.now + g_rand_int_range (w.rand, 5, 400);
       r->copy_content = content_of (o->map);
       for (int s = 0; s < SETS; s++)
-        memcpy (r->next[s], cf_group_map_at (o->map, s, r->s.rank),
+        memcpy (r->next[s], cf_group_map_row (o->map, s, r->s.rank),
                 sizeof r->next[s]);
       return 202;
     case CF_ORDER_ARM:
@@ -342,7 +342,7 @@
 static int
 deliver (Rank *r, const CfRankOrder *o, gint64 *token)
 {
-  if (cf_rank_order_halts_group (o->kind))
+  if (cf_rank_order_is_blocking (o->kind))
     return carry_out (r, o);
   *token = r->agent_fence;
   if (o->fence < r->agent_fence)
@@ -374,7 +374,7 @@
         status = carry_out (r, &d->o);
       if (l && l->running)
         {
-          if (!cf_rank_order_halts_group (d->o.kind))
+          if (!cf_rank_order_is_blocking (d->o.kind))
             cf_map_coordinator_status (&l->c, &r->s, token, w.now);
           else if (ack_of (status) == CF_RANK_ACK_DONE)
             cf_map_coordinator_held (&l->c, d->rank, d->o.epoch,
@@ -844,8 +844,8 @@
   for (int s = 0; s < c->shape.sets; s++)
     {
       for (int p = 0; p < c->shape.places; p++)
-        if (cf_group_map_at (m, s, rank)[p] >= 0)
-          rows[n++] = cf_group_map_at (m, s, rank)[p];
+        if (cf_group_map_row (m, s, rank)[p] >= 0)
+          rows[n++] = cf_group_map_row (m, s, rank)[p];
       rows[n++] = -1;
     }
   cf_map_coordinator_lists (c, rank, 1, 0, rows, n);
@@ -862,7 +862,7 @@
       = { .max_new = 1, .max_rank_new = 1, .min_gain = 0.1, .move_gain = 0.05 };
   static const CfMapCoordinatorCalls quiet
       = { count_order, want_nothing, keep_quiet };
-  CfGroupMap *m = cf_group_map_in_turn (&shape);
+  CfGroupMap *m = cf_group_map_round_robin (&shape);
   CfRankStatus st = { .group = "g", .size = LARGE_RANKS, .epoch = 1 };
   gint64 drawn[2 * 384];
 
--- a/t/t-expert-counts.c
+++ b/t/t-expert-counts.c
@@ -31,9 +31,11 @@
   CfExpertCounts c = { 0 };
 
   ck_assert_ptr_null (
-      cf_expert_counts_since (&c, counts (5, 6, 7), STARTED, 1000));
-  check (cf_expert_counts_since (&c, counts (5, 9, 8), STARTED, 1100), 0, 3, 1);
-  check (cf_expert_counts_since (&c, counts (6, 9, 8), STARTED, 2100), 1, 0, 0);
+      cf_expert_counts_take_delta (&c, counts (5, 6, 7), STARTED, 1000));
+  check (cf_expert_counts_take_delta (&c, counts (5, 9, 8), STARTED, 1100), 0,
+         3, 1);
+  check (cf_expert_counts_take_delta (&c, counts (6, 9, 8), STARTED, 2100), 1,
+         0, 0);
   cf_expert_counts_clear (&c);
 }
 END_TEST
@@ -44,15 +46,17 @@
 {
   CfExpertCounts c = { 0 };
 
-  cf_expert_counts_since (&c, counts (5, 6, 7), STARTED, 1000);
+  cf_expert_counts_take_delta (&c, counts (5, 6, 7), STARTED, 1000);
   ck_assert_ptr_null (
-      cf_expert_counts_since (&c, counts (60, 60, 60), STARTED + 1, 1100));
-  check (cf_expert_counts_since (&c, counts (67, 60, 60), STARTED + 1, 1200), 7,
-         0, 0);
+      cf_expert_counts_take_delta (&c, counts (60, 60, 60), STARTED + 1, 1100));
+  check (
+      cf_expert_counts_take_delta (&c, counts (67, 60, 60), STARTED + 1, 1200),
+      7, 0, 0);
   ck_assert_ptr_null (
-      cf_expert_counts_since (&c, counts (90, 2, 60), STARTED + 1, 1300));
-  check (cf_expert_counts_since (&c, counts (90, 3, 60), STARTED + 1, 1400), 0,
-         1, 0);
+      cf_expert_counts_take_delta (&c, counts (90, 2, 60), STARTED + 1, 1300));
+  check (
+      cf_expert_counts_take_delta (&c, counts (90, 3, 60), STARTED + 1, 1400),
+      0, 1, 0);
   cf_expert_counts_clear (&c);
 }
 END_TEST
@@ -62,11 +66,11 @@
 {
   CfExpertCounts c = { 0 };
 
-  cf_expert_counts_since (&c, counts (5, 6, 7), STARTED, 1000);
+  cf_expert_counts_take_delta (&c, counts (5, 6, 7), STARTED, 1000);
   ck_assert_ptr_null (
-      cf_expert_counts_since (&c, counts (9, 9, 9), STARTED, 9000));
-  check (cf_expert_counts_since (&c, counts (9, 9, 10), STARTED, 9100), 0, 0,
-         1);
+      cf_expert_counts_take_delta (&c, counts (9, 9, 9), STARTED, 9000));
+  check (cf_expert_counts_take_delta (&c, counts (9, 9, 10), STARTED, 9100), 0,
+         0, 1);
   cf_expert_counts_clear (&c);
 }
 END_TEST
--- a/t/t-group-map.c
+++ b/t/t-group-map.c
@@ -25,7 +25,7 @@
 static void
 check_bounds (const CfGroupMap *from, const CfGroupMap *to, int max_new)
 {
-  ck_assert (cf_group_map_whole (to));
+  ck_assert (cf_group_map_is_complete (to));
   for (int s = 0; s < shape.sets; s++)
     for (int r = 0; r < shape.ranks; r++)
       {
@@ -33,7 +33,7 @@
 
         for (int p = 0; p < shape.places; p++)
           {
-            int e = cf_group_map_at (to, s, r)[p];
+            int e = cf_group_map_row (to, s, r)[p];
 
             added += e >= 0 && !cf_group_map_holds (from, s, r, e);
           }
@@ -50,7 +50,7 @@
 
   for (guint32 seed = 1; seed <= 50; seed++)
     {
-      CfGroupMap *from = cf_group_map_in_turn (&shape);
+      CfGroupMap *from = cf_group_map_round_robin (&shape);
       double *t = demand (&shape, seed);
       CfGroupMap *to = cf_group_map_plan (from, t, NULL, &limits);
 
@@ -79,13 +79,13 @@
 
   for (guint32 seed = 1; seed <= 50; seed++)
     {
-      CfGroupMap *from = cf_group_map_in_turn (&shape);
+      CfGroupMap *from = cf_group_map_round_robin (&shape);
       double *t = demand (&shape, seed);
       CfGroupMap *a = cf_group_map_plan (from, t, NULL, &all);
       CfGroupMap *f = cf_group_map_plan (from, t, NULL, &few);
 
-      n_all += cf_group_map_added (from, a);
-      n_few += cf_group_map_added (from, f);
+      n_all += cf_group_map_count_added (from, a);
+      n_few += cf_group_map_count_added (from, f);
       worst = MAX (worst, cf_group_map_skew (f, t, NULL));
       cf_group_map_free (from);
       cf_group_map_free (a);
@@ -109,7 +109,7 @@
     pace[r] = r == 3 ? 5 : 1;
   for (guint32 seed = 1; seed <= 50; seed++)
     {
-      CfGroupMap *m = cf_group_map_in_turn (&shape);
+      CfGroupMap *m = cf_group_map_round_robin (&shape);
       double *t = demand (&shape, seed);
 
       for (int i = 0; i < 4; i++)
@@ -141,7 +141,7 @@
       for (int s = 0; s < shape.sets; s++)
         for (int p = 0; p < shape.places; p++)
           {
-            int e = cf_group_map_at (to, s, r)[p];
+            int e = cf_group_map_row (to, s, r)[p];
 
             n += e >= 0 && !cf_group_map_holds (from, s, r, e);
           }
@@ -162,7 +162,7 @@
 
   for (guint32 seed = 1; seed <= 50; seed++)
     {
-      CfGroupMap *m = cf_group_map_in_turn (&shape);
+      CfGroupMap *m = cf_group_map_round_robin (&shape);
       double *t = demand (&shape, seed);
 
       skew[0] += cf_group_map_skew (m, t, NULL) / 50;
@@ -189,7 +189,7 @@
   const CfPlanLimits limits = {
     .max_new = 2, .max_rank_new = 0, .min_gain = 0.05, .move_gain = 0.01
   };
-  CfGroupMap *from = cf_group_map_in_turn (&shape);
+  CfGroupMap *from = cf_group_map_round_robin (&shape);
   double *t = g_new (double, shape.sets *shape.experts);
 
   for (int i = 0; i < shape.sets * shape.experts; i++)
@@ -209,7 +209,7 @@
   const CfPlanLimits limits = {
     .max_new = 2, .max_rank_new = 0, .min_gain = 0.05, .move_gain = 0.02
   };
-  CfGroupMap *m = cf_group_map_in_turn (&shape);
+  CfGroupMap *m = cf_group_map_round_robin (&shape);
 
   for (guint32 seed = 1; seed <= 200; seed++)
     {
@@ -254,7 +254,7 @@
 {
   const CfPlanLimits limits
       = { .max_new = 1, .max_rank_new = 1, .min_gain = 0.2, .move_gain = 0.12 };
-  CfGroupMap *from = cf_group_map_in_turn (&large);
+  CfGroupMap *from = cf_group_map_round_robin (&large);
   double whole_ms = G_MAXDOUBLE;
   double part_ms = G_MAXDOUBLE;
   double *t = demand (&large, 1);
@@ -290,7 +290,7 @@
 static double
 skew_after_one_change (const CfPlanLimits *limits, guint32 seed)
 {
-  CfGroupMap *from = cf_group_map_in_turn (&large);
+  CfGroupMap *from = cf_group_map_round_robin (&large);
   double *t = demand (&large, seed);
   CfGroupMap *to = cf_group_map_plan (from, t, NULL, limits);
   double skew;
@@ -322,23 +322,24 @@
 {
   const CfPlanLimits limits
       = { .max_new = 1, .max_rank_new = 1, .min_gain = 0.2, .move_gain = 0.12 };
-  CfGroupMap *from = cf_group_map_in_turn (&large);
+  CfGroupMap *from = cf_group_map_round_robin (&large);
   double *t = demand (&large, 2);
   CfGroupMap *to = cf_group_map_plan (from, t, NULL, &limits);
-  GArray *rows = cf_group_map_rows (from, to);
-  CfGroupMap *made = cf_group_map_in_turn (&large);
-  gint16 *row = cf_group_map_at (made, 4, 77);
+  GArray *rows = cf_group_map_diff (from, to);
+  CfGroupMap *made = cf_group_map_round_robin (&large);
+  gint16 *row = cf_group_map_row (made, 4, 77);
   gint16 first = row[0];
   guint width = (guint)large.places + 1;
 
-  ck_assert_uint_le (rows->len, (guint)cf_group_map_added (from, to) * width);
+  ck_assert_uint_le (rows->len,
+                     (guint)cf_group_map_count_added (from, to) * width);
   row[0] = row[1];
   row[1] = first;
-  ck_assert (cf_group_map_apply (made, rows));
+  ck_assert (cf_group_map_apply_diff (made, rows));
   g_array_unref (rows);
-  rows = cf_group_map_rows (to, made);
+  rows = cf_group_map_diff (to, made);
   ck_assert_uint_eq (rows->len, 0);
-  ck_assert_int_eq (cf_group_map_added (to, made), 0);
+  ck_assert_int_eq (cf_group_map_count_added (to, made), 0);
   g_array_unref (rows);
   cf_group_map_free (from);
   cf_group_map_free (to);
@@ -355,7 +356,7 @@
 
   for (gsize i = 0; i <= G_N_ELEMENTS (wrong); i++)
     {
-      CfGroupMap *m = cf_group_map_in_turn (&large);
+      CfGroupMap *m = cf_group_map_round_robin (&large);
       GArray *rows = g_array_new (FALSE, FALSE, sizeof (gint64));
 
       /* The last of all is cut short. */
@@ -363,7 +364,7 @@
         g_array_append_vals (rows, wrong[i], 4);
       else
         g_array_append_vals (rows, wrong[0] + 1, 3);
-      ck_assert (!cf_group_map_apply (m, rows));
+      ck_assert (!cf_group_map_apply_diff (m, rows));
       g_array_unref (rows);
       cf_group_map_free (m);
     }
--- a/t/t-map-history.c
+++ b/t/t-map-history.c
@@ -32,7 +32,7 @@
   CfGroupMap *m = make (&h, 0, 2);
 
   ck_assert_ptr_nonnull (m);
-  ck_assert (cf_group_map_whole (m));
+  ck_assert (cf_group_map_is_complete (m));
   ck_assert (cf_group_map_holds (m, 0, 1, 2));
   ck_assert (cf_group_map_holds (m, 1, 3, 7));
   cf_group_map_free (m);
--- a/t/t-platform.c
+++ b/t/t-platform.c
@@ -403,9 +403,9 @@
   ck_assert_int_eq (incarnation, 1783022913149);
   ck_assert_uint_eq (a->len, 4);
   g_array_unref (a);
-  cf_group_map_at (m, 0, 0)[0] = 1;
-  cf_group_map_at (m, 0, 1)[0] = 0;
-  cf_group_map_at (m, 0, 1)[1] = 1;
+  cf_group_map_row (m, 0, 0)[0] = 1;
+  cf_group_map_row (m, 0, 1)[0] = 0;
+  cf_group_map_row (m, 0, 1)[1] = 1;
   o.epoch = 2;
   o.fence = 9;
   json = cf_platform_rank_order (&o);
@@ -438,7 +438,7 @@
       CfGroupMap *m = cf_group_map_new (&shape);
       CfRankOrder o = { .kind = CF_ORDER_PREPARE, .version = 8, .map = m };
 
-      memcpy (cf_group_map_at (m, 0, 0), rows[i], sizeof rows[i]);
+      memcpy (cf_group_map_row (m, 0, 0), rows[i], sizeof rows[i]);
       json[i] = cf_platform_rank_order (&o);
       cf_group_map_free (m);
     }
