--- a/gateway/group-map.c
+++ b/gateway/group-map.c
@@ -42,8 +42,9 @@
   return m;
 }
 
+/* Whether @other contains all experts of @row. */
 static gboolean
-has_all (const gint16 *row, const gint16 *other, int places)
+contains_all (const gint16 *row, const gint16 *other, int places)
 {
   for (int i = 0; i < places; i++)
     {
@@ -68,7 +69,7 @@
       const gint16 *a = from->held + row * places;
       const gint16 *b = to->held + row * places;
 
-      if (has_all (a, b, places) && has_all (b, a, places))
+      if (contains_all (a, b, places) && contains_all (b, a, places))
         continue;
       g_array_append_val (rows, row);
       for (int p = 0; p < places; p++)
--- a/gateway/set-plan.c
+++ b/gateway/set-plan.c
@@ -2,24 +2,26 @@
 
 #include <string.h>
 
-/** A rank whose work takes so many times as long is slow. */
-#define SLOW_PACE 1.3
-/** Ranks that are looked at as receivers of an expert, the lightest first:
- * a heavier one is never the best, and the time that a move is looked for in
- * grows with their number. */
+/** A rank whose slowdown factor is higher than this is slow. */
+#define SLOW_RANK_PACE 1.3
+/** Limit on the ranks considered as receivers of an expert, those with the
+ * least time first.  A busier rank is never the best receiver, and the time
+ * of the search grows with their number. */
 #define RECEIVERS_MAX 32
-/** The power to which a rank's part is raised for its cost, so that the
- * slowest counts most, and relieving one of several such still counts. */
+/** The cost of a rank is its time raised to this power.  The slowest rank so
+ * dominates the sum, and relieving one of several equally slow ranks still
+ * lowers it.  time_cost() computes the same power. */
 #define COST_POWER 6
 
+/* The index of a place among those of all ranks. */
 static int
-place_at (const CfSetPlan *s, int rank, int place)
+place_index (const CfSetPlan *s, int rank, int place)
 {
   return rank * s->m->shape.places + place;
 }
 
 static int
-rank_of (const CfSetPlan *s, int at)
+rank_of_place (const CfSetPlan *s, int at)
 {
   return at / s->m->shape.places;
 }
@@ -35,52 +37,53 @@
 static void
 compute_load (CfSetPlan *s)
 {
-  const CfGroupShape *sh = &s->m->shape;
+  const CfGroupShape *shape = &s->m->shape;
   const gint16 *held = cf_group_map_row (s->m, s->set, 0);
 
-  memset (s->copies, 0, sizeof *s->copies * sh->experts);
-  memset (s->load, 0, sizeof *s->load * sh->ranks);
-  for (int e = 0; e < sh->experts; e++)
+  memset (s->copies, 0, sizeof *s->copies * shape->experts);
+  memset (s->load, 0, sizeof *s->load * shape->ranks);
+  for (int e = 0; e < shape->experts; e++)
     s->first_holder[e] = -1;
-  for (int at = 0; at < sh->ranks * sh->places; at++)
-    if (held[at] >= 0 && held[at] < sh->experts)
+  for (int at = 0; at < shape->ranks * shape->places; at++)
+    if (held[at] >= 0 && held[at] < shape->experts)
       add_holder (s, held[at], at);
-  for (int at = 0; at < sh->ranks * sh->places; at++)
-    if (held[at] >= 0 && held[at] < sh->experts)
-      s->load[rank_of (s, at)] += s->tokens[held[at]] / s->copies[held[at]];
+  for (int at = 0; at < shape->ranks * shape->places; at++)
+    if (held[at] >= 0 && held[at] < shape->experts)
+      s->load[rank_of_place (s, at)]
+          += s->tokens[held[at]] / s->copies[held[at]];
 }
 
-/* The set's draw in even parts of a rank; FALSE if there is none. */
+/* Scales the demand of the set to even shares; FALSE if there is none. */
 static gboolean
-even_parts (const CfGroupShape *sh, const double *draw, double *out)
+scale_demand (const CfGroupShape *shape, const double *demand, double *out)
 {
   double sum = 0;
 
-  for (int e = 0; e < sh->experts; e++)
-    sum += draw[e];
-  for (int e = 0; e < sh->experts; e++)
-    out[e] = sum > 0 ? draw[e] * sh->ranks / sum : 0;
+  for (int e = 0; e < shape->experts; e++)
+    sum += demand[e];
+  for (int e = 0; e < shape->experts; e++)
+    out[e] = sum > 0 ? demand[e] * shape->ranks / sum : 0;
   return sum > 0;
 }
 
 void
 cf_set_plan_init (CfSetPlan *s, const CfGroupMap *from, CfGroupMap *m, int set,
-                  const double *draw, const double *pace)
+                  const double *demand, const double *pace)
 {
-  const CfGroupShape *sh = &from->shape;
+  const CfGroupShape *shape = &from->shape;
 
   memset (s, 0, sizeof *s);
   s->from = from;
   s->m = m;
   s->set = set;
   s->pace = pace;
-  s->tokens = g_new (double, sh->experts);
-  s->copies = g_new (int, sh->experts);
-  s->first_holder = g_new (int, sh->experts);
-  s->next_holder = g_new (int, (gsize)sh->ranks * sh->places);
-  s->load = g_new (double, sh->ranks);
-  s->lightest = g_new (int, sh->ranks);
-  s->has_demand = even_parts (sh, draw, s->tokens);
+  s->tokens = g_new (double, shape->experts);
+  s->copies = g_new (int, shape->experts);
+  s->first_holder = g_new (int, shape->experts);
+  s->next_holder = g_new (int, (gsize)shape->ranks * shape->places);
+  s->load = g_new (double, shape->ranks);
+  s->receivers = g_new (int, shape->ranks);
+  s->has_demand = scale_demand (shape, demand, s->tokens);
   compute_load (s);
 }
 
@@ -92,147 +95,153 @@
   g_free (s->first_holder);
   g_free (s->next_holder);
   g_free (s->load);
-  g_free (s->lightest);
+  g_free (s->receivers);
 }
 
 static double
-pace_of (const CfSetPlan *s, int rank)
+rank_pace (const CfSetPlan *s, int rank)
 {
   return s->pace ? s->pace[rank] : 1;
 }
 
-/* How long a rank takes for its part. */
+/* The time that a rank takes for its load. */
 static double
-time_of (const CfSetPlan *s, int rank)
+rank_time (const CfSetPlan *s, int rank)
 {
-  return s->load[rank] * pace_of (s, rank);
+  return s->load[rank] * rank_pace (s, rank);
 }
 
 static int
 slowest_rank (const CfSetPlan *s)
 {
-  int hot = 0;
+  int slowest = 0;
 
   for (int r = 1; r < s->m->shape.ranks; r++)
-    if (time_of (s, r) > time_of (s, hot))
-      hot = r;
-  return hot;
+    if (rank_time (s, r) > rank_time (s, slowest))
+      slowest = r;
+  return slowest;
 }
 
 double
 cf_set_plan_skew (const CfSetPlan *s)
 {
-  return s->has_demand ? time_of (s, slowest_rank (s)) : 1;
+  return s->has_demand ? rank_time (s, slowest_rank (s)) : 1;
 }
 
 static double
-cost_of (double load)
+time_cost (double time)
 {
-  double sq = load * load;
+  double square = time * time;
 
-  return sq * sq * sq;
+  return square * square * square;
 }
 
+/* The change of a rank's cost if its load changes by @load_change. */
 static double
-cost_change (const CfSetPlan *s, int rank, double by)
+cost_change (const CfSetPlan *s, int rank, double load_change)
 {
-  return cost_of ((s->load[rank] + by) * pace_of (s, rank))
-         - cost_of (time_of (s, rank));
+  return time_cost ((s->load[rank] + load_change) * rank_pace (s, rank))
+         - time_cost (rank_time (s, rank));
 }
 
+/* The load that one copy of @expert gives the rank that holds it. */
 static double
-share_of (const CfSetPlan *s, int expert)
+copy_load (const CfSetPlan *s, int expert)
 {
   return s->tokens[expert] / s->copies[expert];
 }
 
-/* What each other holder of @expert gets more if one gives it up. */
+/* The load that each other holder of @expert gains if one drops its copy. */
 static double
-share_gained (const CfSetPlan *s, int expert)
+copy_load_gain (const CfSetPlan *s, int expert)
 {
   return s->copies[expert] > 1 ? s->tokens[expert] / (s->copies[expert] - 1)
-                                     - share_of (s, expert)
+                                     - copy_load (s, expert)
                                : 0;
 }
 
-/* The cost of the holders of @old, but for @rank and those that hold @but
- * too, as each takes over a part of what @rank gives up. */
+/* The change of cost at the other holders of @old if @rank drops its copy,
+ * since they take over its load.  Ranks that hold @excluded (unless it is -1)
+ * are left out. */
 static double
-cost_of_leaving (const CfSetPlan *s, int old, int rank, int but)
+removal_cost (const CfSetPlan *s, int old, int rank, int excluded)
 {
-  double more = old >= 0 ? share_gained (s, old) : 0;
+  double gain = old >= 0 ? copy_load_gain (s, old) : 0;
   double cost = 0;
 
-  if (more <= 0)
+  if (gain <= 0)
     return 0;
   for (int at = s->first_holder[old]; at >= 0; at = s->next_holder[at])
     {
-      int r = rank_of (s, at);
+      int r = rank_of_place (s, at);
 
-      if (r != rank && (but < 0 || !cf_group_map_holds (s->m, s->set, r, but)))
-        cost += cost_change (s, r, more);
+      if (r != rank
+          && (excluded < 0 || !cf_group_map_holds (s->m, s->set, r, excluded)))
+        cost += cost_change (s, r, gain);
     }
   return cost;
 }
 
-/* The cost of one copy more of @e at @rank, and one less of @old there. */
+/* The change of cost if @rank replaces @old (none if -1) by a copy of @e. */
 static double
 score_copy (const CfSetPlan *s, int e, int rank, int old)
 {
-  double less = s->tokens[e] / (s->copies[e] + 1);
-  double by = less - share_of (s, e);
-  double gone = old >= 0 ? share_of (s, old) : 0;
-  double more = old >= 0 ? share_gained (s, old) : 0;
-  double score
-      = cost_change (s, rank, less - gone) + cost_of_leaving (s, old, rank, e);
+  double new_load = s->tokens[e] / (s->copies[e] + 1);
+  double change = new_load - copy_load (s, e);
+  double removed = old >= 0 ? copy_load (s, old) : 0;
+  double gain = old >= 0 ? copy_load_gain (s, old) : 0;
+  double score = cost_change (s, rank, new_load - removed)
+                 + removal_cost (s, old, rank, e);
 
   for (int at = s->first_holder[e]; at >= 0; at = s->next_holder[at])
     {
-      int r = rank_of (s, at);
-      gboolean both = more > 0 && cf_group_map_holds (s->m, s->set, r, old);
+      int r = rank_of_place (s, at);
+      gboolean both = gain > 0 && cf_group_map_holds (s->m, s->set, r, old);
 
       if (r != rank)
-        score += cost_change (s, r, both ? by + more : by);
+        score += cost_change (s, r, both ? change + gain : change);
     }
   return score;
 }
 
-/* The whole share of @e goes from one rank to another; @old, which others
- * hold too, leaves the latter. */
+/* The change of cost if the copy of @e moves from rank @from to @rank, where
+ * it replaces @old (none if -1), which other ranks hold as well. */
 static double
-score_away (const CfSetPlan *s, int e, int from, int rank, int old)
+score_transfer (const CfSetPlan *s, int e, int from, int rank, int old)
 {
-  double share = share_of (s, e);
-  double gone = old >= 0 ? share_of (s, old) : 0;
-  double more = 0;
+  double share = copy_load (s, e);
+  double removed = old >= 0 ? copy_load (s, old) : 0;
+  double gain = 0;
 
   if (old >= 0 && cf_group_map_holds (s->m, s->set, from, old))
-    more = share_gained (s, old);
-  return cost_change (s, rank, share - gone) + cost_change (s, from, -share)
-         + cost_of_leaving (s, old, rank, -1)
-         - (more > 0 ? cost_change (s, from, more) : 0);
+    gain = copy_load_gain (s, old);
+  return cost_change (s, rank, share - removed) + cost_change (s, from, -share)
+         + removal_cost (s, old, rank, -1)
+         - (gain > 0 ? cost_change (s, from, gain) : 0);
 }
 
+/* The change of cost if rank @from drops its copy of @e. */
 static double
 score_drop (const CfSetPlan *s, int e, int from)
 {
-  return cost_change (s, from, -share_of (s, e))
-         + cost_of_leaving (s, e, from, -1);
+  return cost_change (s, from, -copy_load (s, e))
+         + removal_cost (s, e, from, -1);
 }
 
+/* The change of cost if ranks @from and @rank exchange @e and @old. */
 static double
 score_swap (const CfSetPlan *s, int e, int from, int rank, int old)
 {
-  double a = share_of (s, e);
-  double b = share_of (s, old);
+  double a = copy_load (s, e);
+  double b = copy_load (s, old);
 
   return cost_change (s, from, b - a) + cost_change (s, rank, a - b);
 }
 
-/* Whether @rank may hold @e in @place: within what it may copy, of the set
- * and of all. */
+/* Whether @rank may put @e into @place without exceeding the number of
+ * experts that it may copy, of this set and of all sets. */
 static gboolean
-may_take (CfSetPlan *s, int rank, int place, int e)
+may_hold (CfSetPlan *s, int rank, int place, int e)
 {
   gint16 *at = cf_group_map_row (s->m, s->set, rank) + place;
   gint16 old = *at;
@@ -249,16 +258,17 @@
          && s->added[rank] - before + after <= s->max_rank_new;
 }
 
-/* Only a slow rank gives experts away: among equals a copy serves better, and
- * moves that look best at first come to an end sooner. */
+/* Only slow ranks transfer or drop experts.  Between ranks of the same speed
+ * a copy is better, and a search that always takes the best next move would
+ * get stuck sooner. */
 static gboolean
 is_slow (const CfSetPlan *s, int rank)
 {
-  return pace_of (s, rank) > SLOW_PACE;
+  return rank_pace (s, rank) > SLOW_RANK_PACE;
 }
 
 static void
-keep_better (CfMove *best, CfMove mv, CfMoveKind kind, double score)
+keep_if_better (CfMove *best, CfMove mv, CfMoveKind kind, double score)
 {
   if (score >= best->score)
     return;
@@ -268,23 +278,24 @@
 }
 
 static void
-consider (CfSetPlan *s, CfMove *best, const CfMove *mv)
+consider_receiver_place (CfSetPlan *s, CfMove *best, const CfMove *mv)
 {
   int old = cf_group_map_row (s->m, s->set, mv->rank)[mv->place];
 
-  if (!may_take (s, mv->rank, mv->place, mv->expert))
+  if (!may_hold (s, mv->rank, mv->place, mv->expert))
     return;
   if (old < 0 || s->copies[old] > 1)
     {
-      keep_better (best, *mv, CF_MOVE_COPY,
-                   score_copy (s, mv->expert, mv->rank, old));
+      keep_if_better (best, *mv, CF_MOVE_COPY,
+                      score_copy (s, mv->expert, mv->rank, old));
       if (is_slow (s, mv->from_rank))
-        keep_better (best, *mv, CF_MOVE_TRANSFER,
-                     score_away (s, mv->expert, mv->from_rank, mv->rank, old));
+        keep_if_better (
+            best, *mv, CF_MOVE_TRANSFER,
+            score_transfer (s, mv->expert, mv->from_rank, mv->rank, old));
     }
-  if (old >= 0 && may_take (s, mv->from_rank, mv->from_place, old))
-    keep_better (best, *mv, CF_MOVE_SWAP,
-                 score_swap (s, mv->expert, mv->from_rank, mv->rank, old));
+  if (old >= 0 && may_hold (s, mv->from_rank, mv->from_place, old))
+    keep_if_better (best, *mv, CF_MOVE_SWAP,
+                    score_swap (s, mv->expert, mv->from_rank, mv->rank, old));
 }
 
 static void
@@ -295,29 +306,29 @@
   mv.from_place = place;
   mv.expert = cf_group_map_row (s->m, s->set, rank)[place];
   if (mv.expert >= 0 && s->copies[mv.expert] > 1 && is_slow (s, rank))
-    keep_better (best, mv, CF_MOVE_DROP, score_drop (s, mv.expert, rank));
+    keep_if_better (best, mv, CF_MOVE_DROP, score_drop (s, mv.expert, rank));
 }
 
 static void
-consider_receiver (CfSetPlan *s, CfMove *best, int hot, int rank)
+consider_receiver (CfSetPlan *s, CfMove *best, int slowest, int rank)
 {
-  const CfGroupShape *sh = &s->m->shape;
+  const CfGroupShape *shape = &s->m->shape;
 
-  for (int hp = 0; hp < sh->places; hp++)
-    for (int p = 0; p < sh->places; p++)
+  for (int from_place = 0; from_place < shape->places; from_place++)
+    for (int p = 0; p < shape->places; p++)
       {
-        CfMove mv = { .rank = rank, .place = p, .from_rank = hot };
+        CfMove mv = { .rank = rank, .place = p, .from_rank = slowest };
 
-        mv.expert = cf_group_map_row (s->m, s->set, hot)[hp];
-        mv.from_place = hp;
+        mv.expert = cf_group_map_row (s->m, s->set, slowest)[from_place];
+        mv.from_place = from_place;
         if (mv.expert >= 0)
-          consider (s, best, &mv);
+          consider_receiver_place (s, best, &mv);
       }
 }
 
-/* Whether @rank may copy one expert more. */
+/* Whether @rank may copy one more expert. */
 static gboolean
-has_allowance (const CfSetPlan *s, int rank)
+may_copy_more (const CfSetPlan *s, int rank)
 {
   return s->added[rank] < s->max_rank_new
          && cf_group_map_count_rank_added (s->from, s->m, s->set, rank)
@@ -325,41 +336,42 @@
 }
 
 static int
-by_time (gconstpointer a, gconstpointer b, gpointer data)
+compare_time (gconstpointer a, gconstpointer b, gpointer data)
 {
   const CfSetPlan *s = data;
-  double x = time_of (s, *(const int *)a);
-  double y = time_of (s, *(const int *)b);
+  double x = rank_time (s, *(const int *)a);
+  double y = rank_time (s, *(const int *)b);
 
   return (x > y) - (x < y);
 }
 
-/* The ranks that are lighter than @hot; with @room, those that may copy one
- * expert more. */
+/* Fills @receivers with the ranks that take less time than @slowest and, with
+ * @with_allowance, may copy one more expert.  Returns their number. */
 static int
-find_lighter (CfSetPlan *s, int hot, gboolean room)
+find_lighter_ranks (CfSetPlan *s, int slowest, gboolean with_allowance)
 {
   int n = 0;
 
   for (int r = 0; r < s->m->shape.ranks; r++)
-    if (time_of (s, r) < time_of (s, hot) && (!room || has_allowance (s, r)))
-      s->lightest[n++] = r;
+    if (rank_time (s, r) < rank_time (s, slowest)
+        && (!with_allowance || may_copy_more (s, r)))
+      s->receivers[n++] = r;
   return n;
 }
 
-/* Fills @lightest with the ranks that experts of @hot may go to; how many.
- * Of few, one without room is looked at as well: what it copies already may
- * give way. */
+/* Fills @receivers with the ranks to which experts of @slowest may go, and
+ * returns their number.  If there are few, ranks without an allowance are
+ * included: an expert that such a rank is to copy may be replaced. */
 static int
-find_receivers (CfSetPlan *s, int hot)
+find_receivers (CfSetPlan *s, int slowest)
 {
-  int n = find_lighter (s, hot, FALSE);
+  int n = find_lighter_ranks (s, slowest, FALSE);
 
   if (n <= RECEIVERS_MAX)
     return n;
-  n = find_lighter (s, hot, TRUE);
+  n = find_lighter_ranks (s, slowest, TRUE);
   if (n > RECEIVERS_MAX)
-    g_qsort_with_data (s->lightest, n, sizeof *s->lightest, by_time, s);
+    g_qsort_with_data (s->receivers, n, sizeof *s->receivers, compare_time, s);
   return MIN (n, RECEIVERS_MAX);
 }
 
@@ -367,22 +379,22 @@
 cf_set_plan_find_best_move (CfSetPlan *s)
 {
   CfMove best = { .rank = -1, .score = 0 };
-  int hot = slowest_rank (s);
-  int n = find_receivers (s, hot);
+  int slowest = slowest_rank (s);
+  int n = find_receivers (s, slowest);
 
   for (int p = 0; p < s->m->shape.places; p++)
-    consider_drop (s, &best, hot, p);
+    consider_drop (s, &best, slowest, p);
   for (int i = 0; i < n; i++)
-    consider_receiver (s, &best, hot, s->lightest[i]);
+    consider_receiver (s, &best, slowest, s->receivers[i]);
   return best;
 }
 
 double
 cf_set_plan_relief (const CfSetPlan *s, const CfMove *mv)
 {
-  double top = time_of (s, slowest_rank (s));
+  double top = rank_time (s, slowest_rank (s));
 
-  return mv->rank < 0 ? 0 : -mv->score * top / (COST_POWER * cost_of (top));
+  return mv->rank < 0 ? 0 : -mv->score * top / (COST_POWER * time_cost (top));
 }
 
 gboolean
@@ -394,10 +406,10 @@
       return TRUE;
     case CF_MOVE_COPY:
     case CF_MOVE_TRANSFER:
-      return may_take (s, mv->rank, mv->place, mv->expert);
+      return may_hold (s, mv->rank, mv->place, mv->expert);
     case CF_MOVE_SWAP:
-      return may_take (s, mv->rank, mv->place, mv->expert)
-             && may_take (s, mv->from_rank, mv->from_place,
+      return may_hold (s, mv->rank, mv->place, mv->expert)
+             && may_hold (s, mv->from_rank, mv->from_place,
                           cf_group_map_row (s->m, s->set, mv->rank)[mv->place]);
     }
   return FALSE;
@@ -407,8 +419,8 @@
 cf_set_plan_apply (CfSetPlan *s, const CfMove *mv)
 {
   gint16 *held = cf_group_map_row (s->m, s->set, 0);
-  gint16 *to = held + place_at (s, mv->rank, mv->place);
-  gint16 *from = held + place_at (s, mv->from_rank, mv->from_place);
+  gint16 *to = held + place_index (s, mv->rank, mv->place);
+  gint16 *from = held + place_index (s, mv->from_rank, mv->from_place);
   gint16 old = *to;
 
   if (mv->kind != CF_MOVE_DROP)
--- a/gateway/set-plan.h
+++ b/gateway/set-plan.h
@@ -3,20 +3,23 @@
 #include "group-map.h"
 
 /**
- * One set of experts while its better map is looked for: what each rank's
- * part is, and which single move takes most from the slowest rank.
+ * One set of experts while a better map for it is searched: the load of each
+ * rank, and the single move that relieves the slowest rank most.
+ *
+ * Loads are in even shares: 1 is the load that each rank would have if the
+ * set's demand were spread evenly over all ranks.
  */
 
-/** CfMoveKind: what a move does beside putting an expert in a place. */
+/** CfMoveKind: how a move changes the two ranks' places. */
 typedef enum
 {
-  CF_MOVE_COPY,     /**< nothing */
-  CF_MOVE_SWAP,     /**< what was there goes to where the expert was */
-  CF_MOVE_TRANSFER, /**< the place where the expert was is left empty */
-  CF_MOVE_DROP,     /**< only that: other ranks hold the expert */
+  CF_MOVE_COPY,     /**< adds a copy; the donor keeps its own */
+  CF_MOVE_SWAP,     /**< exchanges the experts of the two places */
+  CF_MOVE_TRANSFER, /**< moves the expert; the donor's place becomes empty */
+  CF_MOVE_DROP,     /**< empties the donor's place; other ranks hold copies */
 } CfMoveKind;
 
-/** CfMove: @expert of @from_rank goes to @place of @rank. */
+/** CfMove: puts @expert, which @from_rank holds, into @place of @rank. */
 typedef struct
 {
   CfMoveKind kind;
@@ -25,48 +28,55 @@
   int place;
   int from_rank;
   int from_place;
-  double score; /**< what it adds to the cost of all ranks' parts */
+  double score; /**< change of the ranks' total cost; lower is better */
 } CfMove;
 
-/** CfSetPlan: the set, and what is known of it.  The arrays are its own. */
+/** CfSetPlan: the state of the search for one set.  It owns the arrays that
+ * cf_set_plan_init() allocates; @pace and @added belong to the caller. */
 typedef struct
 {
-  const CfGroupMap *from; /**< as it is in use */
-  CfGroupMap *m;          /**< as it will be */
+  const CfGroupMap *from; /**< the map in use */
+  CfGroupMap *m;          /**< the map being planned */
   int set;
-  double *tokens;      /**< by expert: its draw, in even parts of a rank */
-  gboolean has_demand; /**< whether there is any draw at all */
-  int *copies;         /**< by expert */
+  double *tokens;      /**< by expert: its demand, in even shares */
+  gboolean has_demand; /**< whether any expert of the set has demand */
+  int *copies;         /**< by expert: the number of ranks that hold it */
   int *first_holder;   /**< by expert: the first place that holds it, or -1 */
-  int *next_holder;    /**< by place: the next that holds the same, or -1 */
-  double *load;        /**< by rank, at the usual pace */
-  int *lightest;       /**< ranks, while they are put in order */
-  const double *pace;  /**< (nullable): by rank; %NULL: all as usual */
-  int max_new;         /**< experts that a rank may copy of this set */
-  const int *added;    /**< by rank: what it copies of all sets */
-  int max_rank_new;    /**< experts that a rank may copy of all sets */
+  int *next_holder;    /**< by place: the next with the same expert, or -1 */
+  double *load;        /**< by rank, before its slowdown factor */
+  int *receivers;      /**< scratch: ranks that may receive an expert */
+  const double *pace;  /**< (nullable): by rank: its slowdown factor, 1 being
+                            the usual speed; %NULL: 1 for all */
+  int max_new;         /**< experts of this set that a rank may copy */
+  const int *added;    /**< by rank: experts of all sets that it copies */
+  int max_rank_new;    /**< experts of all sets that a rank may copy */
 } CfSetPlan;
 
 /**
  * cf_set_plan_init:
- * @draw: by expert of the set
+ * Prepares the search; @max_new, @added and @max_rank_new are left for the
+ * caller to fill.
+ * @demand: by expert of the set, in any unit
  */
 void cf_set_plan_init (CfSetPlan *s, const CfGroupMap *from, CfGroupMap *m,
-                       int set, const double *draw, const double *pace);
+                       int set, const double *demand, const double *pace);
 void cf_set_plan_clear (CfSetPlan *s);
 
-/** cf_set_plan_skew: the slowest rank's part against an even one. */
+/** cf_set_plan_skew: the time that the slowest rank takes for its load,
+ * relative to an even share at the usual speed; 1 if there is no demand. */
 double cf_set_plan_skew (const CfSetPlan *s);
 
-/** cf_set_plan_find_best_move: the one that helps the slowest rank most. */
+/** cf_set_plan_find_best_move: finds the move that lowers the total cost
+ * most, among those that take load off the slowest rank. */
 CfMove cf_set_plan_find_best_move (CfSetPlan *s);
 
-/** cf_set_plan_relief: what @mv takes off the slowest rank, in even parts,
- * as far as all ranks' parts together tell; 0 if it is no move. */
+/** cf_set_plan_relief: estimates from the total cost, in even shares, how
+ * much @mv takes off the slowest rank; 0 if there is no move. */
 double cf_set_plan_relief (const CfSetPlan *s, const CfMove *mv);
 
-/** cf_set_plan_may_apply: whether the ranks may still copy what @mv needs. */
+/** cf_set_plan_may_apply: whether the copies that @mv needs are still within
+ * the limits of the ranks. */
 gboolean cf_set_plan_may_apply (CfSetPlan *s, const CfMove *mv);
 
-/** cf_set_plan_apply: changes the map by @mv. */
+/** cf_set_plan_apply: changes the planned map by @mv. */
 void cf_set_plan_apply (CfSetPlan *s, const CfMove *mv);
--- a/t/t-group-map.c
+++ b/t/t-group-map.c
@@ -1,4 +1,5 @@
-/* Planning expert maps: whole, bounded, better; and the figures. */
+/* Planned expert maps are complete, within the copy limits and less skewed.
+ */
 #include "gateway/map-gain.h"
 #include "gateway/map-plan.h"
 #include "harness.h"
@@ -6,12 +7,12 @@
 #include <math.h>
 #include <time.h>
 
-static const CfGroupShape shape
+static const CfGroupShape small_shape
     = { .sets = 4, .experts = 64, .ranks = 16, .places = 5, .spare = 2 };
 
-/* Zipf-like demand in an order of its own for each set. */
+/* Zipf-like demand, in a different random order for each set. */
 static double *
-demand (const CfGroupShape *sh, guint32 seed)
+random_demand (const CfGroupShape *sh, guint32 seed)
 {
   GRand *rand = g_rand_new_with_seed (seed);
   double *t = g_new (double, sh->sets * sh->experts);
@@ -26,12 +27,12 @@
 check_bounds (const CfGroupMap *from, const CfGroupMap *to, int max_new)
 {
   ck_assert (cf_group_map_is_complete (to));
-  for (int s = 0; s < shape.sets; s++)
-    for (int r = 0; r < shape.ranks; r++)
+  for (int s = 0; s < small_shape.sets; s++)
+    for (int r = 0; r < small_shape.ranks; r++)
       {
         int added = 0;
 
-        for (int p = 0; p < shape.places; p++)
+        for (int p = 0; p < small_shape.places; p++)
           {
             int e = cf_group_map_row (to, s, r)[p];
 
@@ -41,8 +42,8 @@
       }
 }
 
-/* One change takes most of the skew away: before it, 3.05 at seed 1. */
-START_TEST (one_change_evens_the_load)
+/* The skew before the change is 3.05 at seed 1. */
+START_TEST (one_change_removes_most_skew)
 {
   const CfPlanLimits limits = {
     .max_new = 1, .max_rank_new = 0, .min_gain = 0.02, .move_gain = 0.01
@@ -50,8 +51,8 @@
 
   for (guint32 seed = 1; seed <= 50; seed++)
     {
-      CfGroupMap *from = cf_group_map_round_robin (&shape);
-      double *t = demand (&shape, seed);
+      CfGroupMap *from = cf_group_map_round_robin (&small_shape);
+      double *t = random_demand (&small_shape, seed);
       CfGroupMap *to = cf_group_map_plan (from, t, NULL, &limits);
 
       ck_assert_ptr_nonnull (to);
@@ -65,13 +66,14 @@
 }
 END_TEST
 
-/* Copies that save little are left out; the skew stays nearly as low. */
-START_TEST (fewer_copies_nearly_as_even)
+/* With higher limits, copies that save little are left out, while the skew
+ * stays nearly as low. */
+START_TEST (gain_limits_save_copies_at_little_skew)
 {
   const CfPlanLimits all = {
     .max_new = 1, .max_rank_new = 0, .min_gain = 0.02, .move_gain = 0.01
   };
-  const CfPlanLimits few
+  const CfPlanLimits strict
       = { .max_new = 1, .max_rank_new = 0, .min_gain = 0.2, .move_gain = 0.12 };
   int n_all = 0;
   int n_few = 0;
@@ -79,10 +81,10 @@
 
   for (guint32 seed = 1; seed <= 50; seed++)
     {
-      CfGroupMap *from = cf_group_map_round_robin (&shape);
-      double *t = demand (&shape, seed);
+      CfGroupMap *from = cf_group_map_round_robin (&small_shape);
+      double *t = random_demand (&small_shape, seed);
       CfGroupMap *a = cf_group_map_plan (from, t, NULL, &all);
-      CfGroupMap *f = cf_group_map_plan (from, t, NULL, &few);
+      CfGroupMap *f = cf_group_map_plan (from, t, NULL, &strict);
 
       n_all += cf_group_map_count_added (from, a);
       n_few += cf_group_map_count_added (from, f);
@@ -97,20 +99,20 @@
 }
 END_TEST
 
-/* A rank that works five times as slowly is relieved of most of its part:
- * without it, the group waits for about five even parts. */
-START_TEST (slow_ranks_get_little)
+/* A rank that takes five times as long loses most of its load.  Otherwise the
+ * group would wait for about five times the time of an even share. */
+START_TEST (slow_ranks_are_relieved)
 {
   const CfPlanLimits limits
       = { .max_new = 1, .max_rank_new = 0, .min_gain = 0.2, .move_gain = 0.12 };
   double pace[16];
 
-  for (int r = 0; r < shape.ranks; r++)
+  for (int r = 0; r < small_shape.ranks; r++)
     pace[r] = r == 3 ? 5 : 1;
   for (guint32 seed = 1; seed <= 50; seed++)
     {
-      CfGroupMap *m = cf_group_map_round_robin (&shape);
-      double *t = demand (&shape, seed);
+      CfGroupMap *m = cf_group_map_round_robin (&small_shape);
+      double *t = random_demand (&small_shape, seed);
 
       for (int i = 0; i < 4; i++)
         {
@@ -130,16 +132,16 @@
 END_TEST
 
 static int
-most_copies_of_a_rank (const CfGroupMap *from, const CfGroupMap *to)
+max_copies_of_a_rank (const CfGroupMap *from, const CfGroupMap *to)
 {
   int most = 0;
 
-  for (int r = 0; r < shape.ranks; r++)
+  for (int r = 0; r < small_shape.ranks; r++)
     {
       int n = 0;
 
-      for (int s = 0; s < shape.sets; s++)
-        for (int p = 0; p < shape.places; p++)
+      for (int s = 0; s < small_shape.sets; s++)
+        for (int p = 0; p < small_shape.places; p++)
           {
             int e = cf_group_map_row (to, s, r)[p];
 
@@ -150,10 +152,11 @@
   return most;
 }
 
-/* One copy a rank over all sets is made in a quarter of the time that one a
- * rank and set takes.  Best moves first, the mean skew of 50 demands falls
- * from 2.96 to 1.52 by the first such change and to 1.25 by the second. */
-START_TEST (quick_changes_copy_what_counts_most)
+/* With four sets, a change of one copy per rank takes a quarter of the time of
+ * one copy per rank and set.  As the best moves are made first, the mean skew
+ * over 50 demands falls from 2.96 to 1.52 with the first such change and to
+ * 1.25 with the second. */
+START_TEST (small_changes_make_the_best_copies_first)
 {
   const CfPlanLimits limits = {
     .max_new = 1, .max_rank_new = 1, .min_gain = 0.02, .move_gain = 0.01
@@ -162,8 +165,8 @@
 
   for (guint32 seed = 1; seed <= 50; seed++)
     {
-      CfGroupMap *m = cf_group_map_round_robin (&shape);
-      double *t = demand (&shape, seed);
+      CfGroupMap *m = cf_group_map_round_robin (&small_shape);
+      double *t = random_demand (&small_shape, seed);
 
       skew[0] += cf_group_map_skew (m, t, NULL) / 50;
       for (int i = 1; i < 3; i++)
@@ -171,7 +174,7 @@
           CfGroupMap *to = cf_group_map_plan (m, t, NULL, &limits);
 
           ck_assert_ptr_nonnull (to);
-          ck_assert_int_le (most_copies_of_a_rank (m, to), 1);
+          ck_assert_int_le (max_copies_of_a_rank (m, to), 1);
           cf_group_map_free (m);
           m = to;
           skew[i] += cf_group_map_skew (m, t, NULL) / 50;
@@ -184,18 +187,18 @@
 }
 END_TEST
 
-START_TEST (nothing_is_done_without_gain)
+START_TEST (no_change_without_gain)
 {
   const CfPlanLimits limits = {
     .max_new = 2, .max_rank_new = 0, .min_gain = 0.05, .move_gain = 0.01
   };
-  CfGroupMap *from = cf_group_map_round_robin (&shape);
-  double *t = g_new (double, shape.sets *shape.experts);
+  CfGroupMap *from = cf_group_map_round_robin (&small_shape);
+  double *t = g_new (double, small_shape.sets *small_shape.experts);
 
-  for (int i = 0; i < shape.sets * shape.experts; i++)
+  for (int i = 0; i < small_shape.sets * small_shape.experts; i++)
     t[i] = 1;
   ck_assert_ptr_null (cf_group_map_plan (from, t, NULL, &limits));
-  for (int i = 0; i < shape.sets * shape.experts; i++)
+  for (int i = 0; i < small_shape.sets * small_shape.experts; i++)
     t[i] = 0;
   ck_assert_ptr_null (cf_group_map_plan (from, t, NULL, &limits));
   cf_group_map_free (from);
@@ -203,17 +206,18 @@
 }
 END_TEST
 
-/* Change after change under random demand, maps stay whole and bounded. */
-START_TEST (many_changes_stay_whole)
+/* Each of many changes for random demand keeps the map complete and stays
+ * within the copy limit. */
+START_TEST (maps_stay_complete_over_many_changes)
 {
   const CfPlanLimits limits = {
     .max_new = 2, .max_rank_new = 0, .min_gain = 0.05, .move_gain = 0.02
   };
-  CfGroupMap *m = cf_group_map_round_robin (&shape);
+  CfGroupMap *m = cf_group_map_round_robin (&small_shape);
 
   for (guint32 seed = 1; seed <= 200; seed++)
     {
-      double *t = demand (&shape, seed);
+      double *t = random_demand (&small_shape, seed);
       CfGroupMap *to = cf_group_map_plan (m, t, NULL, &limits);
 
       if (to)
@@ -230,11 +234,11 @@
 }
 END_TEST
 
-static const CfGroupShape large
+static const CfGroupShape large_shape
     = { .sets = 10, .experts = 384, .ranks = 192, .places = 3, .spare = 2 };
 
 static double
-processor_ms (void)
+thread_cpu_ms (void)
 {
   struct timespec t;
 
@@ -243,55 +247,55 @@
 }
 
 /*
- * In a group of 192 ranks no map was ever changed.  A plan took 80 to 120 ms
- * of processor in one go, half a second of a VM with a fifth of a core, in
- * the thread that serves callers; then the leader found that it had stood
- * still, settled for seconds and planned anew.  A plan is made in parts, and
- * takes a tenth of that as a whole.  The quickest of three is what counts, so
- * that other load on the machine does not.
+ * A plan for 192 ranks made in one go blocked the event loop for 80 to 120 ms
+ * of processor time, half a second on a VM with a fifth of a core.  The leader
+ * took that for a standstill, settled for seconds and planned anew, so that no
+ * map was ever changed.  Plans are therefore made in steps, and take a tenth
+ * of that time in total.  The fastest of three runs counts, so that other load
+ * on the machine does not fail the test.
  */
-START_TEST (a_plan_for_a_large_group_is_made_in_parts)
+START_TEST (large_plans_are_made_in_short_steps)
 {
   const CfPlanLimits limits
       = { .max_new = 1, .max_rank_new = 1, .min_gain = 0.2, .move_gain = 0.12 };
-  CfGroupMap *from = cf_group_map_round_robin (&large);
-  double whole_ms = G_MAXDOUBLE;
-  double part_ms = G_MAXDOUBLE;
-  double *t = demand (&large, 1);
+  CfGroupMap *from = cf_group_map_round_robin (&large_shape);
+  double total_ms = G_MAXDOUBLE;
+  double step_ms = G_MAXDOUBLE;
+  double *t = random_demand (&large_shape, 1);
 
   for (int i = 0; i < 3; i++)
     {
       CfMapPlan *p = cf_map_plan_new (from, t, NULL, &limits);
-      double begun = processor_ms ();
+      double begun = thread_cpu_ms ();
       double longest = 0;
       double part = begun;
       CfGroupMap *m;
 
       while (!cf_map_plan_step (p, 24))
         {
-          longest = MAX (longest, processor_ms () - part);
-          part = processor_ms ();
+          longest = MAX (longest, thread_cpu_ms () - part);
+          part = thread_cpu_ms ();
         }
-      whole_ms = MIN (whole_ms, processor_ms () - begun);
-      part_ms = MIN (part_ms, longest);
+      total_ms = MIN (total_ms, thread_cpu_ms () - begun);
+      step_ms = MIN (step_ms, longest);
       ck_assert_double_lt (cf_map_plan_skew_after (p),
                            cf_map_plan_skew_before (p) / 2);
       m = cf_map_plan_end (p);
       ck_assert_ptr_nonnull (m);
       cf_group_map_free (m);
     }
-  ck_assert_double_lt (part_ms, 5);
-  ck_assert_double_lt (whole_ms, 40);
+  ck_assert_double_lt (step_ms, 5);
+  ck_assert_double_lt (total_ms, 40);
   cf_group_map_free (from);
   g_free (t);
 }
 END_TEST
 
 static double
-skew_after_one_change (const CfPlanLimits *limits, guint32 seed)
+skew_after_change (const CfPlanLimits *limits, guint32 seed)
 {
-  CfGroupMap *from = cf_group_map_round_robin (&large);
-  double *t = demand (&large, seed);
+  CfGroupMap *from = cf_group_map_round_robin (&large_shape);
+  double *t = random_demand (&large_shape, seed);
   CfGroupMap *to = cf_group_map_plan (from, t, NULL, limits);
   double skew;
 
@@ -303,33 +307,33 @@
   return skew;
 }
 
-/* Where a copy takes 8 ms, one change does what several of one copy a rank
- * would. */
-START_TEST (quick_copies_even_the_load_at_once)
+/* Where a copy takes 8 ms, one change may make several copies per rank, and
+ * removes the skew that otherwise takes several changes. */
+START_TEST (fast_copies_remove_skew_in_one_change)
 {
-  const CfPlanLimits slow = cf_map_plan_limits (111, large.sets);
-  const CfPlanLimits quick = cf_map_plan_limits (7.6, large.sets);
+  const CfPlanLimits slow = cf_map_plan_limits (111, large_shape.sets);
+  const CfPlanLimits quick = cf_map_plan_limits (7.6, large_shape.sets);
 
   for (guint32 seed = 1; seed <= 5; seed++)
-    ck_assert_double_lt (skew_after_one_change (&quick, seed),
-                         skew_after_one_change (&slow, seed) / 2);
+    ck_assert_double_lt (skew_after_change (&quick, seed),
+                         skew_after_change (&slow, seed) / 2);
 }
 END_TEST
 
-/* Rows of other experts are told, rows in another order are not; with them
- * the next map comes of the one before, and of what a group begins with. */
-START_TEST (a_map_is_told_by_what_changes)
+/* A diff lists rows with other experts, but not rows in another order.
+ * Applied to the map that a group starts with, it gives the new map. */
+START_TEST (a_diff_rebuilds_the_map)
 {
   const CfPlanLimits limits
       = { .max_new = 1, .max_rank_new = 1, .min_gain = 0.2, .move_gain = 0.12 };
-  CfGroupMap *from = cf_group_map_round_robin (&large);
-  double *t = demand (&large, 2);
+  CfGroupMap *from = cf_group_map_round_robin (&large_shape);
+  double *t = random_demand (&large_shape, 2);
   CfGroupMap *to = cf_group_map_plan (from, t, NULL, &limits);
   GArray *rows = cf_group_map_diff (from, to);
-  CfGroupMap *made = cf_group_map_round_robin (&large);
+  CfGroupMap *made = cf_group_map_round_robin (&large_shape);
   gint16 *row = cf_group_map_row (made, 4, 77);
   gint16 first = row[0];
-  guint width = (guint)large.places + 1;
+  guint width = (guint)large_shape.places + 1;
 
   ck_assert_uint_le (rows->len,
                      (guint)cf_group_map_count_added (from, to) * width);
@@ -348,7 +352,7 @@
 }
 END_TEST
 
-START_TEST (rows_that_do_not_fit_are_refused)
+START_TEST (rows_that_do_not_fit_are_rejected)
 {
   const gint64 wrong[][4] = {
     { -1, 0, 1, 2 }, { 1920, 0, 1, 2 }, { 0, 384, 1, 2 }, { 0, 0, -2, 2 }
@@ -356,10 +360,10 @@
 
   for (gsize i = 0; i <= G_N_ELEMENTS (wrong); i++)
     {
-      CfGroupMap *m = cf_group_map_round_robin (&large);
+      CfGroupMap *m = cf_group_map_round_robin (&large_shape);
       GArray *rows = g_array_new (FALSE, FALSE, sizeof (gint64));
 
-      /* The last of all is cut short. */
+      /* The last case is a truncated row. */
       if (i < G_N_ELEMENTS (wrong))
         g_array_append_vals (rows, wrong[i], 4);
       else
@@ -377,16 +381,16 @@
   Suite *s = suite_create ("group-map");
   TCase *t = tcase_create ("group-map");
 
-  tcase_add_test (t, one_change_evens_the_load);
-  tcase_add_test (t, fewer_copies_nearly_as_even);
-  tcase_add_test (t, slow_ranks_get_little);
-  tcase_add_test (t, quick_changes_copy_what_counts_most);
-  tcase_add_test (t, nothing_is_done_without_gain);
-  tcase_add_test (t, many_changes_stay_whole);
-  tcase_add_test (t, a_plan_for_a_large_group_is_made_in_parts);
-  tcase_add_test (t, quick_copies_even_the_load_at_once);
-  tcase_add_test (t, a_map_is_told_by_what_changes);
-  tcase_add_test (t, rows_that_do_not_fit_are_refused);
+  tcase_add_test (t, one_change_removes_most_skew);
+  tcase_add_test (t, gain_limits_save_copies_at_little_skew);
+  tcase_add_test (t, slow_ranks_are_relieved);
+  tcase_add_test (t, small_changes_make_the_best_copies_first);
+  tcase_add_test (t, no_change_without_gain);
+  tcase_add_test (t, maps_stay_complete_over_many_changes);
+  tcase_add_test (t, large_plans_are_made_in_short_steps);
+  tcase_add_test (t, fast_copies_remove_skew_in_one_change);
+  tcase_add_test (t, a_diff_rebuilds_the_map);
+  tcase_add_test (t, rows_that_do_not_fit_are_rejected);
   suite_add_tcase (s, t);
   return t_run (s);
 }
