--- a/gateway/expert-counts.c
+++ b/gateway/expert-counts.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/** Samples older than this are dropped from the popularity estimate; ranks that
- * are read seldom are read more often than that. */
+/** An increase over a longer time is dropped from the demand estimate.  Even
+ * the ranks that are read least often are read more often than this. */
 #define SAMPLE_MAX_AGE_MS 3000
 
 void
@@ -15,46 +15,47 @@
 }
 
 static gboolean
-may_subtract (const CfExpertCounts *c, const GArray *now, gint64 incarnation,
-              gint64 now_ms)
+is_comparable (const CfExpertCounts *c, const GArray *counts,
+               gint64 incarnation, gint64 now_ms)
 {
-  return c->last && c->incarnation == incarnation && c->last->len == now->len
-         && now_ms - c->at_ms <= SAMPLE_MAX_AGE_MS;
+  return c->last && c->incarnation == incarnation && c->last->len == counts->len
+         && now_ms - c->read_at_ms <= SAMPLE_MAX_AGE_MS;
 }
 
-/* %NULL if a counter decreased, i.e. the rank restarted. */
+/* %NULL if a counter decreased, that is, the rank reset its counters. */
 static GArray *
-subtract (const GArray *now, const GArray *before)
+subtract (const GArray *counts, const GArray *before)
 {
-  GArray *since = g_array_sized_new (FALSE, FALSE, sizeof (gint64), now->len);
+  GArray *delta
+      = g_array_sized_new (FALSE, FALSE, sizeof (gint64), counts->len);
 
-  for (guint i = 0; i < now->len; i++)
+  for (guint i = 0; i < counts->len; i++)
     {
-      gint64 n = g_array_index (now, gint64, i);
-      gint64 more = n - g_array_index (before, gint64, i);
+      gint64 n = g_array_index (counts, gint64, i);
+      gint64 increase = n - g_array_index (before, gint64, i);
 
-      if (more < 0)
+      if (increase < 0)
         {
-          g_array_unref (since);
+          g_array_unref (delta);
           return NULL;
         }
-      g_array_append_val (since, more);
+      g_array_append_val (delta, increase);
     }
-  return since;
+  return delta;
 }
 
 GArray *
-cf_expert_counts_take_delta (CfExpertCounts *c, GArray *now, gint64 incarnation,
-                             gint64 now_ms)
+cf_expert_counts_take_delta (CfExpertCounts *c, GArray *counts,
+                             gint64 incarnation, gint64 now_ms)
 {
-  GArray *since = NULL;
+  GArray *delta = NULL;
 
-  if (may_subtract (c, now, incarnation, now_ms))
-    since = subtract (now, c->last);
+  if (is_comparable (c, counts, incarnation, now_ms))
+    delta = subtract (counts, c->last);
   if (c->last)
     g_array_unref (c->last);
-  c->last = now;
+  c->last = counts;
   c->incarnation = incarnation;
-  c->at_ms = now_ms;
-  return since;
+  c->read_at_ms = now_ms;
+  return delta;
 }
--- a/gateway/expert-counts.h
+++ b/gateway/expert-counts.h
@@ -4,25 +4,26 @@
 
 /**
  * CfExpertCounts:
- * Last counters of a rank: how often each expert was chosen there since the
- * rank started.  Reports carry deltas since the previous report, regardless of
- * which leader received it: small numbers, of a byte each.
+ * The last counters read from a rank: how often the model chose each expert
+ * there since the rank started.  Status messages carry the increase since the
+ * previous message, regardless of which leader received that one, since these
+ * are small numbers that take one byte each.
  */
 typedef struct
 {
   GArray *last;       /**< (nullable): of gint64, one for each expert */
-  gint64 incarnation; /**< of the target that counted */
-  gint64 at_ms;       /**< when that was */
+  gint64 incarnation; /**< of the target that @last was read from */
+  gint64 read_at_ms;  /**< when @last was read */
 } CfExpertCounts;
 
 void cf_expert_counts_clear (CfExpertCounts *c);
 
 /**
  * cf_expert_counts_take_delta:
- * @now: what the rank says; taken over
+ * @counts: the rank's counters, now; ownership is taken
  * Returns: (nullable): how often each expert was chosen since the last
- *   reading, a new array of gint64; %NULL if that was long ago, or of another
- *   start of the rank.
+ *   reading, a new array of gint64; %NULL if there is no last reading, if it
+ *   is too old, or if the rank restarted since.
  */
-GArray *cf_expert_counts_take_delta (CfExpertCounts *c, GArray *now,
+GArray *cf_expert_counts_take_delta (CfExpertCounts *c, GArray *counts,
                                      gint64 incarnation, gint64 now_ms);
--- a/gateway/expert-demand.c
+++ b/gateway/expert-demand.c
@@ -2,43 +2,45 @@
 
 #include <math.h>
 
-/** Demand is a sum that loses half its weight in this time: with less, maps
- * follow the draw of single requests.  Shifts do not wait for it. */
-#define DEMAND_HALF_MS 250.0
-/** A window is as long as the pause between two readings of a rank... */
+/** The weight of a window halves in this time.  With less, maps follow the
+ * choices of single requests; a shift of demand does not wait for it. */
+#define DEMAND_HALF_LIFE_MS 250.0
+/** Minimum length of a window, the interval between two readings of a
+ * sampled rank. */
 #define WINDOW_MS 100
-/** ...and longer while fewer ranks than this, or half of all, reported. */
-#define WINDOW_REPORTS 8
-/** Part of the draw that goes to other experts than before, in a window, from
- * which on it counts as a shift. */
-#define SHIFT_PART 0.16
+/** A window stays open until this many ranks, or half of the group if that is
+ * fewer, have reported. */
+#define WINDOW_MIN_REPORTS 8
+/** A window in which more than this share of the demand moved to other
+ * experts counts as a shift. */
+#define SHIFT_MIN_SHARE 0.16
 
 void
 cf_expert_demand_init (CfExpertDemand *d, int ranks, gsize experts)
 {
   d->ranks = ranks;
   d->experts = experts;
-  d->fresh = g_new0 (double, experts);
+  d->window_tokens = g_new0 (double, experts);
   d->tokens = g_new0 (double, experts);
   d->n_reports = 0;
   d->n_windows = 0;
-  d->window_ms = 0;
+  d->window_begin_ms = 0;
   d->shifting = FALSE;
 }
 
 void
 cf_expert_demand_clear (CfExpertDemand *d)
 {
-  g_free (d->fresh);
+  g_free (d->window_tokens);
   g_free (d->tokens);
 }
 
 void
-cf_expert_demand_add (CfExpertDemand *d, const gint64 *drawn)
+cf_expert_demand_add (CfExpertDemand *d, const gint64 *increases)
 {
   d->n_reports++;
   for (gsize i = 0; i < d->experts; i++)
-    d->fresh[i] += (double)drawn[i];
+    d->window_tokens[i] += (double)increases[i];
 }
 
 void
@@ -47,10 +49,10 @@
   d->n_windows = 0;
 }
 
-/* The part of the draw that moved to other experts than before: half of the
- * sum of what each expert's share gained or lost. */
+/* The share of the demand that moved to other experts than before: half of
+ * the sum of the changes of each expert's share. */
 static double
-part_moved (const CfExpertDemand *d)
+moved_share (const CfExpertDemand *d)
 {
   double before = 0;
   double now = 0;
@@ -59,39 +61,40 @@
   for (gsize i = 0; i < d->experts; i++)
     {
       before += d->tokens[i];
-      now += d->fresh[i];
+      now += d->window_tokens[i];
     }
   if (before <= 0 || now <= 0)
     return 0;
   for (gsize i = 0; i < d->experts; i++)
-    moved += fabs (d->tokens[i] / before - d->fresh[i] / now);
+    moved += fabs (d->tokens[i] / before - d->window_tokens[i] / now);
   return moved / 2;
 }
 
 static void
 close_window (CfExpertDemand *d, gint64 now)
 {
-  double keep = exp2 (-(double)(now - d->window_ms) / DEMAND_HALF_MS);
-  gboolean shift = part_moved (d) > SHIFT_PART;
+  double decay
+      = exp2 (-(double)(now - d->window_begin_ms) / DEMAND_HALF_LIFE_MS);
+  gboolean is_shift = moved_share (d) > SHIFT_MIN_SHARE;
 
-  if (shift)
-    keep = 0;
-  d->shifting = shift && !d->shifting;
-  d->window_ms = now;
+  if (is_shift)
+    decay = 0;
+  d->shifting = is_shift && !d->shifting;
+  d->window_begin_ms = now;
   d->n_windows++;
   d->n_reports = 0;
   for (gsize i = 0; i < d->experts; i++)
     {
-      d->tokens[i] = d->tokens[i] * keep + d->fresh[i];
-      d->fresh[i] = 0;
+      d->tokens[i] = d->tokens[i] * decay + d->window_tokens[i];
+      d->window_tokens[i] = 0;
     }
 }
 
 void
 cf_expert_demand_tick (CfExpertDemand *d, gint64 now)
 {
-  if (now - d->window_ms >= WINDOW_MS
-      && d->n_reports >= MIN (WINDOW_REPORTS, (d->ranks + 1) / 2))
+  if (now - d->window_begin_ms >= WINDOW_MS
+      && d->n_reports >= MIN (WINDOW_MIN_REPORTS, (d->ranks + 1) / 2))
     close_window (d, now);
 }
 
--- a/gateway/expert-demand.h
+++ b/gateway/expert-demand.h
@@ -4,40 +4,44 @@
 
 /**
  * CfExpertDemand:
- * How much each expert of a rank group is drawn on lately, from what its
- * ranks say they drew since they last did.  That is taken together over
- * windows; a window unlike those before shows a shift
- * of demand, and what was counted before it is dropped.
+ * The recent demand for each expert of a rank group: how often it was chosen,
+ * from the increases of the counters that the ranks report.  Reports are
+ * summed over windows.  A window that differs much from those before it shows
+ * a shift of demand, and what was counted before it is dropped.
  */
 typedef struct
 {
   int ranks;
-  gsize experts;     /**< of all sets */
-  double *fresh;     /**< by expert: drawn in the window that is open */
-  int n_reports;     /**< in the window that is open */
-  double *tokens;    /**< by expert: drawn lately */
-  gint64 window_ms;  /**< when the open window began */
-  guint n_windows;   /**< closed since init() or forget() */
-  gboolean shifting; /**< the last window was the first after a shift */
+  gsize experts;          /**< of all sets */
+  double *window_tokens;  /**< by expert: demand in the open window */
+  int n_reports;          /**< in the open window */
+  double *tokens;         /**< by expert: demand in the closed windows, in
+                               which older ones weigh less */
+  gint64 window_begin_ms; /**< when the open window began */
+  guint n_windows;        /**< closed since init() or reset() */
+  gboolean shifting;      /**< the last window was the first after a shift */
 } CfExpertDemand;
 
 void cf_expert_demand_init (CfExpertDemand *d, int ranks, gsize experts);
 void cf_expert_demand_clear (CfExpertDemand *d);
 
-/** cf_expert_demand_add: a rank drew so much of each expert. */
-void cf_expert_demand_add (CfExpertDemand *d, const gint64 *drawn);
+/** cf_expert_demand_add: adds one report of one rank: by expert, how often it
+ * was chosen there since the rank's previous report. */
+void cf_expert_demand_add (CfExpertDemand *d, const gint64 *increases);
 
-/** cf_expert_demand_reset: drops all samples, as the group formed anew. */
+/** cf_expert_demand_reset: counts windows from zero again, after the group
+ * formed anew. */
 void cf_expert_demand_reset (CfExpertDemand *d);
 
-/** cf_expert_demand_tick: ends the open window, if it is time to. */
+/** cf_expert_demand_tick: closes the open window if it is long enough and has
+ * enough reports. */
 void cf_expert_demand_tick (CfExpertDemand *d, gint64 now_ms);
 
 /**
  * cf_expert_demand_is_settled:
- * Whether a plan may be made: some demand is known, and no shift is only
- * half counted.  A shift falls within a window, so that one shows old and
- * new demand mixed; a map planned for the mixture was out of date when it
- * came, and a second change followed each time.
+ * Whether a map may be planned: there is some demand, and no shift has been
+ * counted only in part.  A shift falls within a window, which therefore shows
+ * a mixture of old and new demand; a map planned for the mixture would be out
+ * of date once in use, and a second change would follow each time.
  */
 gboolean cf_expert_demand_is_settled (const CfExpertDemand *d);
--- a/t/t-expert-demand.c
+++ b/t/t-expert-demand.c
@@ -1,4 +1,4 @@
-/* What experts draw lately: noise is averaged, a shift is seen at once. */
+/* Demand for experts: noise is averaged, a shift takes effect at once. */
 #include "gateway/expert-demand.h"
 #include "harness.h"
 
@@ -10,14 +10,14 @@
 
 static CfExpertDemand demand;
 static gint64 now;
-static gint64 drawn[RANKS][EXPERTS];
+static gint64 chosen[RANKS][EXPERTS];
 
 static void
 setup (void)
 {
   cf_expert_demand_init (&demand, RANKS, EXPERTS);
   now = 1000;
-  memset (drawn, 0, sizeof drawn);
+  memset (chosen, 0, sizeof chosen);
   cf_expert_demand_tick (&demand, now);
 }
 
@@ -27,17 +27,17 @@
   cf_expert_demand_clear (&demand);
 }
 
-/* A window in which each rank draws @each of every expert, and @more of
- * expert @hot. */
+/* Runs one window, in which each rank chooses every expert @each times, and
+ * @popular another @more times. */
 static void
-window (int hot, int each, int more)
+run_window (int popular, int each, int more)
 {
   for (int r = 0; r < RANKS; r++)
     {
       for (int e = 0; e < EXPERTS; e++)
-        drawn[r][e] += each + (e == hot ? more : 0);
-      cf_expert_demand_add (&demand, drawn[r]);
-      memset (drawn[r], 0, sizeof drawn[r]);
+        chosen[r][e] += each + (e == popular ? more : 0);
+      cf_expert_demand_add (&demand, chosen[r]);
+      memset (chosen[r], 0, sizeof chosen[r]);
     }
   now += WINDOW_MS;
   cf_expert_demand_tick (&demand, now);
@@ -53,10 +53,10 @@
   return demand.tokens[expert] / sum;
 }
 
-START_TEST (nothing_is_known_at_first)
+START_TEST (no_demand_at_first)
 {
   ck_assert (!cf_expert_demand_is_settled (&demand));
-  window (0, 100, 100);
+  run_window (0, 100, 100);
   ck_assert (cf_expert_demand_is_settled (&demand));
 }
 END_TEST
@@ -65,7 +65,7 @@
 {
   for (int i = 0; i < 20; i++)
     {
-      window (i % EXPERTS, 100, 40);
+      run_window (i % EXPERTS, 100, 40);
       ck_assert (cf_expert_demand_is_settled (&demand));
     }
   for (int e = 0; e < EXPERTS; e++)
@@ -73,32 +73,32 @@
 }
 END_TEST
 
-/* The window in which a shift falls is a mixture: no plan is made of it,
- * and after the next one nothing of the old demand is left. */
-START_TEST (a_shift_is_counted_by_itself)
+/* The window in which a shift falls shows a mixture of old and new demand.  No
+ * map is planned from it, and the next window no longer counts old demand. */
+START_TEST (a_shift_drops_earlier_demand)
 {
   for (int i = 0; i < 20; i++)
-    window (0, 100, 700);
+    run_window (0, 100, 700);
   ck_assert_double_gt (share_of (0), 0.45);
   for (int r = 0; r < RANKS; r++)
-    drawn[r][0] += 400;
-  window (1, 50, 350);
+    chosen[r][0] += 400;
+  run_window (1, 50, 350);
   ck_assert (!cf_expert_demand_is_settled (&demand));
-  window (1, 100, 700);
+  run_window (1, 100, 700);
   ck_assert (cf_expert_demand_is_settled (&demand));
   ck_assert_double_gt (share_of (1), 0.45);
   ck_assert_double_lt (share_of (0), 0.1);
-  window (1, 100, 700);
+  run_window (1, 100, 700);
   ck_assert (cf_expert_demand_is_settled (&demand));
 }
 END_TEST
 
-/* With few reports in it a window goes on. */
+/* A window with too few reports stays open. */
 START_TEST (a_window_waits_for_reports)
 {
-  window (0, 100, 0);
-  drawn[0][3] += 5000;
-  cf_expert_demand_add (&demand, drawn[0]);
+  run_window (0, 100, 0);
+  chosen[0][3] += 5000;
+  cf_expert_demand_add (&demand, chosen[0]);
   now += WINDOW_MS;
   cf_expert_demand_tick (&demand, now);
   ck_assert_double_lt (share_of (3), 0.2);
@@ -113,9 +113,9 @@
   TCase *tc = tcase_create ("core");
 
   tcase_add_checked_fixture (tc, setup, teardown);
-  tcase_add_test (tc, nothing_is_known_at_first);
+  tcase_add_test (tc, no_demand_at_first);
   tcase_add_test (tc, small_changes_are_averaged);
-  tcase_add_test (tc, a_shift_is_counted_by_itself);
+  tcase_add_test (tc, a_shift_drops_earlier_demand);
   tcase_add_test (tc, a_window_waits_for_reports);
   suite_add_tcase (s, tc);
   return t_run (s);
