--- a/gateway/rank-agent-order.c
+++ b/gateway/rank-agent-order.c
@@ -8,22 +8,23 @@
 #include <string.h>
 
 /** The rank answers within a few ms of this VM's processor time.  An order
- * that is not answered by then may be lost while the whole group waits, so
- * it is given again: every order may be carried out twice. */
+ * without an answer by then may be lost while the whole group waits, so it is
+ * sent again; carrying out an order twice does no harm. */
 #define ORDER_TIMEOUT_MS 20
-/** Tries of one order, here, where the rank is near: where many get lost, all
- * ranks are armed sooner than by tries of the leader. */
-#define ORDER_TRIES 4
+/** Attempts for one order.  As the rank is close, all ranks are armed sooner
+ * than with attempts of the leader if many orders are lost. */
+#define ORDER_ATTEMPTS_MAX 4
 #define REPORT_TIMEOUT_MS 50
-/** The rank may not check tokens itself, so old ones end here. */
+/** The agent itself rejects orders with an old fencing token, since the rank
+ * may not check tokens. */
 #define STATUS_FENCED 412
 #define STATUS_DONE 200
 #define STATUS_CONFLICT 409
 
-/** OrderCall: an order on its way to the rank. */
+/** OrderCall: an order in progress; freed when it is acknowledged. */
 typedef struct
 {
-  CfRankAgent *a;
+  CfRankAgent *agent;
   CfSeed *from;
   gint64 seq;
   gint64 fence;
@@ -31,19 +32,19 @@
   gint64 version;
   char *body;
   gsize n;
-  int tries;
-  int http_status; /**< of the last try; 0: no answer */
+  int attempts;
+  int http_status; /**< of the last attempt; 0: no answer */
 } OrderCall;
 
 static void
-answer_order (OrderCall *o)
+send_ack (OrderCall *o)
 {
   CfPeerMsg m = { .kind = CF_PEER_ORDER_ACK };
 
   m.u.order_ack.seq = o->seq;
   m.u.order_ack.http_status = o->http_status;
-  m.u.order_ack.status = o->a->status;
-  m.u.order_ack.fence_seen = o->a->fence_seen;
+  m.u.order_ack.status = o->agent->status;
+  m.u.order_ack.fence_seen = o->agent->fence_seen;
   if (o->from->up)
     cf_peer_msg_send (o->from->link, &m);
   cf_log (LOG_INFO, CF_EV_RANK_ORDER,
@@ -52,18 +53,19 @@
           " prepared=%" G_GINT64_FORMAT " armed=%" G_GINT64_FORMAT
           " held=%" G_GINT64_FORMAT,
           cf_rank_order_name (o->kind), o->version, o->fence, o->http_status,
-          o->tries, o->a->status.step, o->a->status.map, o->a->status.prepared,
-          o->a->status.armed, o->a->status.held);
+          o->attempts, o->agent->status.step, o->agent->status.map,
+          o->agent->status.prepared, o->agent->status.armed,
+          o->agent->status.held);
   g_free (o->body);
   g_free (o);
 }
 
 /* Whether the rank's state shows that an order without an answer was carried
- * out all the same. */
+ * out. */
 static gboolean
-is_carried_out (const OrderCall *o)
+is_in_effect (const OrderCall *o)
 {
-  const CfRankStatus *s = &o->a->status;
+  const CfRankStatus *s = &o->agent->status;
 
   switch (o->kind)
     {
@@ -81,77 +83,78 @@
   return FALSE;
 }
 
-static void give (OrderCall *o);
+static void send_to_rank (OrderCall *o);
 
 static void
-on_report_after (void *data, int status, const GString *body)
+on_report_after_order (void *data, int status, const GString *body)
 {
   OrderCall *o = data;
-  gboolean known = cf_rank_agent_take_report (o->a, status, body);
+  gboolean known = cf_rank_agent_handle_report (o->agent, status, body);
 
-  if (o->http_status == 0 && known && is_carried_out (o))
+  if (o->http_status == 0 && known && is_in_effect (o))
     o->http_status = STATUS_DONE;
-  if (o->http_status == 0 && o->tries < ORDER_TRIES
-      && o->fence >= o->a->fence_seen)
-    give (o);
+  if (o->http_status == 0 && o->attempts < ORDER_ATTEMPTS_MAX
+      && o->fence >= o->agent->fence_seen)
+    send_to_rank (o);
   else
-    answer_order (o);
+    send_ack (o);
 }
 
 static void
-on_order_done (void *data, int status, const GString *body)
+on_order_answer (void *data, int status, const GString *body)
 {
   OrderCall *o = data;
 
-  /* A try before it may have been what it does not fit any more. */
-  o->http_status = status == STATUS_CONFLICT && o->tries > 1 ? 0 : status;
-  /* Also without an answer: the copy may have begun all the same. */
+  /* The order may conflict only because an earlier attempt was carried out. */
+  o->http_status = status == STATUS_CONFLICT && o->attempts > 1 ? 0 : status;
+  /* Also without an answer, since the copy may have begun. */
   if (o->kind == CF_ORDER_PREPARE)
-    cf_rank_agent_await_copy (o->a, o->version);
-  cf_rank_call (o->a->loop, o->a->target,
-                cf_platform_rank_report_call (o->a->set.target_addr),
-                REPORT_TIMEOUT_MS, on_report_after, o);
+    cf_rank_agent_track_copy (o->agent, o->version);
+  cf_rank_call (o->agent->loop, o->agent->target,
+                cf_platform_rank_report_call (o->agent->set.target_addr),
+                REPORT_TIMEOUT_MS, on_report_after_order, o);
 }
 
 static void
-give (OrderCall *o)
+send_to_rank (OrderCall *o)
 {
-  o->tries++;
+  o->attempts++;
   cf_rank_call (
-      o->a->loop, o->a->target,
-      cf_platform_rank_order_call (o->a->set.target_addr, o->body, o->n),
-      ORDER_TIMEOUT_MS, on_order_done, o);
+      o->agent->loop, o->agent->target,
+      cf_platform_rank_order_call (o->agent->set.target_addr, o->body, o->n),
+      ORDER_TIMEOUT_MS, on_order_answer, o);
 }
 
-/* Gives @o, whose body is made, unless another leader goes before. */
+/* Sends @o to the rank.  Without doing so, acknowledges it if its token is too
+ * old or it has no body. */
 static void
-begin (OrderCall *o)
+start_order (OrderCall *o)
 {
-  CfRankAgent *a = o->a;
+  CfRankAgent *a = o->agent;
 
   if (o->fence < a->fence_seen)
     {
       o->http_status = STATUS_FENCED;
-      answer_order (o);
+      send_ack (o);
       return;
     }
   a->fence_seen = o->fence;
   if (o->body)
-    give (o);
+    send_to_rank (o);
   else
     {
       o->http_status = CF_PEER_NO_BASE;
-      answer_order (o);
+      send_ack (o);
     }
 }
 
 static OrderCall *
-new_call (CfSeed *s, CfRankOrderKind kind, gint64 seq, gint64 fence,
-          gint64 version)
+new_order_call (CfSeed *s, CfRankOrderKind kind, gint64 seq, gint64 fence,
+                gint64 version)
 {
   OrderCall *o = g_new0 (OrderCall, 1);
 
-  o->a = s->a;
+  o->agent = s->agent;
   o->from = s;
   o->kind = kind;
   o->seq = seq;
@@ -161,18 +164,18 @@
 }
 
 void
-cf_rank_agent_order (CfSeed *s, const CfPeerMsg *m)
+cf_rank_agent_handle_order (CfSeed *s, const CfPeerMsg *m)
 {
-  OrderCall *o = new_call (s, m->u.order.order, m->u.order.seq,
-                           m->u.order.fence, m->u.order.version);
+  OrderCall *o = new_order_call (s, m->u.order.order, m->u.order.seq,
+                                 m->u.order.fence, m->u.order.version);
 
   o->n = m->u.order.body.n;
   o->body = g_memdup2 (m->u.order.body.data, o->n);
-  begin (o);
+  start_order (o);
 }
 
-/* The body of an order to prepare the map that @m names by its differences;
- * %NULL if that cannot be told from what this agent knows. */
+/* Returns the body of the order to prepare the map that @m describes as a
+ * diff; NULL if this agent lacks the base map or the diff does not fit. */
 static char *
 prepare_body (CfRankAgent *a, const CfPeerMsg *m)
 {
@@ -196,12 +199,12 @@
 }
 
 void
-cf_rank_agent_prepare (CfSeed *s, const CfPeerMsg *m)
+cf_rank_agent_handle_prepare (CfSeed *s, const CfPeerMsg *m)
 {
-  OrderCall *o = new_call (s, CF_ORDER_PREPARE, m->u.prepare.seq,
-                           m->u.prepare.fence, m->u.prepare.version);
+  OrderCall *o = new_order_call (s, CF_ORDER_PREPARE, m->u.prepare.seq,
+                                 m->u.prepare.fence, m->u.prepare.version);
 
-  o->body = prepare_body (s->a, m);
+  o->body = prepare_body (s->agent, m);
   o->n = o->body ? strlen (o->body) : 0;
-  begin (o);
+  start_order (o);
 }
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -9,51 +9,55 @@
 
 #include <string.h>
 
-/** Without a leader the rank is read so often, and all gateways are told, so
- * that one of them takes the lead soon. */
-#define READ_MS 250
-/** What a leader may ask for: more often costs 0.2 ms of processor each. */
-#define READ_LEAST_MS 50
-#define READ_MOST_MS 5000
-/** While the rank copies experts, so that the group can switch soon after
- * the last copy. */
-#define READ_COPYING_MS 40
-/** A copy that takes longer is not waited for any more. */
-#define COPYING_MAX_MS 5000
-/** How often gateways that stand by get the status. */
-#define STANDBY_MS 1000
-/** A gateway that did not tick for so long is taken as down: three ticks. */
-#define HEARD_MS 1300L
-/** Between two looks for seeds without a link, while another has one... */
+/** Read interval while no gateway leads.  All of them get the status, so that
+ * one soon takes the lead. */
+#define NO_LEADER_READ_MS 250
+/** Bounds of the read interval that a leader may ask for.  Each read costs
+ * 0.2 ms of processor time, so the interval must not be too short. */
+#define READ_MIN_MS 50
+#define READ_MAX_MS 5000
+/** Read interval while the rank copies experts, so that the group can switch
+ * soon after the last copy is complete. */
+#define COPYING_READ_MS 40
+/** The agent stops waiting for a copy that takes longer. */
+#define COPY_TIMEOUT_MS 5000
+/** How often gateways on standby get the status. */
+#define STANDBY_STATUS_MS 1000
+/** A gateway counts as down if no tick came for this long, three times their
+ * interval. */
+#define TICK_TIMEOUT_MS 1300L
+/** Interval between reconnect attempts to seeds while another has a link... */
 #define RECONNECT_MS 500
-/** ...and while none has: no one leads the group, and its map stays as it
- * formed with, at a skew of 3 where 1.3 could be. */
-#define RECONNECT_ALONE_MS 100
-/** Looks of the quicker kind: for 3 s, in which gateways that were killed are
- * back; in a longer outage of theirs thousands of agents should not press. */
-#define QUICK_LOOKS 30
+/** ...and while none has.  Until a gateway leads, the group keeps the map that
+ * it started with, at a skew of 3 where 1.3 is possible. */
+#define ISOLATED_RECONNECT_MS 100
+/** Attempts at the shorter interval, 3 s in total: gateways that were killed
+ * are back by then, and thousands of agents must not load them for long if
+ * they are not. */
+#define ISOLATED_RECONNECTS_MAX 30
 #define CALL_TIMEOUT_MS 1000
 
 static gboolean
-heard (const CfSeed *s, gint64 now)
+is_alive (const CfSeed *s, gint64 now)
 {
-  return s->up && s->heard_ms && now - s->heard_ms < HEARD_MS;
+  return s->up && s->tick_seen_ms && now - s->tick_seen_ms < TICK_TIMEOUT_MS;
 }
 
+/* Returns a bit mask of the seeds that are alive. */
 static guint
 seeds_up (const CfRankAgent *a, gint64 now)
 {
   guint bits = 0;
 
   for (int i = 0; i < a->n_seeds; i++)
-    if (heard (&a->seeds[i], now))
+    if (is_alive (&a->seeds[i], now))
       bits |= 1U << i;
   return bits;
 }
 
-/* The gateway that leads: the one with the highest token. */
+/* Returns the leader: the live gateway with the highest token; NULL if none. */
 static CfSeed *
-leader (CfRankAgent *a, gint64 now)
+find_leader (CfRankAgent *a, gint64 now)
 {
   CfSeed *best = NULL;
 
@@ -61,17 +65,18 @@
     {
       CfSeed *s = &a->seeds[i];
 
-      if (heard (s, now) && s->fence > 0 && (!best || s->fence > best->fence))
+      if (is_alive (s, now) && s->fence > 0
+          && (!best || s->fence > best->fence))
         best = s;
     }
   return best;
 }
 
 static void
-tell_status (CfRankAgent *a, GArray *drawn)
+send_status (CfRankAgent *a, GArray *increases)
 {
   gint64 now = cf_now_ms ();
-  CfSeed *lead = leader (a, now);
+  CfSeed *lead = find_leader (a, now);
   CfPeerMsg m = { .kind = CF_PEER_RANK_STATUS };
 
   m.u.rank_status.status = a->status;
@@ -82,43 +87,44 @@
     {
       CfSeed *s = &a->seeds[i];
 
-      if (!s->up || (lead && s != lead && now - s->told_ms < STANDBY_MS))
+      if (!s->up
+          || (lead && s != lead && now - s->status_sent_ms < STANDBY_STATUS_MS))
         continue;
-      m.u.rank_status.drawn = s == lead ? drawn : NULL;
+      m.u.rank_status.drawn = s == lead ? increases : NULL;
       if (s == lead)
-        a->told = a->status;
-      s->told_ms = now;
+        a->sent_status = a->status;
+      s->status_sent_ms = now;
       cf_peer_msg_send (s->link, &m);
     }
 }
 
-/* Readings of the rank */
+/* Reads of the rank */
 
 void
-cf_rank_agent_plan_read (CfRankAgent *a, gint64 ms)
+cf_rank_agent_schedule_read (CfRankAgent *a, gint64 ms)
 {
-  ev_timer_stop (a->loop, &a->poll);
-  ev_timer_set (&a->poll, (double)ms / 1000, 0);
-  ev_timer_start (a->loop, &a->poll);
+  ev_timer_stop (a->loop, &a->read_timer);
+  ev_timer_set (&a->read_timer, (double)ms / 1000, 0);
+  ev_timer_start (a->loop, &a->read_timer);
 }
 
 static void
-note_rank (CfRankAgent *a, gboolean answers)
+note_rank_reachable (CfRankAgent *a, gboolean answers)
 {
-  if (a->rank_lost == !answers)
+  if (a->rank_unreachable == !answers)
     return;
-  a->rank_lost = !answers;
+  a->rank_unreachable = !answers;
   cf_log (LOG_NOTICE, CF_EV_TARGET_FAIL, "target=%s outcome=%s",
           a->set.target_addr, answers ? "answers-again" : "no-answer");
 }
 
-/* Its group formed anew, or the rank itself started anew: no copy is under
- * way any more.  While one is awaited the leader is told of changes alone,
- * so that it would not settle for up to %COPYING_MAX_MS. */
+/* The group re-formed or the rank restarted, so no copy is in progress any
+ * more.  During a copy the leader is sent only changes; if the copy were not
+ * dropped here, the leader could not settle for up to %COPY_TIMEOUT_MS. */
 static void
-note_new_epoch (CfRankAgent *a, const CfRankStatus *s)
+handle_new_epoch (CfRankAgent *a, const CfRankStatus *s)
 {
-  a->awaited = 0;
+  a->copying_version = 0;
   if (s->incarnation == a->status.incarnation)
     return;
   cf_log (LOG_NOTICE, CF_EV_TARGET_FAIL,
@@ -128,11 +134,11 @@
 }
 
 gboolean
-cf_rank_agent_take_report (CfRankAgent *a, int status, const GString *body)
+cf_rank_agent_handle_report (CfRankAgent *a, int status, const GString *body)
 {
   CfRankStatus s;
 
-  note_rank (a, status == 200);
+  note_rank_reachable (a, status == 200);
   if (status != 200)
     return FALSE;
   if (cf_platform_rank_status (body->str, body->len, &s) != CF_OK)
@@ -143,49 +149,50 @@
     }
   if (a->has_status
       && (s.incarnation != a->status.incarnation || s.epoch != a->status.epoch))
-    note_new_epoch (a, &s);
+    handle_new_epoch (a, &s);
   a->status = s;
   a->has_status = TRUE;
   cf_map_history_uses (&a->maps, s.map);
-  if (a->awaited
-      && (s.map == a->awaited || cf_now_ms () - a->awaited_ms > COPYING_MAX_MS))
-    a->awaited = 0;
+  if (a->copying_version
+      && (s.map == a->copying_version
+          || cf_now_ms () - a->copying_since_ms > COPY_TIMEOUT_MS))
+    a->copying_version = 0;
   return TRUE;
 }
 
 void
-cf_rank_agent_await_copy (CfRankAgent *a, gint64 version)
+cf_rank_agent_track_copy (CfRankAgent *a, gint64 version)
 {
-  a->awaited = version;
-  a->awaited_ms = cf_now_ms ();
-  cf_rank_agent_plan_read (a, READ_COPYING_MS);
+  a->copying_version = version;
+  a->copying_since_ms = cf_now_ms ();
+  cf_rank_agent_schedule_read (a, COPYING_READ_MS);
 }
 
 static gint64
-read_pause (CfRankAgent *a)
+read_interval (CfRankAgent *a)
 {
-  CfSeed *lead = leader (a, cf_now_ms ());
+  CfSeed *lead = find_leader (a, cf_now_ms ());
 
   if (!lead)
-    return READ_MS;
-  if (a->awaited)
-    return READ_COPYING_MS;
-  return CLAMP (lead->read_ms, READ_LEAST_MS, READ_MOST_MS);
+    return NO_LEADER_READ_MS;
+  if (a->copying_version)
+    return COPYING_READ_MS;
+  return CLAMP (lead->read_interval_ms, READ_MIN_MS, READ_MAX_MS);
 }
 
 static void
-reading_done (CfRankAgent *a)
+finish_read (CfRankAgent *a)
 {
-  a->reading = FALSE;
-  cf_rank_agent_plan_read (a, read_pause (a));
+  a->read_pending = FALSE;
+  cf_rank_agent_schedule_read (a, read_interval (a));
 }
 
-/* Whether the leader has to know what the last reading showed at once. */
+/* Whether the leader has to learn of a change at once. */
 static gboolean
-has_news (const CfRankAgent *a)
+has_urgent_change (const CfRankAgent *a)
 {
   const CfRankStatus *s = &a->status;
-  const CfRankStatus *t = &a->told;
+  const CfRankStatus *t = &a->sent_status;
 
   return s->map != t->map || s->prepared != t->prepared || s->armed != t->armed
          || s->held != t->held || s->epoch != t->epoch || s->open != t->open
@@ -197,7 +204,7 @@
 {
   CfRankAgent *a = data;
   GArray *counts = NULL;
-  GArray *drawn = NULL;
+  GArray *increases = NULL;
   gint64 incarnation = 0;
 
   if (status == 200
@@ -205,16 +212,16 @@
              != CF_OK)
     cf_log (LOG_WARNING, CF_EV_TARGET_FAIL, "target=%s error=\"%s\"",
             a->set.target_addr, cf_last_error ());
-  /* It restarted between the two calls: the next reading has both. */
+  /* The rank restarted between the two calls; the next read gets both. */
   if (counts && incarnation != a->status.incarnation)
     g_clear_pointer (&counts, g_array_unref);
   if (counts)
-    drawn = cf_expert_counts_take_delta (&a->counts, counts, incarnation,
-                                         cf_now_ms ());
-  tell_status (a, drawn);
-  if (drawn)
-    g_array_unref (drawn);
-  reading_done (a);
+    increases = cf_expert_counts_take_delta (&a->counts, counts, incarnation,
+                                             cf_now_ms ());
+  send_status (a, increases);
+  if (increases)
+    g_array_unref (increases);
+  finish_read (a);
 }
 
 static void
@@ -223,19 +230,19 @@
   CfRankAgent *a = data;
   const CfSeed *lead;
 
-  if (!cf_rank_agent_take_report (a, status, body) || !a->status.group[0])
+  if (!cf_rank_agent_handle_report (a, status, body) || !a->status.group[0])
     {
-      reading_done (a);
+      finish_read (a);
       return;
     }
-  lead = leader (a, cf_now_ms ());
-  /* Whoever is to lead has to hear of the rank first.  A leader that waits
-   * for a copy has, and is told only of changes. */
-  if (!lead || a->awaited)
+  lead = find_leader (a, cf_now_ms ());
+  /* A gateway needs the status of the ranks to take the lead.  A leader that
+   * waits for a copy has it, and is sent only changes. */
+  if (!lead || a->copying_version)
     {
-      if (!lead || has_news (a))
-        tell_status (a, NULL);
-      reading_done (a);
+      if (!lead || has_urgent_change (a))
+        send_status (a, NULL);
+      finish_read (a);
     }
   else
     cf_rank_call (a->loop, a->target,
@@ -244,18 +251,18 @@
 }
 
 static void
-on_poll (struct ev_loop *loop, ev_timer *t, int revents)
+on_read_timer (struct ev_loop *loop, ev_timer *t, int revents)
 {
   CfRankAgent *a = t->data;
 
-  if (a->reading)
+  if (a->read_pending)
     return;
   if (seeds_up (a, cf_now_ms ()) == 0)
     {
-      cf_rank_agent_plan_read (a, READ_MS);
+      cf_rank_agent_schedule_read (a, NO_LEADER_READ_MS);
       return;
     }
-  a->reading = TRUE;
+  a->read_pending = TRUE;
   cf_rank_call (loop, a->target,
                 cf_platform_rank_report_call (a->set.target_addr),
                 CALL_TIMEOUT_MS, on_report, a);
@@ -274,11 +281,11 @@
     {
       cf_log (LOG_WARNING, CF_EV_TARGET_FAIL,
               "target=%s call=lists status=%d error=\"%s\"",
-              s->a->set.target_addr, status,
+              s->agent->set.target_addr, status,
               status == 200 ? cf_last_error () : "");
       return;
     }
-  m.u.lists.epoch = s->a->status.epoch;
+  m.u.lists.epoch = s->agent->status.epoch;
   if (s->up)
     cf_peer_msg_send (s->link, &m);
   cf_peer_msg_clear (&m);
@@ -286,14 +293,14 @@
 
 /* Links to the gateways */
 
-/* Not passed on: each gateway notifies all agents itself. */
+/* The changes are not forwarded: each gateway notifies all agents itself. */
 static void
-take_crashes (CfSeed *s, const CfPeerMsg *m)
+handle_crashes (CfSeed *s, const CfPeerMsg *m)
 {
   char *name = g_strdup_printf ("seed-%d", s->index);
 
-  cf_peer_crashes_merge (s->a->quarantine, m, name, cf_now_ms ());
-  cf_quarantine_discard_changes (s->a->quarantine);
+  cf_peer_crashes_merge (s->agent->quarantine, m, name, cf_now_ms ());
+  cf_quarantine_discard_changes (s->agent->quarantine);
   g_free (name);
 }
 
@@ -302,17 +309,17 @@
 {
   CfSeed *s = owner;
   CfPeerMsg m = { .kind = CF_PEER_AGENT_HELLO };
-  const char *addr = s->a->set.target_addr;
+  const char *addr = s->agent->set.target_addr;
 
   s->up = TRUE;
-  s->told_ms = 0;
+  s->status_sent_ms = 0;
   m.u.agent_hello.target_addr.data = addr;
   m.u.agent_hello.target_addr.n = strlen (addr);
   cf_peer_msg_send (l, &m);
-  cf_peer_crashes_send_all (s->a->quarantine, l, TRUE, cf_now_ms ());
-  /* Whoever is to lead has to hear of the rank. */
-  if (!s->a->reading)
-    cf_rank_agent_plan_read (s->a, 0);
+  cf_peer_crashes_send_all (s->agent->quarantine, l, TRUE, cf_now_ms ());
+  /* A gateway needs the status of the ranks to take the lead. */
+  if (!s->agent->read_pending)
+    cf_rank_agent_schedule_read (s->agent, 0);
   cf_log (LOG_NOTICE, CF_EV_PEER, "seed=%d outcome=up", s->index);
 }
 
@@ -328,30 +335,33 @@
   s->fence = 0;
 }
 
-/* A new leader's token guards the rank from here on; it waits to be told, as
- * does one that wants to be told more often from now on. */
+/* Records a heartbeat.  A higher token fences off earlier leaders from now on.
+ * A new leader, and one that asks for a shorter interval, waits for the
+ * status, so the rank is read at once. */
 static void
-take_tick (CfSeed *s, gint64 fence, gint64 read_ms)
+handle_tick (CfSeed *s, gint64 fence, gint64 read_interval_ms)
 {
-  CfRankAgent *a = s->a;
-  gboolean sooner = fence > 0 && read_ms < s->read_ms;
+  CfRankAgent *a = s->agent;
+  gboolean wants_faster = fence > 0 && read_interval_ms < s->read_interval_ms;
 
-  s->heard_ms = cf_now_ms ();
+  s->tick_seen_ms = cf_now_ms ();
   s->fence = fence;
-  s->read_ms = read_ms;
+  s->read_interval_ms = read_interval_ms;
   if (fence <= a->fence_seen)
     {
-      if (sooner && fence == a->fence_seen && !a->reading && !a->awaited)
-        cf_rank_agent_plan_read (a, 0);
+      if (wants_faster && fence == a->fence_seen && !a->read_pending
+          && !a->copying_version)
+        cf_rank_agent_schedule_read (a, 0);
       return;
     }
   a->fence_seen = fence;
-  /* The copy was the earlier leader's; this one knows nothing of the rank. */
-  a->awaited = 0;
+  /* The copy was ordered by an earlier leader, and the new one does not know
+   * the rank's state, so it gets every status. */
+  a->copying_version = 0;
   cf_log (LOG_NOTICE, CF_EV_PEER,
           "seed=%d outcome=leads fence=%" G_GINT64_FORMAT, s->index, fence);
-  if (!a->reading)
-    cf_rank_agent_plan_read (a, 0);
+  if (!a->read_pending)
+    cf_rank_agent_schedule_read (a, 0);
 }
 
 static void
@@ -368,20 +378,20 @@
     switch (m.kind)
       {
       case CF_PEER_TICK:
-        take_tick (s, m.u.tick.fence, m.u.tick.read_ms);
+        handle_tick (s, m.u.tick.fence, m.u.tick.read_ms);
         break;
       case CF_PEER_CRASHES:
-        take_crashes (s, &m);
+        handle_crashes (s, &m);
         break;
       case CF_PEER_ORDER:
-        cf_rank_agent_order (s, &m);
+        cf_rank_agent_handle_order (s, &m);
         break;
       case CF_PEER_PREPARE:
-        cf_rank_agent_prepare (s, &m);
+        cf_rank_agent_handle_prepare (s, &m);
         break;
       case CF_PEER_WANT_LISTS:
-        cf_rank_call (s->a->loop, s->a->target,
-                      cf_platform_rank_lists_call (s->a->set.target_addr),
+        cf_rank_call (s->agent->loop, s->agent->target,
+                      cf_platform_rank_lists_call (s->agent->set.target_addr),
                       CALL_TIMEOUT_MS, on_lists, s);
         break;
       default:
@@ -394,7 +404,7 @@
 static const CfPeerLinkCalls link_calls = { on_up, on_frame, on_down };
 
 static gboolean
-is_alone (const CfRankAgent *a)
+is_isolated (const CfRankAgent *a)
 {
   for (int i = 0; i < a->n_seeds; i++)
     if (a->seeds[i].up)
@@ -406,38 +416,39 @@
 reconnect (struct ev_loop *loop, ev_timer *t, int revents)
 {
   CfRankAgent *a = t->data;
-  gint64 pause = RECONNECT_MS;
+  gint64 interval = RECONNECT_MS;
 
   cf_quarantine_expire (a->quarantine, cf_now_ms ());
-  a->looks_alone = is_alone (a) ? a->looks_alone + 1 : 0;
-  if (a->looks_alone > 0 && a->looks_alone <= QUICK_LOOKS)
-    pause = RECONNECT_ALONE_MS;
+  a->isolated_reconnects = is_isolated (a) ? a->isolated_reconnects + 1 : 0;
+  if (a->isolated_reconnects > 0
+      && a->isolated_reconnects <= ISOLATED_RECONNECTS_MAX)
+    interval = ISOLATED_RECONNECT_MS;
 
   for (int i = 0; i < a->n_seeds; i++)
     {
       CfSeed *s = &a->seeds[i];
-      gint64 quiet = cf_now_ms () - s->heard_ms;
+      gint64 silent_ms = cf_now_ms () - s->tick_seen_ms;
 
-      /* A link that went silent is made anew. */
-      if (s->up && s->heard_ms && quiet > 2 * HEARD_MS)
+      /* A silent link is replaced. */
+      if (s->up && s->tick_seen_ms && silent_ms > 2 * TICK_TIMEOUT_MS)
         {
           cf_peer_link_close (s->link);
           on_down (s, s->link);
         }
-      if (s->valid && !s->link)
+      if (s->has_addr && !s->link)
         {
-          s->heard_ms = 0;
+          s->tick_seen_ms = 0;
           s->link = cf_peer_link_connect (loop, &s->addr, &link_calls, s);
         }
     }
-  ev_timer_set (t, (double)pause / 1000, 0);
+  ev_timer_set (t, (double)interval / 1000, 0);
   ev_timer_start (loop, t);
 }
 
 CfStatus
 cf_rank_agent_start (CfRankAgent *a)
 {
-  static ev_timer again;
+  static ev_timer reconnect_timer;
 
   a->quarantine = cf_quarantine_new ();
   a->target = cf_target_new_at (a->set.target_addr);
@@ -447,15 +458,15 @@
     {
       CfSeed *seed = &a->seeds[a->n_seeds];
 
-      seed->a = a;
+      seed->agent = a;
       seed->index = a->n_seeds++;
-      seed->valid = cf_socket_parse (*s, &seed->addr) == CF_OK;
+      seed->has_addr = cf_socket_parse (*s, &seed->addr) == CF_OK;
     }
-  ev_timer_init (&a->poll, on_poll, 0, 0);
-  a->poll.data = a;
-  cf_rank_agent_plan_read (a, READ_MS);
-  ev_timer_init (&again, reconnect, 0.01, 0);
-  again.data = a;
-  ev_timer_start (a->loop, &again);
+  ev_timer_init (&a->read_timer, on_read_timer, 0, 0);
+  a->read_timer.data = a;
+  cf_rank_agent_schedule_read (a, NO_LEADER_READ_MS);
+  ev_timer_init (&reconnect_timer, reconnect, 0.01, 0);
+  reconnect_timer.data = a;
+  ev_timer_start (a->loop, &reconnect_timer);
   return CF_OK;
 }
--- a/gateway/rank-agent.h
+++ b/gateway/rank-agent.h
@@ -9,27 +9,29 @@
 
 typedef struct CfRankAgent CfRankAgent;
 
-/** CfSeed: one of the gateways that may lead the group. */
+/** CfSeed: a gateway that the settings name as seed; each may lead the
+ * group. */
 typedef struct
 {
-  CfRankAgent *a;
+  CfRankAgent *agent;
   int index;
   struct sockaddr_in addr;
-  gboolean valid;
+  gboolean has_addr; /**< @addr could be parsed */
   CfPeerLink *link;
-  gboolean up;     /**< the link is made */
-  gint64 heard_ms; /**< when it last ticked */
-  gint64 fence;    /**< as it last ticked; 0: it stands by */
-  gint64 read_ms;  /**< how often it wants to be told, if it leads */
-  gint64 told_ms;  /**< when it last got a status */
+  gboolean up;             /**< the link is connected */
+  gint64 tick_seen_ms;     /**< when its last heartbeat (tick) came */
+  gint64 fence;            /**< its token, by that tick; 0: not the leader */
+  gint64 read_interval_ms; /**< by that tick: how often the rank is to be read
+                                if this seed leads */
+  gint64 status_sent_ms;   /**< when a status was last sent to it */
 } CfSeed;
 
 /**
  * CfRankAgent:
- * The process beside a rank: it reads its rank's state and counts, which is
- * free only from the rank's own VM, tells the gateway that leads the group,
- * and gives the rank that gateway's orders.  It decides nothing but which
- * fencing token is too old.
+ * The process beside a rank.  It reads the rank's state and counters, which
+ * only the rank's own VM can do at no cost to the group, sends them to the
+ * gateway that leads the group, and passes that gateway's orders on to the
+ * rank.  Its only decision is which fencing tokens are too old.
  */
 struct CfRankAgent
 {
@@ -38,20 +40,21 @@
   CfTarget *target; /**< the rank on this VM */
   CfSeed seeds[CF_SEEDS_MAX];
   int n_seeds;
-  gint64 fence_seen;
+  gint64 fence_seen; /**< highest token of a leader */
   CfRankStatus status;
-  CfRankStatus told; /**< as last sent to the leader */
+  CfRankStatus sent_status; /**< the one last sent to the leader */
   gboolean has_status;
   CfMapHistory maps;        /**< of its group */
   CfQuarantine *quarantine; /**< replica for gateways that restart */
   CfExpertCounts counts;
-  gint64 awaited;     /**< version whose copy is being waited for */
-  gint64 awaited_ms;  /**< since when */
-  gboolean reading;   /**< a reading of report and counts is on its way */
-  gboolean rank_lost; /**< the rank did not answer the last reading */
-  guint looks_alone;  /**< for seeds, in a row, while none had a link */
-  ev_timer poll;
+  gint64 copying_version;    /**< version the rank is copying; 0: none */
+  gint64 copying_since_ms;   /**< when that copy began */
+  gboolean read_pending;     /**< a read of report and counters is pending */
+  gboolean rank_unreachable; /**< the rank did not answer the last read */
+  guint isolated_reconnects; /**< rounds in a row while no seed had a link */
+  ev_timer read_timer;
 };
 
-/** cf_rank_agent_start: @a->loop and @a->set are filled. */
+/** cf_rank_agent_start: starts the agent; @a->loop and @a->set have to be
+ * set. */
 CfStatus cf_rank_agent_start (CfRankAgent *a);
--- a/gateway/rank-call.c
+++ b/gateway/rank-call.c
@@ -2,14 +2,15 @@
 
 #include "upstream.h"
 
-/** Reports and counts are some kilobytes; lists of large groups more. */
-#define BODY_MAX 4194304
+/** Reports and counters are some kilobytes; expert lists of large groups are
+ * longer.  Data beyond the limit is dropped. */
+#define BODY_MAX_BYTES 4194304
 
-/** RankCall: one call, until its end. */
+/** RankCall: a call in progress; freed when it ends. */
 typedef struct
 {
   struct ev_loop *loop;
-  CfUpstream *up;
+  CfUpstream *upstream;
   ev_timer timer;
   int status;
   GString *body;
@@ -18,7 +19,7 @@
 } RankCall;
 
 static void
-end (RankCall *c, int status)
+finish (RankCall *c, int status)
 {
   ev_timer_stop (c->loop, &c->timer);
   c->done (c->data, status, c->body);
@@ -37,7 +38,7 @@
 {
   RankCall *c = owner;
 
-  if (c->body->len + n <= BODY_MAX)
+  if (c->body->len + n <= BODY_MAX_BYTES)
     g_string_append_len (c->body, data, (gssize)n);
 }
 
@@ -46,13 +47,13 @@
 {
   RankCall *c = owner;
 
-  end (c, c->status);
+  finish (c, c->status);
 }
 
 static void
 on_fail (void *owner, CfUpstreamFail f)
 {
-  end (owner, 0);
+  finish (owner, 0);
 }
 
 static void
@@ -60,8 +61,8 @@
 {
   RankCall *c = t->data;
 
-  cf_upstream_cancel (c->up);
-  end (c, 0);
+  cf_upstream_cancel (c->upstream);
+  finish (c, 0);
 }
 
 static const CfUpstreamCalls calls = { on_head, on_body, on_done, on_fail };
@@ -78,10 +79,10 @@
   c->data = data;
   ev_timer_init (&c->timer, on_timeout, (double)timeout_ms / 1000, 0);
   c->timer.data = c;
-  c->up = cf_upstream_send (loop, t, request, NULL, FALSE, &calls, c);
-  if (!c->up)
+  c->upstream = cf_upstream_send (loop, t, request, NULL, FALSE, &calls, c);
+  if (!c->upstream)
     {
-      end (c, 0);
+      finish (c, 0);
       return;
     }
   ev_timer_start (loop, &c->timer);
--- a/gateway/rank.c
+++ b/gateway/rank.c
@@ -1,15 +1,16 @@
 #include "rank.h"
 
-/** Past this a group that is not whole counts as out of use: one whose rank
- * is replaced is open again by then, and would be avoided for too long. */
-#define LONG_BROKEN_MS 5000
-/** Pace that stands for a rank of no use. */
+/** A group that is incomplete for longer than this counts as unusable.  With
+ * less, a group in which a rank is being replaced would be avoided even after
+ * it runs passes again. */
+#define BROKEN_GRACE_MS 5000
+/** Slowdown factor of a rank whose group is unusable. */
 #define BROKEN_PACE 100
 
 double
 cf_rank_routing_pace (const CfRankStatus *s, gint64 broken_ms)
 {
-  return broken_ms > LONG_BROKEN_MS ? MAX (s->pace, BROKEN_PACE) : s->pace;
+  return broken_ms > BROKEN_GRACE_MS ? MAX (s->pace, BROKEN_PACE) : s->pace;
 }
 
 const char *
--- a/gateway/rank.h
+++ b/gateway/rank.h
@@ -2,74 +2,77 @@
 
 #include "group-map.h"
 
-/** Longest name of a rank group that is kept. */
+/** Size of the buffer for a rank group's name, in bytes. */
 #define CF_GROUP_NAME_MAX 64
 
-/** Ranks of a group, at most; what claims more is no report of a rank. */
+/** Limit on the ranks of a group; a report that claims more is invalid. */
 #define CF_RANKS_MAX 4096
 
-/** CfRankStatus: what a rank reports of itself; 0 stands for none. */
+/** CfRankStatus: the state that a rank reports; a number is 0 if there is no
+ * such pass or version. */
 typedef struct
 {
   char group[CF_GROUP_NAME_MAX]; /**< "" if it is in no group */
-  gint64 epoch;                  /**< rises when the group forms anew */
+  gint64 epoch;                  /**< increases each time the group re-forms */
   int rank;
   int size;           /**< ranks of the group */
-  gint64 incarnation; /**< of the target that reports; 0: it does not say */
-  gboolean open;      /**< the group makes passes */
-  gint64 step;        /**< the last pass begun */
+  gint64 incarnation; /**< of the reporting target; 0: it does not say */
+  gboolean open;      /**< the group is complete and runs passes */
+  gint64 step;        /**< the last pass that began */
   gint64 map;         /**< version of the expert map in use */
-  gint64 prepared;    /**< version whose copy is complete */
-  gint64 armed;       /**< version it will switch to */
-  gint64 held;        /**< pass that it holds back */
-  gint64 running;
-  gint64 waiting;
-  double pace; /**< how many times as long as usual its work takes */
+  gint64 prepared;    /**< version of which all experts have been copied */
+  gint64 armed;       /**< version to which it will switch */
+  gint64 held;        /**< pass that it will not begin until told to */
+  gint64 running;     /**< requests */
+  gint64 waiting;     /**< requests */
+  double pace;        /**< slowdown factor: 1 is the usual speed, 2 means that
+                           its work takes twice as long */
 } CfRankStatus;
 
 /**
  * cf_rank_routing_pace:
- * @broken_ms: for how long its group has made no passes; 0: it does
- * Returns: the pace by which requests are routed to a rank.  One of a group
- *   that stays broken refuses at once, so that it would always look the least
- *   loaded.
+ * @broken_ms: how long its group has run no passes; 0: it runs them
+ * Returns: the slowdown factor by which requests are routed to a rank.  A
+ *   group that stays broken gets a very high one: its ranks refuse requests
+ *   at once and would otherwise always look the least loaded.
  */
 double cf_rank_routing_pace (const CfRankStatus *s, gint64 broken_ms);
 
 /** CfRankOrderKind: the tag of a #CfRankOrder. */
 typedef enum
 {
-  CF_ORDER_PREPARE, /**< copy the experts of @version's map */
-  CF_ORDER_ARM,     /**< switch to @version as pass @step begins */
-  CF_ORDER_DISARM,  /**< do not switch to @version after all */
-  CF_ORDER_HOLD,    /**< do not begin pass @step before a go */
+  CF_ORDER_PREPARE, /**< copy the experts that @map, version @version, needs */
+  CF_ORDER_ARM,     /**< switch to @version when pass @step begins */
+  CF_ORDER_DISARM,  /**< cancel the switch to @version */
+  CF_ORDER_HOLD,    /**< do not begin pass @step before a go order */
   CF_ORDER_GO,      /**< end the hold of pass @step */
 } CfRankOrderKind;
 
 const char *cf_rank_order_name (CfRankOrderKind k);
 
-/** cf_rank_order_is_blocking: whether all ranks wait from one such order to
- * another: a hold, and the go that ends it. */
+/** cf_rank_order_is_blocking: whether the whole group may be waiting until
+ * such an order is carried out, as with a hold and the go that ends it. */
 gboolean cf_rank_order_is_blocking (CfRankOrderKind k);
 
 /** CfRankOrder: an order to one rank. */
 typedef struct
 {
   CfRankOrderKind kind;
-  gint64 version;        /**< of prepare, arm and disarm */
-  gint64 step;           /**< of arm, hold and go */
-  gint64 epoch;          /**< refused in any other epoch */
-  gint64 fence;          /**< fencing token of who orders */
-  const CfGroupMap *map; /**< of prepare */
+  gint64 version;        /**< for prepare, arm and disarm */
+  gint64 step;           /**< for arm, hold and go */
+  gint64 epoch;          /**< the rank refuses it in any other epoch */
+  gint64 fence;          /**< fencing token of the leader that sends it */
+  const CfGroupMap *map; /**< for prepare */
 } CfRankOrder;
 
-/** CfRankAck: what is known of an order that was sent. */
+/** CfRankAck: the outcome of an order that was sent. */
 typedef enum
 {
-  CF_RANK_ACK_DONE,    /**< carried out, or its state already holds */
-  CF_RANK_ACK_REFUSED, /**< it does not fit, and will not be carried out */
-  CF_RANK_ACK_FENCED,  /**< someone with a higher token ordered before */
-  CF_RANK_ACK_UNKNOWN, /**< no answer: done, or not, or yet to be done */
+  CF_RANK_ACK_DONE,    /**< carried out, or the rank was in that state */
+  CF_RANK_ACK_REFUSED, /**< does not fit the rank's state; not carried out */
+  CF_RANK_ACK_FENCED,  /**< a leader with a higher token has sent an order */
+  CF_RANK_ACK_UNKNOWN, /**< no answer: it may or may not have been carried
+                            out, and may still be */
 } CfRankAck;
 
 const char *cf_rank_ack_name (CfRankAck a);
