--- a/gateway/rank-service-lead.c
+++ b/gateway/rank-service-lead.c
@@ -4,36 +4,40 @@
 
 #include <string.h>
 
-/** After another leader's token was met, the lead is not taken for so long. */
-#define LEAD_AGAIN_MS 3000
-/** A rank's status that is older says nothing of who it can hear. */
-#define STATUS_FRESH_MS 2500
-/** Tokens rise by this much a takeover, so that the gateways named as
- * seeds never use the same one. */
+/** How long this gateway does not take the lead after it met another leader's
+ * token. */
+#define RETAKE_LEAD_MS 3000
+/** An older status does not tell which gateways a rank can reach, so it does
+ * not count when the ranks decide who leads. */
+#define STATUS_MAX_AGE_MS 2500
+/** The token of a takeover is the next multiple of this plus the index of the
+ * seed, so that no two seeds use the same one. */
 #define FENCE_STEP 8
 
-/* Whether most ranks hear this leader. */
+/* Whether this leader has a recent status from most ranks. */
 static gboolean
-is_followed (const CfLedGroup *g)
+is_heard_by_majority (const CfLedGroup *g)
 {
-  gint64 now = cf_gateway_now (g->s->g);
+  gint64 now = cf_gateway_now (g->service->gateway);
   int votes = 0;
 
-  for (int r = 0; r < g->c.shape.ranks; r++)
+  for (int r = 0; r < g->coordinator.shape.ranks; r++)
     {
-      const CfRankLink *a = g->agents[r];
+      const CfAgentLink *a = g->agents[r];
 
-      votes += a && now - a->seen_ms < STATUS_FRESH_MS;
+      votes += a && now - a->status_seen_ms < STATUS_MAX_AGE_MS;
     }
-  return votes * 2 > g->c.shape.ranks;
+  return votes * 2 > g->coordinator.shape.ranks;
 }
 
-/* The seeds that come before this gateway in the group's own order: groups
- * begin at different seeds, so that no gateway leads them all. */
+/* Returns a bit mask of the seeds that come before this gateway in the order of
+ * the group.  Each group starts the order at a different seed, so that no
+ * gateway leads all groups. */
 static guint
-seeds_before (const CfLedGroup *g)
+preceding_seeds (const CfLedGroup *g)
 {
-  guint n = MIN (g_strv_length (g->s->g->set.seed_addrs), CF_SEEDS_MAX);
+  guint n
+      = MIN (g_strv_length (g->service->gateway->set.seed_addrs), CF_SEEDS_MAX);
   guint first = g_str_hash (g->name) % MAX (n, 1);
   guint before = 0;
 
@@ -41,50 +45,52 @@
     {
       guint seed = (first + i) % n;
 
-      if ((int)seed == g->s->seed)
+      if ((int)seed == g->service->seed)
         break;
       before |= 1U << seed;
     }
   return before;
 }
 
-/* Whether most ranks hear no leader, and no seed before this gateway.  A
- * seed that comes back does not unseat who leads: in the middle of a change
- * that costs the group a second or more. */
+/* Whether most ranks follow no leader and can reach no seed that precedes this
+ * gateway.  A seed that returns does not replace the current leader: in the
+ * middle of a change that costs the group a second or more. */
 static gboolean
-is_wanted (const CfLedGroup *g)
+may_take_lead (const CfLedGroup *g)
 {
-  gint64 now = cf_gateway_now (g->s->g);
-  guint before = seeds_before (g);
+  gint64 now = cf_gateway_now (g->service->gateway);
+  guint before = preceding_seeds (g);
   int votes = 0;
 
-  for (int r = 0; r < g->c.shape.ranks; r++)
+  for (int r = 0; r < g->coordinator.shape.ranks; r++)
     {
-      const CfRankLink *a = g->agents[r];
+      const CfAgentLink *a = g->agents[r];
 
-      votes += a && now - a->seen_ms < STATUS_FRESH_MS && a->led == 0
-               && (a->seeds_up & before) == 0;
+      votes += a && now - a->status_seen_ms < STATUS_MAX_AGE_MS
+               && a->leader_fence == 0 && (a->seeds_up & before) == 0;
     }
-  return votes * 2 > g->c.shape.ranks;
+  return votes * 2 > g->coordinator.shape.ranks;
 }
 
-/* How many seeds succeed a leader that holds a pass before this gateway. */
+/* Returns how many seeds come before this gateway in the succession of the
+ * leader that holds a pass. */
 static int
-place_in_line (const CfLedGroup *g)
+succession_place (const CfLedGroup *g)
 {
   guint leader = (guint)(g->lease.fence % FENCE_STEP);
-  guint before = seeds_before (g) & ~(1U << leader);
+  guint before = preceding_seeds (g) & ~(1U << leader);
 
   return __builtin_popcount (before);
 }
 
-/* Whether the leader that holds a pass is silent: agents still follow it, and
- * the group waits for whoever ends the hold. */
+/* Whether the hold lease of another leader has expired so that this gateway may
+ * take over, although agents still follow that leader: the group waits until
+ * someone ends the hold. */
 static gboolean
-is_successor (const CfLedGroup *g)
+may_succeed (const CfLedGroup *g)
 {
-  return cf_hold_lease_has_expired (&g->lease, place_in_line (g),
-                                    cf_gateway_now (g->s->g));
+  return cf_hold_lease_has_expired (&g->lease, succession_place (g),
+                                    cf_gateway_now (g->service->gateway));
 }
 
 void
@@ -99,51 +105,55 @@
     return;
   g->fence_seen = MAX (g->fence_seen, m->u.hold_lease.fence);
   cf_hold_lease_renew (&g->lease, m->u.hold_lease.fence, m->u.hold_lease.held,
-                       cf_gateway_now (s->g));
+                       cf_gateway_now (s->gateway));
 }
 
 void
 cf_led_group_renew_lease (CfLedGroup *g)
 {
-  gboolean held = g->leads && cf_map_coordinator_holds_pass (&g->c);
-  gint64 now = cf_gateway_now (g->s->g);
+  gboolean held = g->leads && cf_map_coordinator_holds_pass (&g->coordinator);
+  gint64 now = cf_gateway_now (g->service->gateway);
   CfPeerMsg m = { .kind = CF_PEER_HOLD_LEASE };
 
-  /* Whoever fenced this gateway off has told the others. */
-  if (g->c.fence == 0)
-    g->lease_told = FALSE;
-  if (!held && !g->lease_told)
+  /* The leader that fenced this gateway off notifies the seeds itself. */
+  if (g->coordinator.fence == 0)
+    g->lease_announced = FALSE;
+  if (!held && !g->lease_announced)
     return;
-  if (held && g->lease_told && now - g->lease_told_ms < CF_HOLD_LEASE_RENEW_MS)
+  if (held && g->lease_announced
+      && now - g->lease_sent_ms < CF_HOLD_LEASE_RENEW_MS)
     return;
-  g->lease_told = held;
-  g->lease_told_ms = now;
+  g->lease_announced = held;
+  g->lease_sent_ms = now;
   m.u.hold_lease.group.data = g->name;
   m.u.hold_lease.group.n = strlen (g->name);
-  m.u.hold_lease.fence = g->c.fence;
+  m.u.hold_lease.fence = g->coordinator.fence;
   m.u.hold_lease.held = held;
-  if (g->s->notify_seeds)
-    g->s->notify_seeds (g->s->notify_data, &m);
+  if (g->service->notify_seeds)
+    g->service->notify_seeds (g->service->notify_data, &m);
 }
 
 void
 cf_led_group_decide_lead (CfLedGroup *g)
 {
-  gint64 now = cf_gateway_now (g->s->g);
-  gboolean succeeds = g->c.fence == 0 && is_successor (g);
-  gboolean lead = g->c.fence ? is_followed (g) : succeeds || is_wanted (g);
+  gint64 now = cf_gateway_now (g->service->gateway);
+  gboolean succeeds = g->coordinator.fence == 0 && may_succeed (g);
+  gboolean lead = g->coordinator.fence ? is_heard_by_majority (g)
+                                       : succeeds || may_take_lead (g);
 
-  /* A gateway that stops ends a hold all the same if nobody else does. */
+  /* A gateway that is stopping leads only to end a hold if no other does. */
   lead = lead
-         && (!g->s->g->stopping || succeeds
-             || cf_map_coordinator_holds_pass (&g->c));
-  /* Whoever fenced this gateway off may well be the one to lead; by then
-   * all ranks have said whom they hear. */
-  if (g->c.fenced_ms && now - g->c.fenced_ms < LEAD_AGAIN_MS)
+         && (!g->service->gateway->stopping || succeeds
+             || cf_map_coordinator_holds_pass (&g->coordinator));
+  /* The leader that fenced this gateway off may be the right one; by the end of
+   * this time, all ranks have reported which leader they follow. */
+  if (g->coordinator.fenced_ms
+      && now - g->coordinator.fenced_ms < RETAKE_LEAD_MS)
     lead = FALSE;
-  if (lead && g->c.fence == 0)
+  if (lead && g->coordinator.fence == 0)
     {
-      gint64 fence = (g->fence_seen / FENCE_STEP + 1) * FENCE_STEP + g->s->seed;
+      gint64 fence
+          = (g->fence_seen / FENCE_STEP + 1) * FENCE_STEP + g->service->seed;
 
       g->fence_seen = fence;
       g->lease.held = FALSE;
@@ -152,11 +162,12 @@
                 "group=%s outcome=lease-expired holder_fence=%" G_GINT64_FORMAT
                 " silent_ms=%" G_GINT64_FORMAT,
                 g->name, g->lease.fence, now - g->lease.heard_ms);
-      g->lead_ms = now;
-      cf_map_coordinator_lead (&g->c, fence, g_random_int (), now);
+      g->lead_since_ms = now;
+      cf_map_coordinator_lead (&g->coordinator, fence, g_random_int (), now);
     }
-  /* In the middle of a change the next leader's token ends it better. */
-  else if (!lead && g->c.fence && g->c.state == CF_MAP_IDLE)
-    g->c.fence = 0;
-  g->leads = g->c.fence != 0;
+  /* A lead is not given up in the middle of a change; it is better ended by the
+   * next leader's token. */
+  else if (!lead && g->coordinator.fence && g->coordinator.state == CF_MAP_IDLE)
+    g->coordinator.fence = 0;
+  g->leads = g->coordinator.fence != 0;
 }
--- a/gateway/rank-service-order.c
+++ b/gateway/rank-service-order.c
@@ -6,32 +6,32 @@
 
 #include <string.h>
 
-/** A rank that is asked directly answers within some ms, or is away. */
+/** A rank that is called directly answers within some ms, or is down. */
 #define DIRECT_TIMEOUT_MS 300
-/** The group waits for a hold and its end: one without an answer is given
- * again soon, since both may be carried out twice. */
+/** The timeout of hold and go is short because the whole group waits.  They
+ * are then sent again, which does no harm if they are carried out twice. */
 #define HOLD_TIMEOUT_MS 25
 
-/** DirectCall: an order or a question that goes straight to a rank. */
+/** DirectCall: an order sent to a rank itself; freed when it is finished. */
 typedef struct
 {
-  CfLedGroup *g;
+  CfLedGroup *group;
   int rank;
   CfRankOrderKind kind;
   int http_status;
-  gint64 epoch;      /**< of the order */
-  gint64 step;       /**< the same */
-  gint64 fence;      /**< the same */
-  gboolean is_order; /**< the coordinator waits for what comes of it */
+  gint64 epoch;       /**< of the order */
+  gint64 step;        /**< of the order */
+  gint64 fence;       /**< of the order */
+  gboolean wants_ack; /**< whether the coordinator waits for the outcome */
 } DirectCall;
 
 static void
-end_direct (DirectCall *d)
+finish_direct (DirectCall *d)
 {
-  CfMapCoordinator *c = &d->g->c;
-  gint64 now = cf_gateway_now (d->g->s->g);
+  CfMapCoordinator *c = &d->group->coordinator;
+  gint64 now = cf_gateway_now (d->group->service->gateway);
 
-  if (d->is_order)
+  if (d->wants_ack)
     {
       cf_map_coordinator_ack (c, d->rank, cf_platform_rank_ack (d->http_status),
                               now);
@@ -40,90 +40,94 @@
   g_free (d);
 }
 
-/* The token that guards the rank, in a report of @epoch that is as of @as_of.
- */
+/* Returns the token below which the rank refused orders at @as_of, given that
+ * it was in @epoch then; 0 if ranks do not check tokens. */
 static gint64
-guard_as_of (const DirectCall *d, gint64 epoch, gint64 as_of)
+token_as_of (const DirectCall *d, gint64 epoch, gint64 as_of)
 {
-  const CfLedGroup *g = d->g;
-  const CfRankGuard *guard = &g->guards[d->rank];
+  const CfLedGroup *g = d->group;
+  const CfRankToken *token = &g->rank_tokens[d->rank];
 
-  if (!g->s->g->set.ranks_check_fence)
+  if (!g->service->gateway->set.ranks_check_fence)
     return 0;
-  if (guard->fence == d->fence && guard->epoch == epoch
-      && as_of >= guard->since_ms)
+  if (token->fence == d->fence && token->epoch == epoch
+      && as_of >= token->since_ms)
     return d->fence;
-  return g->c.ranks[d->rank].token;
+  return g->coordinator.ranks[d->rank].token;
 }
 
 static void
 on_direct_report (void *data, int status, const GString *body)
 {
   DirectCall *d = data;
-  gint64 now = cf_gateway_now (d->g->s->g);
-  gint64 as_of = now - d->g->report_lag_ms;
+  gint64 now = cf_gateway_now (d->group->service->gateway);
+  gint64 as_of = now - d->group->report_lag_ms;
   CfRankStatus st = { 0 };
 
   if (status == 200
       && cf_platform_rank_status (body->str, body->len, &st) == CF_OK
-      && strcmp (st.group, d->g->name) == 0)
-    cf_map_coordinator_status_as_of (
-        &d->g->c, &st, guard_as_of (d, st.epoch, as_of), as_of, now);
+      && strcmp (st.group, d->group->name) == 0)
+    cf_map_coordinator_status_as_of (&d->group->coordinator, &st,
+                                     token_as_of (d, st.epoch, as_of), as_of,
+                                     now);
   cf_log (
       LOG_INFO, CF_EV_RANK_ORDER,
       "group=%s rank=%d way=direct status=%d report=%d step=%" G_GINT64_FORMAT
       " map=%" G_GINT64_FORMAT " prepared=%" G_GINT64_FORMAT
       " armed=%" G_GINT64_FORMAT " held=%" G_GINT64_FORMAT,
-      d->g->name, d->rank, d->http_status, status, st.step, st.map, st.prepared,
-      st.armed, st.held);
-  end_direct (d);
+      d->group->name, d->rank, d->http_status, status, st.step, st.map,
+      st.prepared, st.armed, st.held);
+  finish_direct (d);
 }
 
 static void
-ask_report (DirectCall *d)
+request_report (DirectCall *d)
 {
-  CfRankService *s = d->g->s;
-  CfTarget *t = cf_rank_service_target (s, d->g->addrs[d->rank]);
+  CfRankService *s = d->group->service;
+  CfTarget *t = cf_rank_service_target (s, d->group->target_addrs[d->rank]);
 
   if (t)
-    cf_rank_call (s->g->loop, t, cf_platform_rank_report_call (t->record.addr),
+    cf_rank_call (s->gateway->loop, t,
+                  cf_platform_rank_report_call (t->record.addr),
                   DIRECT_TIMEOUT_MS, on_direct_report, d);
   else
     on_direct_report (d, 0, NULL);
 }
 
-/* A rank that checks tokens and took this one refuses lower ones. */
+/* Records a token that the rank accepted: a rank that checks tokens refuses
+ * lower ones from then on. */
 static void
-note_guard (DirectCall *d, CfRankAck ack)
+record_token (DirectCall *d, CfRankAck ack)
 {
-  CfRankGuard *guard = &d->g->guards[d->rank];
+  CfRankToken *token = &d->group->rank_tokens[d->rank];
 
   if (ack == CF_RANK_ACK_FENCED || ack == CF_RANK_ACK_UNKNOWN
-      || (guard->fence == d->fence && guard->epoch == d->epoch))
+      || (token->fence == d->fence && token->epoch == d->epoch))
     return;
-  guard->fence = d->fence;
-  guard->epoch = d->epoch;
-  guard->since_ms = cf_gateway_now (d->g->s->g);
+  token->fence = d->fence;
+  token->epoch = d->epoch;
+  token->since_ms = cf_gateway_now (d->group->service->gateway);
 }
 
-/* What holds the group is known by the rank's own answer: a report that
- * another VM asks for is too old to show it. */
+/* The outcome of a blocking order is taken from the rank's answer, since the
+ * reports it gives to other VMs are too old to show it. */
 static void
-on_direct_hold (void *data, int status, const GString *body)
+on_direct_blocking_order (void *data, int status, const GString *body)
 {
   DirectCall *d = data;
   CfRankAck ack = cf_platform_rank_ack (status);
 
   d->http_status = status;
-  note_guard (d, ack);
+  record_token (d, ack);
   if (ack == CF_RANK_ACK_DONE)
-    cf_map_coordinator_held (&d->g->c, d->rank, d->epoch,
+    cf_map_coordinator_held (&d->group->coordinator, d->rank, d->epoch,
                              d->kind == CF_ORDER_HOLD ? d->step : 0);
   cf_log (LOG_INFO, CF_EV_RANK_ORDER,
           "group=%s rank=%d order=%s step=%" G_GINT64_FORMAT
           " way=direct status=%d",
-          d->g->name, d->rank, cf_rank_order_name (d->kind), d->step, status);
-  end_direct (d);
+          d->group->name, d->rank, cf_rank_order_name (d->kind), d->step,
+          status);
+  finish_direct (d);
 }
 
 static void
@@ -132,21 +136,21 @@
   DirectCall *d = data;
 
   d->http_status = status;
-  note_guard (d, cf_platform_rank_ack (status));
-  ask_report (d);
+  record_token (d, cf_platform_rank_ack (status));
+  request_report (d);
 }
 
 static void
-forget_prepared (CfPreparedOrder *p)
+clear_prepare_order (CfPrepareOrder *p)
 {
-  g_clear_pointer (&p->rows, g_array_unref);
-  g_clear_pointer (&p->in_whole, g_array_unref);
+  g_clear_pointer (&p->changed_rows, g_array_unref);
+  g_clear_pointer (&p->full_rows, g_array_unref);
   g_free (p->json);
   memset (p, 0, sizeof *p);
 }
 
-/* The version that every rank has in use; 0 if they differ, or if none of
- * ours was ever used. */
+/* Returns the version that all ranks have in use; 0 if they differ, or if they
+ * use the map with which the group started. */
 static gint64
 version_in_use (const CfMapCoordinator *c)
 {
@@ -156,49 +160,52 @@
   return c->ranks[0].status.map;
 }
 
-/* The group's order to prepare, for @o. */
-static CfPreparedOrder *
-prepared_order (CfLedGroup *g, const CfRankOrder *o)
+/* Returns the cached forms of @o, an order to prepare, cleared if they are of
+ * another order. */
+static CfPrepareOrder *
+get_prepare_order (CfLedGroup *g, const CfRankOrder *o)
 {
-  CfPreparedOrder *p = &g->prepare;
+  CfPrepareOrder *p = &g->prepare_order;
 
   if (p->version == o->version && p->fence == o->fence)
     return p;
-  forget_prepared (p);
+  clear_prepare_order (p);
   p->version = o->version;
   p->fence = o->fence;
-  p->base = version_in_use (&g->c);
+  p->base = version_in_use (&g->coordinator);
   return p;
 }
 
-/* What an agent that lacks the map in use is told, or one that has it. */
+/* Returns the map of @o as a diff against the map in use or, with @full, for
+ * agents that lack it, against the round-robin map. */
 static const GArray *
-rows_of (CfLedGroup *g, const CfRankOrder *o, gboolean in_whole)
+get_rows (CfLedGroup *g, const CfRankOrder *o, gboolean full)
 {
-  CfPreparedOrder *p = prepared_order (g, o);
+  CfPrepareOrder *p = get_prepare_order (g, o);
 
-  if (!in_whole && !p->rows)
-    p->rows = cf_group_map_diff (g->c.in_use, o->map);
-  if (in_whole && !p->in_whole)
+  if (!full && !p->changed_rows)
+    p->changed_rows = cf_group_map_diff (g->coordinator.in_use, o->map);
+  if (full && !p->full_rows)
     {
-      CfGroupMap *in_turn = cf_group_map_round_robin (&o->map->shape);
+      CfGroupMap *round_robin = cf_group_map_round_robin (&o->map->shape);
 
-      p->in_whole = cf_group_map_diff (in_turn, o->map);
-      cf_group_map_free (in_turn);
+      p->full_rows = cf_group_map_diff (round_robin, o->map);
+      cf_group_map_free (round_robin);
     }
-  return in_whole ? p->in_whole : p->rows;
+  return full ? p->full_rows : p->changed_rows;
 }
 
-/* The order as a rank takes it.  That to prepare holds the whole map: some
- * 28 kB at 192 ranks, which take 3 ms to make, so it is made once for all. */
+/* Returns the order as ranks accept it.  An order to prepare holds the whole
+ * map, about 28 kB for 192 ranks.  As that takes 3 ms to generate, it is
+ * generated once for all ranks. */
 static char *
-json_of (CfLedGroup *g, const CfRankOrder *o)
+get_json (CfLedGroup *g, const CfRankOrder *o)
 {
-  CfPreparedOrder *p;
+  CfPrepareOrder *p;
 
   if (o->kind != CF_ORDER_PREPARE)
     return cf_platform_rank_order (o);
-  p = prepared_order (g, o);
+  p = get_prepare_order (g, o);
   if (!p->json)
     p->json = cf_platform_rank_order (o);
   return g_strdup (p->json);
@@ -206,64 +213,64 @@
 
 void
 cf_led_group_send_direct (CfLedGroup *g, int rank, const CfRankOrder *o,
-                          gboolean is_order)
+                          gboolean wants_ack)
 {
-  CfTarget *t = cf_rank_service_target (g->s, g->addrs[rank]);
-  gboolean halts = is_order && cf_rank_order_is_blocking (o->kind);
+  CfTarget *t = cf_rank_service_target (g->service, g->target_addrs[rank]);
+  gboolean is_blocking = wants_ack && cf_rank_order_is_blocking (o->kind);
   char *json;
   DirectCall *d;
 
   if (!t)
     return;
-  json = json_of (g, o);
+  json = get_json (g, o);
   d = g_new0 (DirectCall, 1);
-  d->g = g;
+  d->group = g;
   d->rank = rank;
   d->kind = o->kind;
   d->epoch = o->epoch;
   d->step = o->step;
   d->fence = o->fence;
-  d->is_order = is_order;
+  d->wants_ack = wants_ack;
   cf_rank_call (
-      g->s->g->loop, t,
+      g->service->gateway->loop, t,
       cf_platform_rank_order_call (t->record.addr, json, strlen (json)),
-      halts ? HOLD_TIMEOUT_MS : DIRECT_TIMEOUT_MS,
-      halts ? on_direct_hold : on_direct_order, d);
+      is_blocking ? HOLD_TIMEOUT_MS : DIRECT_TIMEOUT_MS,
+      is_blocking ? on_direct_blocking_order : on_direct_order, d);
   g_free (json);
 }
 
-/* The agent makes the whole map of it, beside its rank: some 200 rows of the
- * 1,920 that the map has, for each of 192 ranks. */
+/* Sends the map as a diff, from which the agent rebuilds the whole map: about
+ * 200 of 1,920 rows for each of 192 ranks. */
 static void
-send_prepare (CfLedGroup *g, CfRankLink *a, const CfRankOrder *o)
+send_prepare (CfLedGroup *g, CfAgentLink *a, const CfRankOrder *o)
 {
-  const CfPreparedOrder *p = prepared_order (g, o);
-  gboolean in_whole = a->lacks_base || p->base == 0;
+  const CfPrepareOrder *p = get_prepare_order (g, o);
+  gboolean full = a->lacks_base || p->base == 0;
   CfPeerMsg m = { .kind = CF_PEER_PREPARE };
 
-  m.u.prepare.seq = g->s->seq;
+  m.u.prepare.seq = g->service->seq;
   m.u.prepare.fence = o->fence;
   m.u.prepare.epoch = o->epoch;
   m.u.prepare.version = o->version;
-  m.u.prepare.base = in_whole ? 0 : p->base;
+  m.u.prepare.base = full ? 0 : p->base;
   m.u.prepare.shape = o->map->shape;
-  m.u.prepare.rows = (GArray *)rows_of (g, o, in_whole);
-  cf_peer_msg_send (a->peer, &m);
+  m.u.prepare.rows = (GArray *)get_rows (g, o, full);
+  cf_peer_msg_send (a->link, &m);
 }
 
 static void
-send_order (CfLedGroup *g, CfRankLink *a, const CfRankOrder *o)
+send_order (CfLedGroup *g, CfAgentLink *a, const CfRankOrder *o)
 {
   CfPeerMsg m = { .kind = CF_PEER_ORDER };
   char *json = cf_platform_rank_order (o);
 
-  m.u.order.seq = g->s->seq;
+  m.u.order.seq = g->service->seq;
   m.u.order.fence = o->fence;
   m.u.order.order = o->kind;
   m.u.order.version = o->version;
   m.u.order.body.data = json;
   m.u.order.body.n = strlen (json);
-  cf_peer_msg_send (a->peer, &m);
+  cf_peer_msg_send (a->link, &m);
   g_free (json);
 }
 
@@ -271,10 +278,12 @@
 cf_led_group_on_order (void *data, int rank, const CfRankOrder *o)
 {
   CfLedGroup *g = data;
-  CfRankLink *a = g->agents[rank];
-  gboolean reachable = cf_rank_service_target (g->s, g->addrs[rank]) != NULL;
+  CfAgentLink *a = g->agents[rank];
+  gboolean reachable
+      = cf_rank_service_target (g->service, g->target_addrs[rank]) != NULL;
 
-  if (reachable && cf_order_watch_goes_direct (&g->orders[rank], o->kind))
+  if (reachable
+      && cf_order_watch_goes_direct (&g->order_watches[rank], o->kind))
     a = NULL;
   cf_log (LOG_INFO, CF_EV_RANK_ORDER,
           "group=%s rank=%d order=%s version=%" G_GINT64_FORMAT
@@ -287,7 +296,8 @@
       cf_led_group_send_direct (g, rank, o, TRUE);
       return;
     }
-  cf_order_watch_sent (&g->orders[rank], ++g->s->seq, cf_gateway_now (g->s->g));
+  cf_order_watch_sent (&g->order_watches[rank], ++g->service->seq,
+                       cf_gateway_now (g->service->gateway));
   if (o->kind == CF_ORDER_PREPARE)
     send_prepare (g, a, o);
   else
--- a/gateway/rank-service-parts.h
+++ b/gateway/rank-service-parts.h
@@ -8,84 +8,91 @@
 #include <sys/queue.h>
 
 /**
- * What the parts of the rank service share: agents' links and groups
- * (rank-service.c), who leads them (rank-service-lead.c), and the orders to
- * ranks (rank-service-order.c).
+ * Internal interface between the parts of the rank service: links of rank
+ * agents, and groups (rank-service.c), leadership of groups
+ * (rank-service-lead.c), and orders to ranks (rank-service-order.c).
  */
 
 typedef struct CfLedGroup CfLedGroup;
 
-/** CfRankLink: the link of one rank's agent. */
-typedef struct CfRankLink
+/** CfAgentLink: the link of one rank's agent. */
+typedef struct CfAgentLink
 {
-  TAILQ_ENTRY (CfRankLink) link;
-  CfRankService *s;
-  CfPeerLink *peer;
+  TAILQ_ENTRY (CfAgentLink) entry;
+  CfRankService *service;
+  CfPeerLink *link;
   char *target_addr;
   CfLedGroup *group; /**< %NULL until its first status */
   int rank;
-  guint seeds_up; /**< as its last status says */
-  gint64 led;     /**< token of the leader that the agent hears; 0: none */
-  gint64 seen_ms;
-  gboolean lacks_base; /**< it was never told the map that is in use */
-  gint64 broken_ms;    /**< since when its group makes no passes; 0: it does */
-} CfRankLink;
+  guint seeds_up;      /**< seeds alive, as of its last status; bit i: seed i */
+  gint64 leader_fence; /**< token of the leader that the agent follows; 0:
+                            none */
+  gint64 status_seen_ms;
+  gboolean lacks_base;    /**< it does not know the map that is in use */
+  gint64 broken_since_ms; /**< since when its group runs no passes; 0: it runs
+                               them */
+} CfAgentLink;
 
-/** CfPreparedOrder: the order to prepare one version, in the forms that go
- * out to all ranks; each is made when first needed. */
+/** CfPrepareOrder: the order to prepare one version, in the forms in which it
+ * is sent to ranks.  Each form is made once, when first needed. */
 typedef struct
 {
   gint64 version; /**< 0: none */
   gint64 fence;
-  gint64 base;      /**< version in use, which @rows change */
-  GArray *rows;     /**< (nullable) */
-  GArray *in_whole; /**< (nullable): against experts in turn */
-  char *json;       /**< (nullable): as a rank takes it */
-} CfPreparedOrder;
+  gint64 base;          /**< version of the map in use; 0: none common to all
+                             ranks */
+  GArray *changed_rows; /**< (nullable): diff against the map in use */
+  GArray *full_rows;    /**< (nullable): diff against the round-robin map */
+  char *json;           /**< (nullable): as ranks accept it */
+} CfPrepareOrder;
 
-/** CfRankGuard: the token that a rank itself has taken, not its agent. */
+/** CfRankToken: the last fencing token that a rank itself, not its agent, is
+ * known to have checked and accepted. */
 typedef struct
 {
   gint64 fence; /**< 0: none is known */
-  gint64 epoch; /**< in which it was taken; a rank that restarts forgets it */
+  gint64 epoch; /**< when it was accepted; a rank that restarts forgets it */
   gint64 since_ms;
-} CfRankGuard;
+} CfRankToken;
 
-/** CfLedGroup: one rank group, and this gateway's part in it. */
+/** CfLedGroup: a rank group that this gateway leads, or may come to lead. */
 struct CfLedGroup
 {
-  CfRankService *s;
+  CfRankService *service;
   char name[CF_GROUP_NAME_MAX];
-  CfMapCoordinator c;
-  CfRankLink **agents;  /**< by rank */
-  char **addrs;         /**< by rank: where it was last */
-  CfOrderWatch *orders; /**< by rank */
-  CfPreparedOrder prepare;
-  gint64 *direct_ms;    /**< by rank: when it was last asked directly */
-  CfRankGuard *guards;  /**< by rank */
-  gint64 report_lag_ms; /**< age of a report that is asked for directly */
-  gint64 fence_seen;
-  gint64 policy_version; /**< that the coordinator's aim for passes is of */
-  gboolean leads;
-  gint64 lead_ms;       /**< when it took the lead last */
-  gboolean led_told;    /**< its agents were told that this gateway leads... */
-  gboolean settle_told; /**< ...and that it settles */
-  CfHoldLease lease;    /**< of another leader */
-  gboolean lease_told;  /**< standbys believe that this gateway holds a pass */
-  gint64 lease_told_ms;
+  CfMapCoordinator coordinator;
+  CfAgentLink **agents;        /**< by rank */
+  char **target_addrs;         /**< by rank: the last one known */
+  CfOrderWatch *order_watches; /**< by rank */
+  CfPrepareOrder prepare_order;
+  gint64 *direct_call_ms;   /**< by rank: when it was last probed directly */
+  CfRankToken *rank_tokens; /**< by rank */
+  gint64 report_lag_ms;     /**< age of the reports that ranks give to other
+                                 VMs than their own */
+  gint64 fence_seen;        /**< highest token of any leader */
+  gint64 policy_version;    /**< configuration version from which the
+                                 coordinator's pass_aim_ms was read */
+  gboolean leads;           /**< this gateway leads the group */
+  gint64 lead_since_ms;     /**< when it last took the lead */
+  gboolean lead_announced;  /**< agents were told that this gateway leads... */
+  gboolean settling_announced; /**< ...and that it settles */
+  CfHoldLease lease;           /**< another leader's */
+  gboolean lease_announced;    /**< the other seeds were told that this gateway
+                                    holds a pass */
+  gint64 lease_sent_ms;
 };
 
 struct CfRankService
 {
-  CfGateway *g;
-  int seed; /**< which seed this gateway is; -1: none */
+  CfGateway *gateway;
+  int seed; /**< index of this gateway among the seeds; -1: it is none */
   ev_timer timer;
-  gint64 ticked_ms;
-  gint64 seq;
+  gint64 tick_sent_ms;
+  gint64 seq;                       /**< of the last order */
   GHashTable *groups;               /**< name -> #CfLedGroup */
   CfRankServiceNotify notify_seeds; /**< (nullable) */
   void *notify_data;
-  TAILQ_HEAD (, CfRankLink) agents;
+  TAILQ_HEAD (, CfAgentLink) agents;
 };
 
 /** cf_rank_service_target: (nullable): the target at @addr. */
@@ -95,16 +102,17 @@
  * it, and gives it up if not. */
 void cf_led_group_decide_lead (CfLedGroup *g);
 
-/** cf_led_group_renew_lease: tells the other seeds that a pass of @g is held,
- * while it is, and once when it is not any more. */
+/** cf_led_group_renew_lease: tells the other seeds that this gateway holds a
+ * pass of @g, at intervals while it does, and once when the hold has ended. */
 void cf_led_group_renew_lease (CfLedGroup *g);
 
-/** cf_led_group_on_order: the coordinator's order to a rank goes out, as
- * cf_order_watch_goes_direct() says; @data is the #CfLedGroup. */
+/** cf_led_group_on_order: sends a coordinator's order to a rank, through its
+ * agent or, if cf_order_watch_goes_direct() says so, to the rank itself.
+ * @data: the #CfLedGroup */
 void cf_led_group_on_order (void *data, int rank, const CfRankOrder *o);
 
-/** cf_led_group_send_direct: an order straight to a rank, and then the
- * question for its report.
- * @is_order: the coordinator waits for what comes of it */
+/** cf_led_group_send_direct: sends an order to the rank itself and then
+ * requests the rank's report.
+ * @wants_ack: whether the coordinator waits for the outcome */
 void cf_led_group_send_direct (CfLedGroup *g, int rank, const CfRankOrder *o,
-                               gboolean is_order);
+                               gboolean wants_ack);
