--- a/t/t-fleet.c
+++ b/t/t-fleet.c
@@ -1,8 +1,8 @@
 /*
- * Seeded sequences against simple oracles: versions of the configuration
- * never go back whatever order they come in; the table of targets is what
- * the newest revisions say; all gateways' retries together stay within the
- * fleet's limit in every window.
+ * Compares seeded random sequences with simple reference models.  Versions of
+ * the configuration never decrease, in whatever order they arrive; the table
+ * of targets matches the newest revisions; and the retries of all gateways
+ * together stay within the limit of the fleet in every window.
  */
 #include "gateway/gateway.h"
 #include "gateway/peer-msg.h"
@@ -31,8 +31,9 @@
   g.now_ms = 1000;
 }
 
-/* Versions come from the store and from peers, late, twice, broken. */
-START_TEST (versions_never_go_back)
+/* Versions arrive from the store and from peers, some of them late, twice or
+ * malformed. */
+START_TEST (versions_never_decrease)
 {
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
@@ -62,22 +63,23 @@
 
 #define TARGETS 12
 
-/* Records of any order; the oracle keeps the newest revision of each. */
-START_TEST (the_table_is_what_the_newest_records_say)
+/* Records arrive in any order; the reference model keeps the newest revision
+ * of each target. */
+START_TEST (the_table_follows_the_newest_revisions)
 {
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       GRand *rand = g_rand_new_with_seed (seed);
       gint64 rev_of[TARGETS] = { 0 };
-      gboolean here[TARGETS] = { 0 };
-      gboolean leaving[TARGETS] = { 0 };
+      gboolean present[TARGETS] = { 0 };
+      gboolean draining[TARGETS] = { 0 };
 
       gateway_init ();
       for (gint64 rev = 1; rev < 600; rev++)
         {
           int t = g_rand_int_range (rand, 0, TARGETS);
-          gboolean late = g_rand_int_range (rand, 0, 4) == 0;
-          gint64 at = late ? MAX (rev - 20, 1) : rev;
+          gboolean outdated = g_rand_int_range (rand, 0, 4) == 0;
+          gint64 record_rev = outdated ? MAX (rev - 20, 1) : rev;
           gboolean drain = g_rand_boolean (rand);
           g_autofree char *id = g_strdup_printf ("i-%d", t);
           g_autofree char *json = g_strdup_printf (
@@ -88,30 +90,32 @@
 
           if (g_rand_int_range (rand, 0, 5) == 0)
             {
-              cf_gateway_drop_target (&g, id, at, "store");
-              if (here[t] && at >= rev_of[t])
-                here[t] = FALSE;
+              cf_gateway_drop_target (&g, id, record_rev, "store");
+              if (present[t] && record_rev >= rev_of[t])
+                present[t] = FALSE;
             }
           else
             {
-              const CfTargetNews news = { id, json, strlen (json), at, at, 0 };
+              const CfTargetNews news
+                  = { id, json, strlen (json), record_rev, record_rev, 0 };
 
               cf_gateway_take_target (&g, &news, "store");
-              if (!here[t] || at >= rev_of[t])
+              if (!present[t] || record_rev >= rev_of[t])
                 {
-                  here[t] = TRUE;
-                  rev_of[t] = at;
-                  leaving[t] = drain;
+                  present[t] = TRUE;
+                  rev_of[t] = record_rev;
+                  draining[t] = drain;
                 }
             }
           for (int k = 0; k < TARGETS; k++)
             {
-              g_autofree char *kid = g_strdup_printf ("i-%d", k);
-              CfTarget *found = g_hash_table_lookup (g.targets.by_id, kid);
+              g_autofree char *expected_id = g_strdup_printf ("i-%d", k);
+              CfTarget *found
+                  = g_hash_table_lookup (g.targets.by_id, expected_id);
 
-              ck_assert_int_eq (found != NULL, here[k]);
+              ck_assert_int_eq (found != NULL, present[k]);
               if (found)
-                ck_assert_int_eq (found->record.leaving, leaving[k]);
+                ck_assert_int_eq (found->record.leaving, draining[k]);
             }
         }
       cf_gateway_clear (&g);
@@ -122,18 +126,18 @@
 
 #define GATEWAYS 4
 #define WINDOW_MS 10000
-#define PLAY_MS 60000
+#define RUN_MS 60000
 #define STEP_MS 10
 
-/* Gateways that share the allowance, while every request fails: in no window
- * do they retry more than the limit. */
-START_TEST (retries_stay_within_the_fleets_limit)
+/* The gateways share the retry budget of the fleet.  Even while every request
+ * fails, their retries exceed the limit in no window. */
+START_TEST (retries_stay_within_the_fleet_limit)
 {
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       GRand *rand = g_rand_new_with_seed (seed);
       CfRetryBudget b[GATEWAYS];
-      int n_steps = PLAY_MS / STEP_MS;
+      int n_steps = RUN_MS / STEP_MS;
       g_autofree int *requests = g_new0 (int, n_steps);
       g_autofree int *retries = g_new0 (int, n_steps);
       int window = WINDOW_MS / STEP_MS;
@@ -145,7 +149,7 @@
       for (int s = 0; s < n_steps; s++)
         for (int i = 0; i < GATEWAYS; i++)
           {
-            /* A storm in which every request fails, and calm. */
+            /* Requests, all of which fail, come in bursts with pauses. */
             int n = s % 2000 < 1000 ? g_rand_int_range (rand, 0, 4) : 0;
 
             for (; n > 0; n--)
@@ -157,15 +161,15 @@
           }
       for (int s = window; s < n_steps; s++)
         {
-          int asked = 0;
-          int again = 0;
+          int sent = 0;
+          int retried = 0;
 
           for (int k = s - window; k < s; k++)
             {
-              asked += requests[k];
-              again += retries[k];
+              sent += requests[k];
+              retried += retries[k];
             }
-          ck_assert_double_le (again, 0.2 * asked + 88);
+          ck_assert_double_le (retried, 0.2 * sent + 88);
         }
       cf_gateway_clear (&g);
       g_rand_free (rand);
@@ -173,8 +177,9 @@
 }
 END_TEST
 
-/* Also after its start on the ring went over the wire, in 1 / CF_PEER_RING. */
-START_TEST (each_gateway_has_a_place_of_its_own)
+/* The place is the same when computed from the start on the ring as peers
+ * receive it, rounded to 1 / CF_PEER_RING. */
+START_TEST (each_gateway_has_a_distinct_place)
 {
   const guint fleets[] = { 1, 2, 3, 12, 35, 340 };
 
@@ -195,7 +200,7 @@
 }
 END_TEST
 
-START_TEST (a_larger_fleet_gets_smaller_parts)
+START_TEST (larger_fleets_get_smaller_shares)
 {
   CfRetryBudget *b;
   int taken = 0;
@@ -217,11 +222,11 @@
   TCase *t = tcase_create ("fleet");
 
   tcase_set_timeout (t, 30);
-  tcase_add_test (t, versions_never_go_back);
-  tcase_add_test (t, the_table_is_what_the_newest_records_say);
-  tcase_add_test (t, retries_stay_within_the_fleets_limit);
-  tcase_add_test (t, each_gateway_has_a_place_of_its_own);
-  tcase_add_test (t, a_larger_fleet_gets_smaller_parts);
+  tcase_add_test (t, versions_never_decrease);
+  tcase_add_test (t, the_table_follows_the_newest_revisions);
+  tcase_add_test (t, retries_stay_within_the_fleet_limit);
+  tcase_add_test (t, each_gateway_has_a_distinct_place);
+  tcase_add_test (t, larger_fleets_get_smaller_shares);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-rank-groups.c
+++ b/t/t-rank-groups.c
@@ -1,6 +1,6 @@
 /*
- * Rank groups before real processes: who leads them, how their maps change,
- * and what callers get while a group forms.
+ * Rank groups with gateways and rank agents as real processes: who leads a
+ * group, how its maps change, and what callers get while it forms.
  */
 #include "harness.h"
 #include "platform-harness.h"
@@ -9,37 +9,37 @@
 #include <string.h>
 #include <unistd.h>
 
-#define BASE 25000
-#define RANK_1 (BASE + 3)
+#define BASE_PORT 25000
+#define FIRST_RANK_PORT (BASE_PORT + 3)
 #define N_RANKS 4
-/** A pass at even load: about half of the 120 ms that callers accept between
- * two events, so that an uneven map is worth mending. */
-#define STEP_MS "60"
+/** Duration of a pass at even load: about half of the 120 ms that callers
+ * accept between two events, so that it is worth changing a skewed map. */
+#define PASS_MS "60"
 
 static pid_t gateway;
 
 static void
 setup (void)
 {
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, NULL);
-  gateway = p_ready_gateway (BASE, 1);
+  p_platform (BASE_PORT, "--ranks", "4", "--step-ms", PASS_MS, NULL);
+  gateway = p_ready_gateway (BASE_PORT, 1);
 }
 
 static void
-fault_ranks (const char *kind, int x)
+set_rank_fault (const char *kind, int x)
 {
-  p_fault (RANK_1, N_RANKS, kind, x);
+  p_fault (FIRST_RANK_PORT, N_RANKS, kind, x);
 }
 
 static double
-at_ranks (const char *what)
+sum_over_ranks (const char *what)
 {
-  return p_runs (RANK_1, N_RANKS, what);
+  return p_runs (FIRST_RANK_PORT, N_RANKS, what);
 }
 
-/* While a group forms, its ranks refuse all work: a request waits until the
- * group makes passes again, and its attempts are not used up. */
-START_TEST (requests_wait_for_a_group_to_open)
+/* While a group forms, its ranks refuse all requests.  A request waits until
+ * the group runs passes again and does not use up its attempts. */
+START_TEST (requests_wait_while_a_group_forms)
 {
   g_autofree char *req = p_request ("POST /chat/a", "o1",
                                     "Comfreypost-Token-Count: 100,40\r\n"
@@ -49,22 +49,21 @@
   g_autofree char *a = NULL;
   int fd;
 
-  fault_ranks ("broken", 1000);
+  set_rank_fault ("broken", 1000);
   first = p_request ("POST /chat/a", "o0",
                      "Comfreypost-Token-Count: 100,40\r\n", "x");
-  g_free (p_ask (p_front (BASE, 1), first));
-  fd = p_connect (p_front (BASE, 1));
+  g_free (p_ask (p_front (BASE_PORT, 1), first));
+  fd = p_connect (p_front (BASE_PORT, 1));
   p_send (fd, req);
   usleep (500000);
-  fault_ranks ("none", 0);
+  set_rank_fault ("none", 0);
   a = p_read (fd, 4000);
   ck_assert_msg (p_status (a) == 200, "%s", a);
   close (fd);
 }
 END_TEST
 
-/* The leader of a group stops: while it still ends a stream, which takes
- * seconds, the next gateway leads. */
+/* Once a group has been broken for 5 s, requests to it are refused at once. */
 START_TEST (a_group_that_stays_broken_refuses_at_once)
 {
   g_autofree char *probe = p_request ("POST /chat/a", "q0", NULL, "x");
@@ -74,13 +73,13 @@
   const char *after;
   gint64 start;
 
-  fault_ranks ("broken", 100000);
-  g_free (p_ask (p_front (BASE, 1), probe));
+  set_rank_fault ("broken", 100000);
+  g_free (p_ask (p_front (BASE_PORT, 1), probe));
   usleep (5200000);
-  /* One may be the request that is sent to see. */
-  g_free (p_ask (p_front (BASE, 1), probe));
+  /* One request may still be sent to probe the group. */
+  g_free (p_ask (p_front (BASE_PORT, 1), probe));
   start = g_get_monotonic_time ();
-  answer = p_ask (p_front (BASE, 1), req);
+  answer = p_ask (p_front (BASE_PORT, 1), req);
   ck_assert_int_eq (p_status (answer), 503);
   ck_assert_int_lt (g_get_monotonic_time () - start, 300000);
   after = strstr (answer, "Retry-After: ");
@@ -89,25 +88,29 @@
 }
 END_TEST
 
-START_TEST (a_stopping_leader_hands_on_the_lead)
+/* The next gateway takes the lead while a stopping leader still completes a
+ * stream, which takes seconds. */
+START_TEST (a_stopping_leader_hands_over_the_lead)
 {
   g_autofree char *stream = p_request (
       "POST /chat/a", "l1", "Comfreypost-Token-Count: 10,4000\r\n", "");
-  g_autofree char *log_1 = g_strdup_printf ("t/out/gateway-%d-1.log", BASE);
-  g_autofree char *log_2 = g_strdup_printf ("t/out/gateway-%d-2.log", BASE);
-  pid_t second = p_gateway (BASE, 2);
+  g_autofree char *log_1
+      = g_strdup_printf ("t/out/gateway-%d-1.log", BASE_PORT);
+  g_autofree char *log_2
+      = g_strdup_printf ("t/out/gateway-%d-2.log", BASE_PORT);
+  pid_t second = p_gateway (BASE_PORT, 2);
   gboolean first_leads;
   pid_t leader;
   int fd;
 
-  p_await_ready (BASE, 2);
+  p_await_ready (BASE_PORT, 2);
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
+    p_agent (BASE_PORT, FIRST_RANK_PORT + i);
   usleep (2500000);
   first_leads = p_log_says (log_1, "took-the-lead", 20);
   ck_assert_int_ne (first_leads, p_log_says (log_2, "took-the-lead", 20));
   leader = first_leads ? gateway : second;
-  fd = p_connect (p_front (BASE, first_leads ? 1 : 2));
+  fd = p_connect (p_front (BASE_PORT, first_leads ? 1 : 2));
   p_send (fd, stream);
   usleep (100000);
   kill (leader, SIGTERM);
@@ -117,26 +120,28 @@
 }
 END_TEST
 
-/* Ranks copy experts for seconds when their leader is killed: the next one
- * hears of them at once, though nothing changes there. */
-START_TEST (a_leader_killed_in_mid_change_is_followed)
+/* The leader is killed while ranks copy experts for seconds.  Although nothing
+ * changes at the ranks, the next leader gets their status at once. */
+START_TEST (a_leader_killed_during_a_change_is_succeeded)
 {
-  g_autofree char *log_1 = g_strdup_printf ("t/out/gateway-%d-1.log", BASE);
-  g_autofree char *log_2 = g_strdup_printf ("t/out/gateway-%d-2.log", BASE);
+  g_autofree char *log_1
+      = g_strdup_printf ("t/out/gateway-%d-1.log", BASE_PORT);
+  g_autofree char *log_2
+      = g_strdup_printf ("t/out/gateway-%d-2.log", BASE_PORT);
   gboolean first_leads;
   pid_t second;
   int fds[8];
 
   p_stop_all ();
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--copy-ms", "9000",
-              NULL);
-  gateway = p_gateway (BASE, 1);
-  second = p_gateway (BASE, 2);
-  p_await_ready (BASE, 1);
-  p_await_ready (BASE, 2);
+  p_platform (BASE_PORT, "--ranks", "4", "--step-ms", PASS_MS, "--copy-ms",
+              "9000", NULL);
+  gateway = p_gateway (BASE_PORT, 1);
+  second = p_gateway (BASE_PORT, 2);
+  p_await_ready (BASE_PORT, 1);
+  p_await_ready (BASE_PORT, 2);
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
+    p_agent (BASE_PORT, FIRST_RANK_PORT + i);
+  p_load_ranks (BASE_PORT, fds, G_N_ELEMENTS (fds));
   ck_assert (p_log_says (log_1, "to=preparing", 2000)
              || p_log_says (log_2, "to=preparing", 4000));
   first_leads = p_log_says (log_1, "to=preparing", 20);
@@ -147,60 +152,63 @@
 }
 END_TEST
 
-/* Eight in ten orders get no answer and come a second late: maps change
- * nevertheless, always at one pass.  In 5 s 3 changes came about with one
- * try each 80 ms from the leader, 8 with tries each 20 ms at the rank. */
-START_TEST (maps_change_while_orders_come_late)
+/* Eight in ten orders get no answer and arrive a second late.  Maps change all
+ * the same, and all ranks switch at the same pass.  In 5 s there were 3 changes
+ * with one attempt every 80 ms by the leader, and 8 with attempts every 20 ms
+ * by the agent. */
+START_TEST (maps_change_although_orders_are_late)
 {
-  g_autofree char *log = g_strdup_printf ("t/out/gateway-%d-1.log", BASE);
+  g_autofree char *log = g_strdup_printf ("t/out/gateway-%d-1.log", BASE_PORT);
   int fds[8];
 
   p_stop_all ();
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--shift-s", "0.4",
-              NULL);
-  gateway = p_ready_gateway (BASE, 1);
+  p_platform (BASE_PORT, "--ranks", "4", "--step-ms", PASS_MS, "--shift-s",
+              "0.4", NULL);
+  gateway = p_ready_gateway (BASE_PORT, 1);
   for (int i = 0; i < N_RANKS; i++)
     {
-      p_agent (BASE, RANK_1 + i);
-      g_free (p_test (RANK_1 + i, "POST /test/late-orders?tenths=8", ""));
+      p_agent (BASE_PORT, FIRST_RANK_PORT + i);
+      g_free (
+          p_test (FIRST_RANK_PORT + i, "POST /test/late-orders?tenths=8", ""));
     }
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
+  p_load_ranks (BASE_PORT, fds, G_N_ELEMENTS (fds));
   usleep (5000000);
   ck_assert_uint_ge (p_log_count (log, "why=changed"), 5);
-  ck_assert_double_eq (at_ranks ("mixed"), 0);
+  ck_assert_double_eq (sum_over_ranks ("mixed"), 0);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
 }
 END_TEST
 
-/** Ranks of a group of which some are read a tenth as often as others, and
- * streams that keep them busy. */
-#define MANY_RANKS 34
-#define MANY_STREAMS 34
+/** A group large enough that some of its ranks are read a tenth as often as
+ * others, and the number of streams that keep it busy. */
+#define LARGE_RANKS 34
+#define LARGE_STREAMS 34
 
-/* Such a group, whose demand shifts, in place of the fixture's; with @mute its
- * ranks carry orders out without an answer. */
+/* Replaces the group of the fixture by such a group, whose demand shifts.  With
+ * @lose_answers its ranks carry orders out without an answer. */
 static void
-begin_many (int *fds, gboolean mute)
+start_large_group (int *fds, gboolean lose_answers)
 {
   p_stop_all ();
-  p_platform (BASE, "--ranks", G_STRINGIFY (MANY_RANKS), "--step-ms", STEP_MS,
-              "--shift-s", "0.8", NULL);
-  gateway = p_ready_gateway (BASE, 1);
-  for (int i = 0; i < MANY_RANKS; i++)
+  p_platform (BASE_PORT, "--ranks", G_STRINGIFY (LARGE_RANKS), "--step-ms",
+              PASS_MS, "--shift-s", "0.8", NULL);
+  gateway = p_ready_gateway (BASE_PORT, 1);
+  for (int i = 0; i < LARGE_RANKS; i++)
     {
-      p_agent (BASE, RANK_1 + i);
-      if (mute)
-        g_free (p_test (RANK_1 + i, "POST /test/mute-orders", ""));
+      p_agent (BASE_PORT, FIRST_RANK_PORT + i);
+      if (lose_answers)
+        g_free (p_test (FIRST_RANK_PORT + i, "POST /test/mute-orders", ""));
     }
-  p_load_ranks (BASE, fds, MANY_STREAMS);
+  p_load_ranks (BASE_PORT, fds, LARGE_STREAMS);
 }
-/** A change may take so long from the end of its hold until the leader may
- * plan the next: a pass, the agents' reading of it, and a margin. */
-#define SWITCH_MS 400
+
+/** Limit on the time from the end of a hold until the leader may plan the next
+ * change: a pass, a read of it by the agents, and a margin. */
+#define SWITCH_MAX_MS 400
 
 static int
-by_length (gconstpointer a, gconstpointer b)
+compare_doubles (gconstpointer a, gconstpointer b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -208,9 +216,9 @@
   return (x > y) - (x < y);
 }
 
-/* The median of the times between lines of @from and the next of @to in @log,
- * while the gateway leads: what else runs on the machine makes one longer, and
- * the faults looked for make most of them longer. */
+/* Returns the median of the times between a line with @from and the next with
+ * @to in @log, while the gateway leads.  Other load on the machine makes one of
+ * these longer; the failures that these tests guard against, most of them. */
 static double
 median_ms (const char *log, const char *from, const char *to)
 {
@@ -236,80 +244,81 @@
         }
     }
   ck_assert_uint_gt (times->len, 0);
-  g_array_sort (times, by_length);
+  g_array_sort (times, compare_doubles);
   return g_array_index (times, double, times->len / 2) * 1000;
 }
 
 /*
- * In a group of 192 ranks a map was in use everywhere 0.1 s after the pass
- * that was held for it, and yet the leader planned nothing for up to a second
- * more.  An order to prepare had got no answer within the 20 ms that its agent
- * waits (28 kB of it, on a VM with 0.15 cores); the rank's state showed that
- * it was carried out, so it counted as done, but the agent went on reading its
- * rank once a second as if no copy were under way.  Seen in agents' logs: the
- * last ranks told of the new map 0.6 s after the others.
+ * In a group of 192 ranks all had switched 0.1 s after the pass held for the
+ * new map, but the leader planned nothing for up to another second.  Some
+ * orders to prepare (28 kB, on a VM with 0.15 cores) got no answer within the
+ * 20 ms that the agent waits.  The rank's state showed that they were carried
+ * out, so they counted as done, but the agent went on reading its rank once a
+ * second as if it copied nothing, and so reported the new map 0.6 s after the
+ * others.
  */
-START_TEST (a_change_ends_soon_where_orders_get_no_answer)
+START_TEST (a_change_ends_soon_without_order_answers)
 {
-  g_autofree char *log = g_strdup_printf ("t/out/gateway-%d-1.log", BASE);
-  int fds[MANY_STREAMS];
+  g_autofree char *log = g_strdup_printf ("t/out/gateway-%d-1.log", BASE_PORT);
+  int fds[LARGE_STREAMS];
 
-  begin_many (fds, TRUE);
+  start_large_group (fds, TRUE);
   ck_assert (p_log_says_times (log, "why=changed", 3, 8000));
   ck_assert_double_lt (median_ms (log, "why=released", "why=changed"),
-                       SWITCH_MS);
+                       SWITCH_MAX_MS);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
 }
 END_TEST
 
-/** A group that formed anew is settled so soon after its leader learns of it:
- * one reading of every rank, and a margin. */
-#define SETTLE_MS 400
+/** Limit on the time from when the leader learns that the group re-formed until
+ * the group is settled: one read of every rank, and a margin. */
+#define SETTLE_MAX_MS 400
 
 /*
- * After all VMs had lost power a group of 192 ranks opened with its first map,
- * skew 3.3 and passes of 210 to 260 ms, and its leader planned nothing for
- * 0.9 s: it has to hear of every rank once, and most are read once a second.
- * Seen in the seeds' logs: E1503 why=new-epoch, 0.9 s, E1502 nothing-pending.
+ * After all VMs had lost power, a group of 192 ranks started with its initial
+ * map, a skew of 3.3 and passes of 210 to 260 ms, and its leader planned
+ * nothing for 0.9 s: it needs the status of every rank, and most were read only
+ * once a second.  In the seeds' logs, these 0.9 s lie between E1503
+ * why=new-epoch and E1502 why=nothing-pending.
  */
 START_TEST (a_group_that_formed_anew_is_settled_soon)
 {
-  g_autofree char *log = g_strdup_printf ("t/out/gateway-%d-1.log", BASE);
-  int fds[MANY_STREAMS];
+  g_autofree char *log = g_strdup_printf ("t/out/gateway-%d-1.log", BASE_PORT);
+  int fds[LARGE_STREAMS];
 
-  begin_many (fds, FALSE);
+  start_large_group (fds, FALSE);
   ck_assert (p_log_says (log, "why=changed", 8000));
   for (int i = 0; i < 2; i++)
     {
       guint n = p_log_count (log, "why=nothing-pending");
 
-      g_free (p_test (RANK_1 + i, "POST /test/restart?same=1", ""));
+      g_free (p_test (FIRST_RANK_PORT + i, "POST /test/restart?same=1", ""));
       ck_assert (p_log_says_times (log, "why=nothing-pending", n + 1, 5000));
       usleep (300000);
     }
   ck_assert_double_lt (median_ms (log, "why=new-epoch", "why=nothing-pending"),
-                       SETTLE_MS);
+                       SETTLE_MAX_MS);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
 }
 END_TEST
 
-/* Agents beside the ranks: the load is evened, every pass has one map. */
-START_TEST (experts_are_placed_at_one_pass)
+/* With agents for all ranks the skew falls, and each pass uses a single map. */
+START_TEST (maps_reduce_skew_and_switch_at_one_pass)
 {
   int fds[8];
   double before;
   double after;
 
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
+    p_agent (BASE_PORT, FIRST_RANK_PORT + i);
+  p_load_ranks (BASE_PORT, fds, G_N_ELEMENTS (fds));
   usleep (400000);
-  before = at_ranks ("skew") / N_RANKS;
+  before = sum_over_ranks ("skew") / N_RANKS;
   usleep (4000000);
-  after = at_ranks ("skew") / N_RANKS;
-  ck_assert_double_eq (at_ranks ("mixed"), 0);
+  after = sum_over_ranks ("skew") / N_RANKS;
+  ck_assert_double_eq (sum_over_ranks ("mixed"), 0);
   ck_assert_double_gt (before, 1.3);
   ck_assert_double_lt (after, before - 0.1);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
@@ -317,61 +326,61 @@
 }
 END_TEST
 
-/* A rank starts again under its id while maps change: the change in hand is
- * given up, the group gets its maps again, and no pass ever has two. */
-START_TEST (a_rank_restarts_under_its_id_in_mid_change)
+/* A rank restarts under its id during a change.  The change is given up, later
+ * changes succeed, and no pass ever uses two maps. */
+START_TEST (a_rank_restarts_under_its_id_during_a_change)
 {
-  g_autofree char *log = g_strdup_printf ("t/out/gateway-%d-1.log", BASE);
+  g_autofree char *log = g_strdup_printf ("t/out/gateway-%d-1.log", BASE_PORT);
   guint before;
   int fds[8];
 
   p_stop_all ();
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--shift-s", "0.4",
-              "--copy-ms", "60", NULL);
-  gateway = p_ready_gateway (BASE, 1);
+  p_platform (BASE_PORT, "--ranks", "4", "--step-ms", PASS_MS, "--shift-s",
+              "0.4", "--copy-ms", "60", NULL);
+  gateway = p_ready_gateway (BASE_PORT, 1);
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
+    p_agent (BASE_PORT, FIRST_RANK_PORT + i);
+  p_load_ranks (BASE_PORT, fds, G_N_ELEMENTS (fds));
   ck_assert (p_log_says (log, "why=changed", 4000));
   for (int i = 0; i < 3; i++)
     {
       ck_assert (p_log_says_times (
           log, "to=preparing", p_log_count (log, "to=preparing") + 1, 4000));
-      g_free (p_test (RANK_1 + i, "POST /test/restart?same=1", ""));
+      g_free (p_test (FIRST_RANK_PORT + i, "POST /test/restart?same=1", ""));
     }
   before = p_log_count (log, "why=changed");
   ck_assert (p_log_says_times (log, "why=changed", before + 2, 5000));
-  ck_assert_double_eq (at_ranks ("mixed"), 0);
+  ck_assert_double_eq (sum_over_ranks ("mixed"), 0);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
 }
 END_TEST
 
-/* Agents that start anew know no map that the next could be told by: they say
- * so, are told it by what a group begins with, and maps go on changing. */
-START_TEST (agents_that_start_anew_are_told_maps_in_whole)
+/* Restarted agents lack the base map of the next diff.  They say so, get the
+ * map as a diff against the initial one, and maps go on changing. */
+START_TEST (restarted_agents_get_complete_maps)
 {
-  g_autofree char *log = g_strdup_printf ("t/out/gateway-%d-1.log", BASE);
+  g_autofree char *log = g_strdup_printf ("t/out/gateway-%d-1.log", BASE_PORT);
   pid_t agents[N_RANKS];
   guint changes;
   int fds[8];
 
   p_stop_all ();
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--shift-s", "0.4",
-              NULL);
-  gateway = p_ready_gateway (BASE, 1);
+  p_platform (BASE_PORT, "--ranks", "4", "--step-ms", PASS_MS, "--shift-s",
+              "0.4", NULL);
+  gateway = p_ready_gateway (BASE_PORT, 1);
   for (int i = 0; i < N_RANKS; i++)
-    agents[i] = p_agent (BASE, RANK_1 + i);
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
+    agents[i] = p_agent (BASE_PORT, FIRST_RANK_PORT + i);
+  p_load_ranks (BASE_PORT, fds, G_N_ELEMENTS (fds));
   ck_assert (p_log_says (log, "why=changed", 5000));
   for (int i = 0; i < 2; i++)
     {
       p_signal (agents[i], SIGKILL);
-      p_agent (BASE, RANK_1 + i);
+      p_agent (BASE_PORT, FIRST_RANK_PORT + i);
     }
   changes = p_log_count (log, "why=changed");
   ck_assert (p_log_says_times (log, "why=changed", changes + 2, 6000));
-  ck_assert_double_eq (at_ranks ("mixed"), 0);
+  ck_assert_double_eq (sum_over_ranks ("mixed"), 0);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
 }
@@ -385,16 +394,16 @@
 
   tcase_set_timeout (t, 30);
   tcase_add_checked_fixture (t, setup, p_stop_all);
-  tcase_add_test (t, requests_wait_for_a_group_to_open);
+  tcase_add_test (t, requests_wait_while_a_group_forms);
   tcase_add_test (t, a_group_that_stays_broken_refuses_at_once);
-  tcase_add_test (t, a_stopping_leader_hands_on_the_lead);
-  tcase_add_test (t, a_leader_killed_in_mid_change_is_followed);
-  tcase_add_test (t, maps_change_while_orders_come_late);
-  tcase_add_test (t, a_change_ends_soon_where_orders_get_no_answer);
+  tcase_add_test (t, a_stopping_leader_hands_over_the_lead);
+  tcase_add_test (t, a_leader_killed_during_a_change_is_succeeded);
+  tcase_add_test (t, maps_change_although_orders_are_late);
+  tcase_add_test (t, a_change_ends_soon_without_order_answers);
   tcase_add_test (t, a_group_that_formed_anew_is_settled_soon);
-  tcase_add_test (t, experts_are_placed_at_one_pass);
-  tcase_add_test (t, agents_that_start_anew_are_told_maps_in_whole);
-  tcase_add_test (t, a_rank_restarts_under_its_id_in_mid_change);
+  tcase_add_test (t, maps_reduce_skew_and_switch_at_one_pass);
+  tcase_add_test (t, restarted_agents_get_complete_maps);
+  tcase_add_test (t, a_rank_restarts_under_its_id_during_a_change);
   suite_add_tcase (s, t);
   return t_run (s);
 }
