--- a/gateway/expert-demand.h
+++ b/gateway/expert-demand.h
@@ -30,7 +30,7 @@
 void cf_expert_demand_add (CfExpertDemand *d, const gint64 *increases);
 
 /** cf_expert_demand_reset: counts windows from zero again, after the group
- * formed anew. */
+ * re-formed. */
 void cf_expert_demand_reset (CfExpertDemand *d);
 
 /** cf_expert_demand_tick: closes the open window if it is long enough and has
--- a/t/t-group-map.c
+++ b/t/t-group-map.c
@@ -249,7 +249,7 @@
 /*
  * A plan for 192 ranks made in one go blocked the event loop for 80 to 120 ms
  * of processor time, half a second on a VM with a fifth of a core.  The leader
- * took that for a standstill, settled for seconds and planned anew, so that no
+ * took that for a standstill, settled for seconds and planned again, so that no
  * map was ever changed.  Plans are therefore made in steps, and take a tenth
  * of that time in total.  The fastest of three runs counts, so that other load
  * on the machine does not fail the test.
