--- a/gateway/map-coordinator-plan.c
+++ b/gateway/map-coordinator-plan.c
@@ -23,7 +23,7 @@
   if (CF_WITHOUT_MAP_CHANGES || now < c->idle_until_ms)
     return FALSE;
   if (!cf_map_has_all_reports_since (c, 0)
-      || !cf_expert_demand_known (&c->demand))
+      || !cf_expert_demand_is_settled (&c->demand))
     return FALSE;
   if (cf_map_is_in_use_known (c))
     return TRUE;
@@ -54,7 +54,7 @@
   c->idle_until_ms = now + PLAN_PAUSE_MS;
   if (!c->next)
     return;
-  c->n_copies = cf_group_map_added (c->in_use, c->next);
+  c->n_copies = cf_group_map_count_added (c->in_use, c->next);
   c->skew_before = before;
   c->skew_after = after;
   c->version = cf_map_allocate_version (c, FALSE);
--- a/gateway/map-coordinator-view.c
+++ b/gateway/map-coordinator-view.c
@@ -89,7 +89,7 @@
   for (int r = 0; r < c->shape.ranks; r++)
     if (c->ranks[r].lists_version != c->ranks[r].status.map)
       return FALSE;
-  return cf_group_map_whole (c->in_use);
+  return cf_group_map_is_complete (c->in_use);
 }
 
 gboolean
--- a/gateway/order-watch.c
+++ b/gateway/order-watch.c
@@ -50,6 +50,6 @@
 gboolean
 cf_order_watch_is_sent_direct (const CfOrderWatch *w, CfRankOrderKind kind)
 {
-  return cf_rank_order_halts_group (kind)
+  return cf_rank_order_is_blocking (kind)
          || cf_order_watch_is_agent_bypassed (w);
 }
