--- a/comfrey-gateway.c
+++ b/comfrey-gateway.c
@@ -59,7 +59,7 @@
   if (!it->value)
     return;
   json = g_bytes_get_data (it->value, &n);
-  cf_gateway_take_policy (g, json, n, it->rev, "store");
+  cf_gateway_apply_policy (g, json, n, it->rev, "store");
 }
 
 static void
@@ -82,18 +82,19 @@
     = { policy_item, policy_snapshot, policy_fresh, policy_contact };
 
 /* The loop's own idea of the time of day may jump; durations and deadlines
- * are taken from the steady clock, read once a turn. */
+ * are taken from the steady clock, read once a loop_watch. */
 static void
 on_turn_begin (struct ev_loop *loop, ev_check *w, int revents)
 {
   gw.now_ms = cf_now_ms ();
-  cf_loop_watch_begin (&gw.turn, g_get_monotonic_time ());
+  cf_loop_watch_begin (&gw.loop_watch, g_get_monotonic_time ());
 }
 
 static void
 on_turn_end (struct ev_loop *loop, ev_prepare *w, int revents)
 {
-  cf_loop_watch_end (&gw.turn, g_get_monotonic_time (), &gw.stats.turn_ms);
+  cf_loop_watch_end (&gw.loop_watch, g_get_monotonic_time (),
+                     &gw.stats.iteration_ms);
 }
 
 static void
@@ -108,15 +109,15 @@
   gint64 now = cf_gateway_now (g);
 
   cf_exchange_stop_look (g);
-  if (now < MIN (g->stop_at_ms + STOP_HEARD_MS, g->end_at_ms))
+  if (now < MIN (g->stop_started_ms + STOP_HEARD_MS, g->stop_deadline_ms))
     return;
-  if (!g->stop_heard)
+  if (!g->stop_propagated)
     cf_log (LOG_NOTICE, CF_EV_DRAIN_DONE,
             "action=close-idle callers=%u requests=%u", g->n_callers,
             g->n_exchanges);
-  g->stop_heard = TRUE;
+  g->stop_propagated = TRUE;
   cf_caller_close_idle (g);
-  if (g->n_callers == 0 || now > g->end_at_ms)
+  if (g->n_callers == 0 || now > g->stop_deadline_ms)
     ev_break (g->loop, EVBREAK_ALL);
 }
 
@@ -155,8 +156,8 @@
   if (gw.stopping)
     return;
   gw.stopping = TRUE;
-  gw.stop_at_ms = cf_gateway_now (&gw);
-  gw.end_at_ms = gw.stop_at_ms + gw.set.grace_ms - STOP_MARGIN_MS;
+  gw.stop_started_ms = cf_gateway_now (&gw);
+  gw.stop_deadline_ms = gw.stop_started_ms + gw.set.grace_ms - STOP_MARGIN_MS;
   cf_log (LOG_NOTICE, CF_EV_DRAIN_BEGIN,
           "signal=%d callers=%u requests=%u grace_ms=%" G_GINT64_FORMAT,
           w->signum, gw.n_callers, gw.n_exchanges, gw.set.grace_ms);
@@ -240,7 +241,7 @@
   ev_run (g->loop, 0);
   cf_log (LOG_NOTICE, CF_EV_STOP, "callers=%u requests=%u", g->n_callers,
           g->n_exchanges);
-  g->ending = TRUE;
+  g->exiting = TRUE;
   ev_io_stop (g->loop, &front_io);
   close (front_io.fd);
   cf_caller_abort_all (g);
--- a/gateway/answer.c
+++ b/gateway/answer.c
@@ -41,9 +41,9 @@
 }
 
 gboolean
-cf_answer_passes (int status, CfRepeat repeat)
+cf_answer_passes (int status, CfRetrySafety retry_safety)
 {
-  return repeat != CF_REPEAT_NEVER || !promises_not_run (status);
+  return retry_safety != CF_RETRY_UNSAFE || !promises_not_run (status);
 }
 
 void
@@ -53,7 +53,7 @@
     {
       const CfHeader *h = &g_array_index (r->headers, CfHeader, i);
 
-      if (cf_http_reader_passes (r, h))
+      if (cf_http_reader_may_forward (r, h))
         g_string_append_printf (out, "%s: %s\r\n", h->name, h->value);
     }
 }
--- a/gateway/answer.h
+++ b/gateway/answer.h
@@ -22,7 +22,7 @@
  * Whether a signed failure goes to the caller as it is.  The statuses that
  * promise "not run" do not, for a request that ran and must not run again.
  */
-gboolean cf_answer_passes (int status, CfRepeat repeat);
+gboolean cf_answer_passes (int status, CfRetrySafety retry_safety);
 
 /** cf_answer_headers: appends the lines of @r that are passed on. */
 void cf_answer_headers (const CfHttpReader *r, GString *out);
--- a/gateway/caller.c
+++ b/gateway/caller.c
@@ -171,13 +171,14 @@
 }
 
 void
-cf_caller_begin (CfCaller *c, int status, const char *headers, gint64 length)
+cf_caller_begin_answer (CfCaller *c, int status, const char *headers,
+                        gint64 length)
 {
   gboolean http10
       = c->reader.parser.http_major == 1 && c->reader.parser.http_minor == 0;
 
   if (c->g->stopping || !c->reader.has_head
-      || !cf_http_reader_keeps (&c->reader) || (http10 && length < 0))
+      || !cf_http_reader_can_keep_alive (&c->reader) || (http10 && length < 0))
     c->close = TRUE;
   c->chunked = length < 0 && !http10;
   g_string_append_printf (c->out, "HTTP/1.1 %d %s\r\n", status,
@@ -195,7 +196,7 @@
 }
 
 void
-cf_caller_data (CfCaller *c, const char *data, gsize n)
+cf_caller_append_body (CfCaller *c, const char *data, gsize n)
 {
   if (n == 0)
     return;
@@ -217,7 +218,7 @@
 }
 
 void
-cf_caller_end (CfCaller *c)
+cf_caller_end_answer (CfCaller *c)
 {
   if (c->chunked)
     g_string_append (c->out, "0\r\n\r\n");
@@ -237,7 +238,7 @@
 }
 
 gsize
-cf_caller_backlog (const CfCaller *c)
+cf_caller_unsent_bytes (const CfCaller *c)
 {
   return c->out->len - c->out_sent;
 }
@@ -249,10 +250,10 @@
   cf_log (LOG_NOTICE, CF_EV_NO_ROUTE, "id=- status=%d reason=\"%s\"", status,
           why);
   c->g->stats.requests++;
-  c->g->stats.outcomes[CF_OUT_DENIED]++;
+  c->g->stats.outcomes[CF_OUTCOME_DENIED]++;
   c->close = TRUE;
-  cf_caller_begin (c, status, NULL, 0);
-  cf_caller_end (c);
+  cf_caller_begin_answer (c, status, NULL, 0);
+  cf_caller_end_answer (c);
 }
 
 static void
@@ -285,7 +286,7 @@
   g_string_append_len (c->body, data, (gssize)n);
 }
 
-static const CfHttpReaderCalls reader_calls = { on_head, on_body, NULL };
+static const CfHttpReaderCallbacks reader_calls = { on_head, on_body, NULL };
 
 /* Reads on in the current request; whatever is behind it stays in @in. */
 static void
@@ -412,9 +413,10 @@
 {
   gint64 now = cf_gateway_now (g);
 
-  if (g->full_logged_ms && now - g->full_logged_ms < FULL_LOG_MS)
+  if (g->callers_full_logged_ms
+      && now - g->callers_full_logged_ms < FULL_LOG_MS)
     return;
-  g->full_logged_ms = now;
+  g->callers_full_logged_ms = now;
   cf_log (LOG_WARNING, CF_EV_CALLERS_FULL,
           "callers=%u requests=%u turned_away=%" G_GUINT64_FORMAT, g->n_callers,
           g->n_exchanges, g->stats.callers_turned_away);
--- a/gateway/caller.h
+++ b/gateway/caller.h
@@ -36,19 +36,19 @@
 void cf_caller_accept (CfGateway *g, int listener);
 
 /**
- * cf_caller_begin:
+ * cf_caller_begin_answer:
  * Begins the answer.
  * @headers: (nullable): whole header lines, each with its line end
  * @length: of the body, or -1 if it is not known yet
  */
-void cf_caller_begin (CfCaller *c, int status, const char *headers,
-                      gint64 length);
+void cf_caller_begin_answer (CfCaller *c, int status, const char *headers,
+                             gint64 length);
 
-/** cf_caller_data: more of the answer's body. */
-void cf_caller_data (CfCaller *c, const char *data, gsize n);
+/** cf_caller_append_body: more of the answer's body. */
+void cf_caller_append_body (CfCaller *c, const char *data, gsize n);
 
-/** cf_caller_end: the answer is whole; the exchange is done with @c. */
-void cf_caller_end (CfCaller *c);
+/** cf_caller_end_answer: the answer is whole; the exchange is done with @c. */
+void cf_caller_end_answer (CfCaller *c);
 
 /** cf_caller_flush: sends what can be sent. */
 void cf_caller_flush (CfCaller *c);
@@ -56,8 +56,8 @@
 /** cf_caller_abort: closes at once, so that the answer looks cut off. */
 void cf_caller_abort (CfCaller *c);
 
-/** cf_caller_backlog: bytes of the answer that are not sent yet. */
-gsize cf_caller_backlog (const CfCaller *c);
+/** cf_caller_unsent_bytes: bytes of the answer that are not sent yet. */
+gsize cf_caller_unsent_bytes (const CfCaller *c);
 
 /** cf_caller_close_idle: closes those that have no request in progress. */
 void cf_caller_close_idle (CfGateway *g);
--- a/gateway/event-stream.c
+++ b/gateway/event-stream.c
@@ -95,7 +95,7 @@
 }
 
 gboolean
-cf_event_stream_torn (const CfEventStream *s)
+cf_event_stream_has_partial (const CfEventStream *s)
 {
   return s->partial->len > 0;
 }
--- a/gateway/event-stream.h
+++ b/gateway/event-stream.h
@@ -30,5 +30,5 @@
 /** cf_event_stream_restart: another target goes on after last_id. */
 void cf_event_stream_restart (CfEventStream *s);
 
-/** cf_event_stream_torn: whether an event has begun and is not whole. */
-gboolean cf_event_stream_torn (const CfEventStream *s);
+/** cf_event_stream_has_partial: whether an event has begun and is not whole. */
+gboolean cf_event_stream_has_partial (const CfEventStream *s);
--- a/gateway/exchange-answer.c
+++ b/gateway/exchange-answer.c
@@ -53,7 +53,7 @@
 static void
 note_outage (CfExchange *x)
 {
-  CfLane *l = x->lane;
+  CfServiceState *l = x->lane;
   gint64 now = cf_gateway_now (x->g);
 
   if (now - l->last_event_ms < QUIET_MS || !cf_outage_refused (&l->outage, now))
@@ -118,13 +118,13 @@
 begin_answer (CfExchange *x, gint64 length)
 {
   x->begun = TRUE;
-  cf_caller_begin (x->c, x->status, x->head->str, length);
+  cf_caller_begin_answer (x->c, x->status, x->head->str, length);
 }
 
 static void
 log_overload (const CfExchange *x)
 {
-  const CfLane *l = x->lane;
+  const CfServiceState *l = x->lane;
   const CfWaiter *first = TAILQ_FIRST (&l->queue.waiters);
 
   cf_log (LOG_NOTICE, CF_EV_OVERLOAD,
@@ -132,20 +132,20 @@
           "pause_ms=%.0f waiting=%u waited_ms=%" G_GINT64_FORMAT,
           x->service, cf_concurrency_limit_get (&l->limit) ? "begins" : "over",
           cf_concurrency_limit_get (&l->limit), l->in_flight, l->limit.mean_ms,
-          l->pace.pause_ms, l->queue.n,
+          l->latency.pause_ms, l->queue.n,
           first ? cf_gateway_now (x->g) - first->since_ms : 0);
 }
 
 static void
 sample_limit (CfExchange *x)
 {
-  CfLane *l = x->lane;
+  CfServiceState *l = x->lane;
   CfFirstEvent e = { 0 };
 
   e.now_ms = cf_gateway_now (x->g);
   e.sent_ms = x->sent_ms;
   e.unqueued_ms
-      = cf_pace_unqueued_ms (&l->pace, cf_exchange_engine (x), &x->size);
+      = cf_pace_unqueued_ms (&l->latency, cf_exchange_engine (x), &x->size);
   e.aim_ms = x->route->aim_ms;
   e.in_flight = l->in_flight;
   e.fair_share = (double)cf_target_table_slots (&x->g->targets, x->service)
@@ -180,7 +180,7 @@
   if (x->last_event_ms == 0)
     {
       x->first_ms = now - x->start_ms;
-      cf_pace_first (&x->lane->pace, now - x->sent_ms);
+      cf_pace_first (&x->lane->latency, now - x->sent_ms);
       sample_limit (x);
       cf_histogram_add (&x->g->stats.first_ms, x->first_ms);
     }
@@ -189,7 +189,7 @@
       gint64 pause = now - x->last_event_ms;
 
       x->longest_pause_ms = MAX (x->longest_pause_ms, pause);
-      cf_pace_event (&x->lane->pace, now, pause);
+      cf_pace_event (&x->lane->latency, now, pause);
       cf_histogram_add (&x->g->stats.pause_ms, pause);
     }
   x->last_event_ms = now;
@@ -205,9 +205,9 @@
   if (!x->begun)
     begin_answer (x, -1);
   note_event (x);
-  cf_caller_data (x->c, x->held->str, x->held->len);
+  cf_caller_append_body (x->c, x->held->str, x->held->len);
   g_string_truncate (x->held, 0);
-  if (x->route->repeat != CF_REPEAT_NEVER)
+  if (x->route->retry_safety != CF_RETRY_UNSAFE)
     cf_exchange_wait_for_target (x, cf_exchange_silence_limit (x));
   cf_caller_flush (x->c);
 }
@@ -220,7 +220,7 @@
     return;
   if (!x->begun)
     begin_answer (x, x->length);
-  cf_caller_data (x->c, x->held->str, x->held->len);
+  cf_caller_append_body (x->c, x->held->str, x->held->len);
   g_string_truncate (x->held, 0);
   cf_caller_flush (x->c);
 }
@@ -241,7 +241,7 @@
             "target=%s per_s=%.3f source=answer id=%s", t->record.id, limit,
             x->id);
   if (cf_rate_limit_hear (&t->limit, limit, cf_gateway_now (x->g)))
-    x->g->limits_changed = TRUE;
+    x->g->rate_limits_changed = TRUE;
 }
 
 static void
@@ -283,7 +283,7 @@
     pass_events (x, data, n);
   else
     pass_bytes (x, data, n);
-  if (cf_caller_backlog (x->c) > BACKLOG_MAX)
+  if (cf_caller_unsent_bytes (x->c) > BACKLOG_MAX)
     cf_upstream_pause (x->up, TRUE);
 }
 
@@ -296,8 +296,8 @@
 
   if (!x->begun)
     begin_answer (x, bare && x->length >= 0 ? x->length : (gint64)x->held->len);
-  cf_caller_data (c, x->held->str, x->held->len);
-  cf_caller_end (c);
+  cf_caller_append_body (c, x->held->str, x->held->len);
+  cf_caller_end_answer (c);
   cf_exchange_finish (x, o, status, "answered");
 }
 
@@ -309,14 +309,14 @@
   if (!x->route->stream)
     {
       note_work (x);
-      pass_whole (x, CF_OUT_SUCCESS);
+      pass_whole (x, CF_OUTCOME_SUCCESS);
       return;
     }
   /* What is behind the last event, if anything, is the target's too. */
   g_string_assign (x->held, x->events.partial->str);
   if (!x->begun)
     begin_answer (x, -1);
-  pass_whole (x, CF_OUT_SUCCESS);
+  pass_whole (x, CF_OUTCOME_SUCCESS);
 }
 
 /* A signed failure: worth another try if that may be, else passed on. */
@@ -332,7 +332,7 @@
       cf_exchange_try_again (x, "target-failed");
       return;
     }
-  if (x->route->repeat != CF_REPEAT_NEVER && x->status >= 500
+  if (x->route->retry_safety != CF_RETRY_UNSAFE && x->status >= 500
       && cf_exchange_may_send_again (x)
       && cf_retry_budget_take (&x->lane->budget))
     {
@@ -347,8 +347,8 @@
       x->g->stats.retries++;
       cf_exchange_try_target (x);
     }
-  else if (cf_answer_passes (x->status, x->route->repeat))
-    pass_whole (x, CF_OUT_TARGET_FAIL);
+  else if (cf_answer_passes (x->status, x->route->retry_safety))
+    pass_whole (x, CF_OUTCOME_TARGET_FAILED);
   else
     {
       x->may_have_run = TRUE;
--- a/gateway/exchange-crash.c
+++ b/gateway/exchange-crash.c
@@ -12,9 +12,9 @@
 digest_of (CfExchange *x)
 {
   if (!x->has_digest)
-    x->digest
-        = cf_request_digest (x->org, cf_http_reader_target (&x->c->reader),
-                             x->c->body->str, x->c->body->len);
+    x->digest = cf_request_digest (
+        x->org, cf_http_reader_request_target (&x->c->reader), x->c->body->str,
+        x->c->body->len);
   x->has_digest = TRUE;
   return &x->digest;
 }
@@ -136,7 +136,7 @@
 }
 
 static CfExchange *
-first_quarantined (const CfLane *l)
+first_quarantined (const CfServiceState *l)
 {
   CfWaiter *w;
 
@@ -153,7 +153,7 @@
   gpointer lane;
   CfExchange *x;
 
-  g_hash_table_iter_init (&it, g->lanes);
+  g_hash_table_iter_init (&it, g->service_states);
   while (g_hash_table_iter_next (&it, NULL, &lane))
     while ((x = first_quarantined (lane)))
       cf_exchange_refuse_quarantined (x);
--- a/gateway/exchange-parts.h
+++ b/gateway/exchange-parts.h
@@ -33,7 +33,7 @@
   CfPolicy *policy;     /**< the version it was routed by */
   const CfRoute *route; /**< of @policy */
   const char *service;  /**< of @policy */
-  CfLane *lane;
+  CfServiceState *lane;
   const char *org; /**< (nullable): of @policy */
   char *id;        /**< the attempt's, as the caller sent it */
   guint hash;
--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -15,7 +15,7 @@
 gint64
 cf_exchange_busy_ms (const CfExchange *x)
 {
-  const CfLane *l = x->lane;
+  const CfServiceState *l = x->lane;
 
   if (cf_outage_is_long (&l->outage, cf_gateway_now (x->g)))
     return cf_wait_busy_ms (CF_NO_ROOM_LONG_OUTAGE);
@@ -29,7 +29,7 @@
 gboolean
 cf_exchange_may_send_again (CfExchange *x)
 {
-  if (x->may_have_run && x->route->repeat == CF_REPEAT_NEVER)
+  if (x->may_have_run && x->route->retry_safety == CF_RETRY_UNSAFE)
     return FALSE;
   if (cf_exchange_is_suspected (x))
     return FALSE;
@@ -84,8 +84,8 @@
   x->events_at_send = x->events.n_events;
   x->sent_ms = cf_gateway_now (x->g);
   if (x->route->stream)
-    x->expected_first_ms
-        = cf_pace_first_ms (&x->lane->pace, cf_exchange_engine (x), &x->size);
+    x->expected_first_ms = cf_pace_first_ms (&x->lane->latency,
+                                             cf_exchange_engine (x), &x->size);
   x->g->stats.sends++;
   g_ptr_array_add (x->tried, cf_target_ref (t));
   x->up = cf_upstream_send (x->g->loop, t, req, x->id, head_only,
@@ -95,7 +95,7 @@
       cf_exchange_on_fail (x, CF_FAIL_UNSENT);
       return;
     }
-  if (x->route->repeat != CF_REPEAT_NEVER)
+  if (x->route->retry_safety != CF_RETRY_UNSAFE)
     cf_exchange_wait_for_target (x, cf_exchange_first_look_ms (x));
 }
 
@@ -114,7 +114,8 @@
   gint64 first = 0;
 
   if (x->route->stream)
-    first = cf_pace_first_ms (&x->lane->pace, cf_exchange_engine (x), &x->size);
+    first = cf_pace_first_ms (&x->lane->latency, cf_exchange_engine (x),
+                              &x->size);
   return cf_waiter_in_time_ms (x->start_ms, x->route->aim_ms, first);
 }
 
@@ -126,7 +127,7 @@
   if (!x->route->stream)
     return x->deadline_ms;
   return x->deadline_ms
-         - cf_pace_usual_whole_ms (&x->lane->pace, cf_exchange_engine (x),
+         - cf_pace_usual_whole_ms (&x->lane->latency, cf_exchange_engine (x),
                                    &x->size);
 }
 
@@ -196,7 +197,7 @@
   /* More work sent there would only be given up by its callers, at targets
    * that may not hear of it. */
   if (!CF_WITHOUT_STALL_CHECK
-      && cf_exchange_all_quiet (x, cf_pace_stall_ms (&x->lane->pace)))
+      && cf_exchange_all_quiet (x, cf_pace_stall_ms (&x->lane->latency)))
     return TRUE;
   if (CF_WITHOUT_OUTAGE_WAIT)
     return FALSE;
@@ -225,11 +226,11 @@
   /* Just after an outage nobody is in time, whom room could be left for. */
   in.yields
       = !cf_outage_is_recent (&x->lane->outage, in.now_ms)
-        && cf_waiter_yields (&x->waiter, in.now_ms, x->lane->pace.pause_ms,
+        && cf_waiter_yields (&x->waiter, in.now_ms, x->lane->latency.pause_ms,
                              x->route->gap_aim_ms);
   if (x->route->stream)
     {
-      in.stall_ms = cf_pace_stall_ms (&x->lane->pace);
+      in.stall_ms = cf_pace_stall_ms (&x->lane->latency);
       in.ring_start = &x->g->ring_start;
     }
   return cf_balancer_pick (&x->g->targets, &in, t);
@@ -302,7 +303,7 @@
 }
 
 static CfWaiter *
-first_probe (CfLane *l)
+first_probe (CfServiceState *l)
 {
   CfWaiter *w;
 
@@ -314,7 +315,7 @@
 
 /* The waiter at the head of a queue gets the room that came free. */
 static gboolean
-serve_first (CfGateway *g, CfLane *l)
+serve_first (CfGateway *g, CfServiceState *l)
 {
   CfWaitQueue *q = &l->queue;
   CfWaiter *w
@@ -346,9 +347,9 @@
   GHashTableIter it;
   gpointer lane;
 
-  if (g->ending)
+  if (g->exiting)
     return;
-  g_hash_table_iter_init (&it, g->lanes);
+  g_hash_table_iter_init (&it, g->service_states);
   while (g_hash_table_iter_next (&it, NULL, &lane))
     while (serve_first (g, lane))
       ;
--- a/gateway/exchange-silence.c
+++ b/gateway/exchange-silence.c
@@ -79,7 +79,7 @@
 gboolean
 cf_exchange_all_quiet (const CfExchange *x, gint64 ms)
 {
-  const CfLane *l = x->lane;
+  const CfServiceState *l = x->lane;
   gint64 since = MAX (l->last_event_ms, l->busy_since_ms);
 
   return x->route->stream && l->in_flight > 0
@@ -98,7 +98,7 @@
 stranded_ms (const CfExchange *x)
 {
   return STRANDED_TIMES
-         * MAX (cf_pace_stall_ms (&x->lane->pace), x->expected_first_ms);
+         * MAX (cf_pace_stall_ms (&x->lane->latency), x->expected_first_ms);
 }
 
 gint64
@@ -118,14 +118,14 @@
 
   return !CF_WITHOUT_STALL_CHECK && x->route->stream && x->last_event_ms == 0
          && cf_target_quiet_ms (x->target, now) >= stranded_ms (x)
-         && now - x->lane->last_event_ms < cf_pace_stall_ms (&x->lane->pace);
+         && now - x->lane->last_event_ms < cf_pace_stall_ms (&x->lane->latency);
 }
 
 /* Whether its target, or its whole service, shows no sign of any work. */
 static gboolean
 is_quiet (const CfExchange *x)
 {
-  gint64 stall = cf_pace_stall_ms (&x->lane->pace);
+  gint64 stall = cf_pace_stall_ms (&x->lane->latency);
 
   return cf_exchange_all_quiet (x, stall)
          || cf_target_quiet_ms (x->target, cf_gateway_now (x->g)) > stall;
@@ -144,8 +144,8 @@
 static gboolean
 has_time_elsewhere (const CfExchange *x)
 {
-  return cf_exchange_stay_ms (x)
-         > cf_pace_first_ms (&x->lane->pace, cf_exchange_engine (x), &x->size);
+  return cf_exchange_stay_ms (x) > cf_pace_first_ms (
+             &x->lane->latency, cf_exchange_engine (x), &x->size);
 }
 
 /* Whether another target may have it now.  Without a retry in the budget its
--- a/gateway/exchange-stop.c
+++ b/gateway/exchange-stop.c
@@ -19,8 +19,8 @@
   gint64 whole = -1;
 
   if (x->route->stream)
-    whole = cf_pace_whole_ms (&x->lane->pace, cf_exchange_engine (x), &x->size,
-                              cf_gateway_now (x->g));
+    whole = cf_pace_whole_ms (&x->lane->latency, cf_exchange_engine (x),
+                              &x->size, cf_gateway_now (x->g));
   return whole < 0 ? left : MIN (whole, left);
 }
 
@@ -38,9 +38,9 @@
 {
   const CfGateway *g = x->g;
 
-  if (!g->stopping || x->begun || (!g->stop_heard && is_unforeseen (x)))
+  if (!g->stopping || x->begun || (!g->stop_propagated && is_unforeseen (x)))
     return G_MAXINT64;
-  return g->end_at_ms - cf_gateway_now (g) - whole_ms (x);
+  return g->stop_deadline_ms - cf_gateway_now (g) - whole_ms (x);
 }
 
 static void
@@ -50,8 +50,9 @@
           "id=%s outcome=%s whole_ms=%" G_GINT64_FORMAT
           " left_ms=%" G_GINT64_FORMAT
           " pause_ms=%.1f answer=%" G_GINT64_FORMAT,
-          x->id, outcome, whole_ms (x), x->g->end_at_ms - cf_gateway_now (x->g),
-          x->lane->pace.pause_ms, x->size.answer);
+          x->id, outcome, whole_ms (x),
+          x->g->stop_deadline_ms - cf_gateway_now (x->g),
+          x->lane->latency.pause_ms, x->size.answer);
 }
 
 /* From SIGTERM on, though the platform sends callers here for 2.3 s more: a
@@ -81,7 +82,7 @@
 }
 
 static CfExchange *
-first_too_late (const CfLane *l)
+first_too_late (const CfServiceState *l)
 {
   CfWaiter *w;
 
@@ -98,7 +99,7 @@
   gpointer lane;
   CfExchange *x;
 
-  g_hash_table_iter_init (&it, g->lanes);
+  g_hash_table_iter_init (&it, g->service_states);
   while (g_hash_table_iter_next (&it, NULL, &lane))
     while ((x = first_too_late (lane)))
       cf_exchange_stops_here (x);
@@ -110,7 +111,7 @@
   if (x->begun)
     {
       x->c->x = NULL;
-      cf_exchange_finish (x, CF_OUT_BROKEN, x->status, "cut-by-stop");
+      cf_exchange_finish (x, CF_OUTCOME_BROKEN, x->status, "cut-by-stop");
     }
   else if (x->up || x->may_have_run)
     cf_exchange_give_up (x, "cut-by-stop");
--- a/gateway/exchange-unrouted.c
+++ b/gateway/exchange-unrouted.c
@@ -12,7 +12,7 @@
 static gboolean
 is_worth_waiting (const CfGateway *g)
 {
-  return !cf_gateway_is_informed (g) && !g->stopping
+  return !cf_gateway_can_route (g) && !g->stopping
          && cf_gateway_now (g) - g->started_ms < STARTUP_MS;
 }
 
@@ -66,7 +66,7 @@
 {
   CfExchange *x;
 
-  while (cf_gateway_is_informed (g) && (x = TAILQ_FIRST (&g->unrouted)))
+  while (cf_gateway_can_route (g) && (x = TAILQ_FIRST (&g->unrouted)))
     {
       cf_exchange_leave_unrouted (x);
       cf_exchange_route (x);
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -50,7 +50,7 @@
 static const char *
 ran_name (const CfExchange *x, CfOutcome o)
 {
-  if (o == CF_OUT_SUCCESS || o == CF_OUT_TARGET_FAIL)
+  if (o == CF_OUTCOME_SUCCESS || o == CF_OUTCOME_TARGET_FAILED)
     return "yes";
   return x->may_have_run || x->up ? "maybe" : "no";
 }
@@ -72,7 +72,7 @@
           x->expected_first_ms, x->longest_pause_ms,
           x->policy ? x->policy->version : 0);
   g->stats.outcomes[o]++;
-  if (o == CF_OUT_SUCCESS && !x->events.n_events)
+  if (o == CF_OUTCOME_SUCCESS && !x->events.n_events)
     cf_histogram_add (&g->stats.whole_ms, ms);
   if (x->lane)
     cf_wait_queue_remove (&x->lane->queue, &x->waiter);
@@ -96,9 +96,9 @@
   if (retry_ms >= 0)
     g_string_append_printf (h, "Retry-After: %.3f\r\n",
                             (double)retry_ms / 1000);
-  cf_caller_begin (c, status, h->str, (gint64)strlen (body));
-  cf_caller_data (c, body, strlen (body));
-  cf_caller_end (c);
+  cf_caller_begin_answer (c, status, h->str, (gint64)strlen (body));
+  cf_caller_append_body (c, body, strlen (body));
+  cf_caller_end_answer (c);
   g_string_free (h, TRUE);
   g_free (body);
   cf_exchange_finish (x, o, status, reason);
@@ -108,7 +108,7 @@
 void
 cf_exchange_refuse (CfExchange *x, const char *reason, gint64 busy_ms)
 {
-  answer_self (x, CF_OUT_REFUSED, 503, reason,
+  answer_self (x, CF_OUTCOME_REFUSED, 503, reason,
                cf_retry_after_ms (cf_exchange_left_ms (x), busy_ms, x->hash));
 }
 
@@ -120,10 +120,10 @@
 
   if (!x->begun)
     {
-      answer_self (x, CF_OUT_FAILED, 502, reason, -1);
+      answer_self (x, CF_OUTCOME_FAILED, 502, reason, -1);
       return;
     }
-  cf_exchange_finish (x, CF_OUT_BROKEN, x->status, reason);
+  cf_exchange_finish (x, CF_OUTCOME_BROKEN, x->status, reason);
   cf_caller_abort (c);
 }
 
@@ -135,13 +135,13 @@
 
   if (x->begun)
     {
-      cf_exchange_finish (x, CF_OUT_TIMEOUT, x->status, "deadline");
+      cf_exchange_finish (x, CF_OUTCOME_TIMEOUT, x->status, "deadline");
       cf_caller_abort (c);
     }
   else if (x->up || x->may_have_run)
-    answer_self (x, CF_OUT_TIMEOUT, 504, "deadline", -1);
+    answer_self (x, CF_OUTCOME_TIMEOUT, 504, "deadline", -1);
   else
-    answer_self (x, CF_OUT_TIMEOUT, 503, "deadline", 0);
+    answer_self (x, CF_OUTCOME_TIMEOUT, 503, "deadline", 0);
 }
 
 /* Finds the organisation of the caller's key; FALSE if it has to have a
@@ -153,7 +153,7 @@
   const char *key = value ? cf_platform_api_key (value) : NULL;
 
   x->org = key ? g_hash_table_lookup (x->policy->tenants, key) : NULL;
-  return x->org || x->route->keyless || !x->policy->needs_keys;
+  return x->org || x->route->keyless || !x->policy->requires_api_key;
 }
 
 static gint64
@@ -162,7 +162,7 @@
   gpointer rank = NULL;
 
   if (x->org)
-    rank = g_hash_table_lookup (x->policy->org_rank, x->org);
+    rank = g_hash_table_lookup (x->policy->org_priority, x->org);
   return rank ? GPOINTER_TO_INT (rank) - 1 : x->route->priority;
 }
 
@@ -196,7 +196,7 @@
   gint64 allowed = time_allowed (x);
 
   x->service = cf_route_pick (x->route, x->hash);
-  x->lane = cf_gateway_lane (x->g, x->service);
+  x->lane = cf_gateway_service_state (x->g, x->service);
   cf_platform_size (cf_http_reader_header (&x->c->reader, CF_HDR_SIZE),
                     &x->size.prompt, &x->size.answer);
   x->deadline_ms = x->start_ms + allowed;
@@ -239,7 +239,7 @@
 {
   CfGateway *g = x->g;
   const char *host = cf_http_reader_header (&x->c->reader, CF_HDR_HOST);
-  const char *target = cf_http_reader_target (&x->c->reader);
+  const char *target = cf_http_reader_request_target (&x->c->reader);
 
   if (!g->policy)
     {
@@ -250,9 +250,9 @@
   x->policy = cf_policy_ref (g->policy);
   x->route = cf_policy_route (x->policy, host, target);
   if (!x->route)
-    answer_self (x, CF_OUT_DENIED, 404, "no-route", -1);
+    answer_self (x, CF_OUTCOME_DENIED, 404, "no-route", -1);
   else if (!find_org (x))
-    answer_self (x, CF_OUT_DENIED, 401, "unknown-key", -1);
+    answer_self (x, CF_OUTCOME_DENIED, 401, "unknown-key", -1);
   else
     start_routed (x);
 }
@@ -263,7 +263,7 @@
   CfExchange *x = new_exchange (g, c);
 
   if (!cf_http_reader_header (&c->reader, CF_HDR_HOST))
-    answer_self (x, CF_OUT_DENIED, 400, "no-host", -1);
+    answer_self (x, CF_OUTCOME_DENIED, 400, "no-host", -1);
   else if (!cf_exchange_waits_unrouted (x))
     cf_exchange_route (x);
 }
@@ -274,7 +274,7 @@
   x->c = NULL;
   cf_log (LOG_INFO, CF_EV_CALLER_GONE, "id=%s target=%s", x->id,
           cf_exchange_target_id (x));
-  cf_exchange_finish (x, CF_OUT_GONE, 0, "caller-left");
+  cf_exchange_finish (x, CF_OUTCOME_CALLER_GONE, 0, "caller-left");
 }
 
 void
--- a/gateway/forward.c
+++ b/gateway/forward.c
@@ -37,12 +37,12 @@
 
   g_string_append_printf (out, "%s %s HTTP/1.1\r\n",
                           http_method_str (r->parser.method),
-                          cf_http_reader_target (r));
+                          cf_http_reader_request_target (r));
   for (guint i = 0; i < r->headers->len; i++)
     {
       const CfHeader *h = &g_array_index (r->headers, CfHeader, i);
 
-      if (cf_http_reader_passes (r, h) && !is_ours (h->kind, ours))
+      if (cf_http_reader_may_forward (r, h) && !is_ours (h->kind, ours))
         g_string_append_printf (out, "%s: %s\r\n", h->name, h->value);
     }
   cf_platform_forward (out, ours);
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -32,7 +32,7 @@
 static void
 lane_free (gpointer data)
 {
-  CfLane *l = data;
+  CfServiceState *l = data;
 
   cf_retry_budget_clear (&l->budget);
   g_free (l);
@@ -49,23 +49,23 @@
 
 /* No one counts retries for the whole fleet, so each gateway keeps to an
  * even share of the slack; the ratio is of its own requests. */
-CfLane *
-cf_gateway_lane (CfGateway *g, const char *service)
+CfServiceState *
+cf_gateway_service_state (CfGateway *g, const char *service)
 {
-  CfLane *l;
+  CfServiceState *l;
 
-  if (!g->lanes)
-    g->lanes
+  if (!g->service_states)
+    g->service_states
         = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, lane_free);
-  l = g_hash_table_lookup (g->lanes, service);
+  l = g_hash_table_lookup (g->service_states, service);
   if (l)
     return l;
-  l = g_new0 (CfLane, 1);
+  l = g_new0 (CfServiceState, 1);
   cf_wait_queue_init (&l->queue);
   cf_retry_budget_init (&l->budget,
                         (gint64)(g->set.retry_ratio * RETRY_PART * 100),
                         retry_slack (g));
-  g_hash_table_insert (g->lanes, g_strdup (service), l);
+  g_hash_table_insert (g->service_states, g_strdup (service), l);
   return l;
 }
 
@@ -101,9 +101,9 @@
   g->targets.is_named = is_named_service;
   g->targets.is_named_data = g;
   g->quarantine = cf_quarantine_new ();
-  cf_gateway_lane (g, "");
-  cf_gateway_set_fleet (g, 0);
-  cf_gateway_set_place (g, g_random_double (), g->fleet_size);
+  cf_gateway_service_state (g, "");
+  cf_gateway_set_fleet_size (g, 0);
+  cf_gateway_set_fleet_place (g, g_random_double (), g->fleet_size);
 }
 
 void
@@ -111,8 +111,8 @@
 {
   cf_crash_probe_stop_all (g);
   cf_target_table_clear (&g->targets);
-  g_clear_pointer (&g->rejects, g_hash_table_destroy);
-  g_clear_pointer (&g->lanes, g_hash_table_destroy);
+  g_clear_pointer (&g->rejected_records, g_hash_table_destroy);
+  g_clear_pointer (&g->service_states, g_hash_table_destroy);
   g_clear_pointer (&g->quarantine, cf_quarantine_free);
   g_clear_pointer (&g->policy, cf_policy_unref);
   g_clear_pointer (&g->policy_json, g_bytes_unref);
@@ -125,27 +125,27 @@
   return g->now_ms;
 }
 
-CfTurnPart
-cf_gateway_enter (CfGateway *g, CfTurnPart part)
+CfLoopActivity
+cf_gateway_enter_activity (CfGateway *g, CfLoopActivity part)
 {
-  return cf_loop_watch_enter (&g->turn, part, g_get_monotonic_time ());
+  return cf_loop_watch_enter (&g->loop_watch, part, g_get_monotonic_time ());
 }
 
 gboolean
-cf_gateway_is_informed (const CfGateway *g)
+cf_gateway_can_route (const CfGateway *g)
 {
   return g->policy && g->targets_rev != 0;
 }
 
 gboolean
-cf_gateway_ready (const CfGateway *g)
+cf_gateway_is_ready (const CfGateway *g)
 {
   return g->policy && !g->stopping;
 }
 
 void
-cf_gateway_take_policy (CfGateway *g, const char *json, gsize n, gint64 rev,
-                        const char *source)
+cf_gateway_apply_policy (CfGateway *g, const char *json, gsize n, gint64 rev,
+                         const char *source)
 {
   CfPolicy *p;
 
@@ -216,17 +216,17 @@
   const gint64 *seen;
   gint64 *at;
 
-  if (!g->rejects)
-    g->rejects
+  if (!g->rejected_records)
+    g->rejected_records
         = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  seen = g_hash_table_lookup (g->rejects, id);
+  seen = g_hash_table_lookup (g->rejected_records, id);
   if (seen && *seen >= rev)
     return FALSE;
-  if (g_hash_table_size (g->rejects) >= REJECTS_MAX)
-    g_hash_table_remove_all (g->rejects);
+  if (g_hash_table_size (g->rejected_records) >= REJECTS_MAX)
+    g_hash_table_remove_all (g->rejected_records);
   at = g_new (gint64, 1);
   *at = rev;
-  g_hash_table_replace (g->rejects, g_strdup (id), at);
+  g_hash_table_replace (g->rejected_records, g_strdup (id), at);
   return TRUE;
 }
 
@@ -245,7 +245,7 @@
               REJECT_NAME_MAX, name, rev, source, reason);
       g_free (name);
     }
-  cf_gateway_drop_target (g, id, rev, "unreadable");
+  cf_gateway_remove_target (g, id, rev, "unreadable");
 }
 
 static void
@@ -273,8 +273,8 @@
 }
 
 void
-cf_gateway_take_target (CfGateway *g, const CfTargetNews *news,
-                        const char *source)
+cf_gateway_update_target (CfGateway *g, const CfTargetNews *news,
+                          const char *source)
 {
   CfTargetRecord r;
   CfTargetChange c;
@@ -300,8 +300,8 @@
 }
 
 void
-cf_gateway_drop_target (CfGateway *g, const char *id, gint64 rev,
-                        const char *source)
+cf_gateway_remove_target (CfGateway *g, const char *id, gint64 rev,
+                          const char *source)
 {
   CfTarget *t = g_hash_table_lookup (g->targets.by_id, id);
 
@@ -316,8 +316,8 @@
 }
 
 void
-cf_gateway_keep_targets (CfGateway *g, GHashTable *ids, gint64 as_of,
-                         const char *source)
+cf_gateway_retain_targets (CfGateway *g, GHashTable *ids, gint64 as_of,
+                           const char *source)
 {
   GPtrArray *gone = g_ptr_array_new_with_free_func (g_free);
   GHashTableIter it;
@@ -328,14 +328,14 @@
     if (!g_hash_table_contains (ids, id))
       g_ptr_array_add (gone, g_strdup (id));
   for (guint i = 0; i < gone->len; i++)
-    cf_gateway_drop_target (g, gone->pdata[i], as_of, source);
+    cf_gateway_remove_target (g, gone->pdata[i], as_of, source);
   g_ptr_array_free (gone, TRUE);
   g->targets_rev = as_of;
 }
 
 void
-cf_gateway_take_pace (CfGateway *g, CfTarget *t, double pace,
-                      const char *source)
+cf_gateway_update_slowdown (CfGateway *g, CfTarget *t, double pace,
+                            const char *source)
 {
   if (cf_target_set_pace (t, pace, cf_gateway_now (g)))
     cf_log (LOG_NOTICE, CF_EV_TARGET_LIST,
@@ -344,7 +344,7 @@
 }
 
 void
-cf_gateway_forget_paces (CfGateway *g)
+cf_gateway_expire_slowdowns (CfGateway *g)
 {
   GHashTableIter it;
   gpointer v;
@@ -355,12 +355,12 @@
       CfTarget *t = v;
 
       if (t->pace != 1 && cf_gateway_now (g) - t->pace_at_ms > PACE_FRESH_MS)
-        cf_gateway_take_pace (g, t, 1, "forgotten");
+        cf_gateway_update_slowdown (g, t, 1, "forgotten");
     }
 }
 
 void
-cf_gateway_set_place (CfGateway *g, double ring_start, guint members)
+cf_gateway_set_fleet_place (CfGateway *g, double ring_start, guint members)
 {
   guint n = MAX (members, 1);
 
@@ -370,7 +370,7 @@
 }
 
 void
-cf_gateway_set_fleet (CfGateway *g, guint n)
+cf_gateway_set_fleet_size (CfGateway *g, guint n)
 {
   GHashTableIter it;
   gpointer l;
@@ -380,7 +380,7 @@
   if (n == g->fleet_size)
     return;
   g->fleet_size = n;
-  g_hash_table_iter_init (&it, g->lanes);
+  g_hash_table_iter_init (&it, g->service_states);
   while (g_hash_table_iter_next (&it, NULL, &l))
-    cf_retry_budget_set_slack (&((CfLane *)l)->budget, retry_slack (g));
+    cf_retry_budget_set_slack (&((CfServiceState *)l)->budget, retry_slack (g));
 }
--- a/gateway/http-reader.c
+++ b/gateway/http-reader.c
@@ -41,7 +41,7 @@
 {
   CfHttpReader *r = reader_of (p);
 
-  r->target_len += n;
+  r->request_target_len += n;
   return append (r, at, n);
 }
 
@@ -108,8 +108,8 @@
   if (!index_headers (r))
     return -1;
   r->has_head = TRUE;
-  if (r->calls->head)
-    r->calls->head (r->owner);
+  if (r->callbacks->head)
+    r->callbacks->head (r->owner);
   return r->no_body ? 1 : 0;
 }
 
@@ -118,7 +118,7 @@
 {
   CfHttpReader *r = reader_of (p);
 
-  r->calls->body (r->owner, at, n);
+  r->callbacks->body (r->owner, at, n);
   return 0;
 }
 
@@ -142,13 +142,13 @@
 
 void
 cf_http_reader_init (CfHttpReader *r, enum http_parser_type type,
-                     const CfHttpReaderCalls *calls, void *owner,
+                     const CfHttpReaderCallbacks *callbacks, void *owner,
                      gsize head_max)
 {
   memset (r, 0, sizeof *r);
   http_parser_init (&r->parser, type);
   r->parser.data = r;
-  r->calls = calls;
+  r->callbacks = callbacks;
   r->owner = owner;
   r->head_max = head_max;
   r->text = g_string_sized_new (512);
@@ -170,7 +170,7 @@
   g_string_truncate (r->text, 0);
   g_array_set_size (r->offsets, 0);
   g_array_set_size (r->headers, 0);
-  r->target_len = 0;
+  r->request_target_len = 0;
   r->head_bytes = 0;
   r->in_value = FALSE;
   r->started = FALSE;
@@ -192,8 +192,8 @@
   err = HTTP_PARSER_ERRNO (&r->parser);
   if (r->is_complete)
     {
-      if (r->calls->complete)
-        r->calls->complete (r->owner);
+      if (r->callbacks->complete)
+        r->callbacks->complete (r->owner);
       return TRUE;
     }
   return err == HPE_OK && !r->parser.upgrade;
@@ -205,8 +205,8 @@
   if (!r->started || r->is_complete)
     return TRUE;
   http_parser_execute (&r->parser, &parser_calls, NULL, 0);
-  if (r->is_complete && r->calls->complete)
-    r->calls->complete (r->owner);
+  if (r->is_complete && r->callbacks->complete)
+    r->callbacks->complete (r->owner);
   return r->is_complete;
 }
 
@@ -224,13 +224,13 @@
 }
 
 const char *
-cf_http_reader_target (const CfHttpReader *r)
+cf_http_reader_request_target (const CfHttpReader *r)
 {
   return r->text->str;
 }
 
 gboolean
-cf_http_reader_keeps (const CfHttpReader *r)
+cf_http_reader_can_keep_alive (const CfHttpReader *r)
 {
   return http_should_keep_alive (&r->parser) != 0;
 }
@@ -254,7 +254,7 @@
 }
 
 gboolean
-cf_http_reader_passes (const CfHttpReader *r, const CfHeader *h)
+cf_http_reader_may_forward (const CfHttpReader *r, const CfHeader *h)
 {
   if (h->kind == CF_HDR_CONNECTION || h->kind == CF_HDR_FRAMING)
     return FALSE;
--- a/gateway/http-reader.h
+++ b/gateway/http-reader.h
@@ -15,7 +15,7 @@
 
 typedef struct CfHttpReader CfHttpReader;
 
-/** CfHttpReaderCalls: what the owner of a reader is told. */
+/** CfHttpReaderCallbacks: what the owner of a reader is told. */
 typedef struct
 {
   /** The head is in: method or status, target and headers can be read. */
@@ -24,7 +24,7 @@
   void (*body) (void *owner, const char *data, gsize n);
   /** The message is whole; the reader stops until the next _feed(). */
   void (*complete) (void *owner);
-} CfHttpReaderCalls;
+} CfHttpReaderCallbacks;
 
 /**
  * CfHttpReader:
@@ -34,12 +34,12 @@
 struct CfHttpReader
 {
   http_parser parser;
-  const CfHttpReaderCalls *calls;
+  const CfHttpReaderCallbacks *callbacks;
   void *owner;
   GString *text;   /**< target, names and values, each zero-ended */
   GArray *offsets; /**< of the names and values in @text */
   GArray *headers; /**< of #CfHeader, once the head is in */
-  gsize target_len;
+  gsize request_target_len;
   gsize head_bytes;
   gsize head_max; /**< a longer head is refused */
   gboolean in_value;
@@ -51,7 +51,7 @@
 };
 
 void cf_http_reader_init (CfHttpReader *r, enum http_parser_type type,
-                          const CfHttpReaderCalls *calls, void *owner,
+                          const CfHttpReaderCallbacks *callbacks, void *owner,
                           gsize head_max);
 void cf_http_reader_clear (CfHttpReader *r);
 
@@ -78,15 +78,16 @@
 /** cf_http_reader_header: (nullable): the first header of @kind. */
 const char *cf_http_reader_header (const CfHttpReader *r, CfHeaderKind kind);
 
-/** cf_http_reader_target: the request target, as the caller sent it. */
-const char *cf_http_reader_target (const CfHttpReader *r);
+/** cf_http_reader_request_target: the request target, as the caller sent it. */
+const char *cf_http_reader_request_target (const CfHttpReader *r);
 
-/** cf_http_reader_keeps: whether the connection may carry another message. */
-gboolean cf_http_reader_keeps (const CfHttpReader *r);
+/** cf_http_reader_can_keep_alive: whether the connection may carry another
+ * message. */
+gboolean cf_http_reader_can_keep_alive (const CfHttpReader *r);
 
 /**
- * cf_http_reader_passes:
+ * cf_http_reader_may_forward:
  * Whether @h is forwarded: it concerns neither this connection only, by
  * its kind or by being named in a Connection header, nor the framing.
  */
-gboolean cf_http_reader_passes (const CfHttpReader *r, const CfHeader *h);
+gboolean cf_http_reader_may_forward (const CfHttpReader *r, const CfHeader *h);
--- a/gateway/loop-watch.h
+++ b/gateway/loop-watch.h
@@ -2,16 +2,16 @@
 
 #include "stats.h"
 
-/** CfTurnPart: what a turn of the loop spends its time on. */
+/** CfLoopActivity: what a turn of the loop spends its time on. */
 typedef enum
 {
-  CF_TURN_CALLERS, /**< connections of callers, targets, peers */
-  CF_TURN_LEADING, /**< rank groups: what agents say, plans, orders */
-  CF_TURN_STORE,   /**< news of the store: configuration, targets */
-  CF_N_TURN_PARTS,
-} CfTurnPart;
+  CF_LOOP_CALLERS, /**< connections of callers, targets, peers */
+  CF_LOOP_LEADING, /**< rank groups: what agents say, plans, orders */
+  CF_LOOP_STORE,   /**< news of the store: configuration, targets */
+  CF_N_LOOP_ACTIVITIES,
+} CfLoopActivity;
 
-const char *cf_turn_part_name (CfTurnPart p);
+const char *cf_loop_activity_name (CfLoopActivity p);
 
 /**
  * CfLoopWatch:
@@ -23,8 +23,8 @@
 {
   gint64 begun_us; /**< of the turn; 0: none is under way */
   gint64 part_us;  /**< when @part began */
-  CfTurnPart part;
-  gint64 spent_us[CF_N_TURN_PARTS];
+  CfLoopActivity part;
+  gint64 spent_us[CF_N_LOOP_ACTIVITIES];
   gint64 longest_ms; /**< of all turns */
   gint64 logged_us;  /**< when a long turn was last logged; 0: never */
   guint n_unlogged;  /**< long turns since then */
@@ -38,7 +38,9 @@
  * The turn goes on with @part.
  * Returns: the part before, to be entered again afterwards.
  */
-CfTurnPart cf_loop_watch_enter (CfLoopWatch *w, CfTurnPart part, gint64 now_us);
+CfLoopActivity cf_loop_watch_enter (CfLoopWatch *w, CfLoopActivity part,
+                                    gint64 now_us);
 
-/** cf_loop_watch_end: the turn is over; @turn_ms counts it. */
-void cf_loop_watch_end (CfLoopWatch *w, gint64 now_us, CfHistogram *turn_ms);
+/** cf_loop_watch_end: the turn is over; @iteration_ms counts it. */
+void cf_loop_watch_end (CfLoopWatch *w, gint64 now_us,
+                        CfHistogram *iteration_ms);
--- a/gateway/ops.c
+++ b/gateway/ops.c
@@ -47,7 +47,7 @@
   cf_stats_gauge (out, "callers", g->n_callers);
   cf_stats_gauge (out, "requests_in_progress", g->n_exchanges);
   cf_stats_gauge (out, "request_bytes_held", (double)g->body_bytes);
-  cf_stats_gauge (out, "ready", cf_gateway_ready (g));
+  cf_stats_gauge (out, "ready", cf_gateway_is_ready (g));
   cf_stats_gauge (out, "log_lines_dropped", (double)cf_log_writer_dropped ());
 }
 
@@ -56,8 +56,9 @@
 {
   if (cf_platform_is_ready_call (path))
     {
-      g_string_assign (body, cf_gateway_ready (g) ? "ready\n" : "not ready\n");
-      return cf_gateway_ready (g) ? 200 : 503;
+      g_string_assign (body,
+                       cf_gateway_is_ready (g) ? "ready\n" : "not ready\n");
+      return cf_gateway_is_ready (g) ? 200 : 503;
     }
   if (strcmp (path, "/metrics") == 0)
     {
@@ -75,8 +76,9 @@
 {
   GString *body = g_string_new (NULL);
   GString *out = g_string_new (NULL);
-  gboolean keep = cf_http_reader_keeps (&c->reader);
-  int status = answer_text (c->g, cf_http_reader_target (&c->reader), body);
+  gboolean keep = cf_http_reader_can_keep_alive (&c->reader);
+  int status
+      = answer_text (c->g, cf_http_reader_request_target (&c->reader), body);
   ssize_t sent;
 
   g_string_printf (out,
@@ -98,7 +100,7 @@
   /* A probe has no body; one that comes all the same is read and dropped. */
 }
 
-static const CfHttpReaderCalls reader_calls = { NULL, on_body, NULL };
+static const CfHttpReaderCallbacks reader_calls = { NULL, on_body, NULL };
 
 static void
 on_io (struct ev_loop *loop, ev_io *w, int revents)
--- a/gateway/pace.c
+++ b/gateway/pace.c
@@ -89,7 +89,9 @@
 static double
 read_ms (const CfEngineModel *e, const CfStreamSize *size)
 {
-  return e && e->read_per_ms > 0 ? (double)size->prompt / e->read_per_ms : 0;
+  return e && e->prompt_tokens_per_ms > 0
+             ? (double)size->prompt / e->prompt_tokens_per_ms
+             : 0;
 }
 
 /* The pass that is under way, the prompt, and its own first pass. */
@@ -119,7 +121,7 @@
 
   if (!e || e->stride < 1)
     return 0;
-  answer = e->usual_answer;
+  answer = e->mean_answer_tokens;
   if (size->answer > 0)
     answer = MIN (answer, (double)size->answer);
   return (gint64)(cf_pace_unqueued_ms (p, e, size)
@@ -161,7 +163,7 @@
   if (pass <= 0)
     return -1;
   if (answer <= 0)
-    answer = e->usual_answer;
+    answer = e->mean_answer_tokens;
   first = MAX ((double)cf_pace_first_ms (p, e, size),
                2 * pass + read_ms (e, size));
   return (gint64)MIN (first + pass * ceil (answer / e->stride), WHOLE_MOST_MS);
--- a/gateway/peer-service.c
+++ b/gateway/peer-service.c
@@ -113,7 +113,7 @@
       /* What an agent tells this gateway itself goes before. */
       if (t && !is_told_by_agent (g, t)
           && !cf_target_is_former (t, p->incarnation))
-        cf_gateway_take_pace (
+        cf_gateway_update_slowdown (
             g, t, (double)p->thousandths / CF_PEER_THOUSANDTHS, "peer");
       g_free (addr);
     }
@@ -159,7 +159,7 @@
   cf_log (LOG_NOTICE, CF_EV_RATE_LIMIT,
           "target=%s per_s=%.3f source=peer peer=%s", t->record.id, per_s,
           peer);
-  g->limits_changed = TRUE;
+  g->rate_limits_changed = TRUE;
 }
 
 static void
@@ -303,12 +303,13 @@
 
   cf_membership_expire (s->fleet, FORGET_MS, g->now_ms);
   n = cf_membership_size (s->fleet);
-  cf_gateway_set_fleet (g, MAX (n, told));
+  cf_gateway_set_fleet_size (g, MAX (n, told));
   if (n >= told)
-    cf_gateway_set_place (g, cf_membership_ring_start (s->fleet, NULL), n);
+    cf_gateway_set_fleet_place (g, cf_membership_ring_start (s->fleet, NULL),
+                                n);
   else if (told_start >= 0 && told_start < CF_PEER_RING)
-    cf_gateway_set_place (g, (double)told_start / CF_PEER_RING,
-                          members ? members : told);
+    cf_gateway_set_fleet_place (g, (double)told_start / CF_PEER_RING,
+                                members ? members : told);
 }
 
 static void
@@ -362,10 +363,10 @@
       CfTargetNews news
           = { id, t->json.data, t->json.n, t->rev, t->created, g->now_ms };
 
-      cf_gateway_take_target (g, &news, "peer");
+      cf_gateway_update_target (g, &news, "peer");
       g_hash_table_add (seen, id);
     }
-  cf_gateway_keep_targets (g, seen, m->u.targets.as_of, "peer");
+  cf_gateway_retain_targets (g, seen, m->u.targets.as_of, "peer");
   g_hash_table_destroy (seen);
   cf_log (LOG_NOTICE, CF_EV_PEER,
           "peer=%s outcome=taught targets=%u as_of=%" G_GINT64_FORMAT,
@@ -383,8 +384,8 @@
       take_hello (p, m);
       break;
     case CF_PEER_POLICY:
-      cf_gateway_take_policy (p->s->g, m->u.policy.json.data,
-                              m->u.policy.json.n, m->u.policy.rev, "peer");
+      cf_gateway_apply_policy (p->s->g, m->u.policy.json.data,
+                               m->u.policy.json.n, m->u.policy.rev, "peer");
       break;
     case CF_PEER_TARGETS:
       take_targets (p, m);
@@ -531,11 +532,11 @@
       cf_quarantine_expire (s->g->quarantine, now);
     }
   /* A change of a target's rate is announced at once. */
-  if (now - s->greeted_ms < every && !s->g->limits_changed)
+  if (now - s->greeted_ms < every && !s->g->rate_limits_changed)
     return;
   s->greeted_ms = now;
-  s->g->limits_changed = FALSE;
-  cf_gateway_forget_paces (s->g);
+  s->g->rate_limits_changed = FALSE;
+  cf_gateway_expire_slowdowns (s->g);
   fill_greeting (s, &m);
   TAILQ_FOREACH (p, &s->peers, link)
   if (p->up)
@@ -555,6 +556,7 @@
   for (int i = 0; i < CF_SEEDS_MAX && g->set.seed_addrs[i]; i++)
     s->seed_valid[i]
         = g_strcmp0 (g->set.seed_addrs[i], own) != 0
-          && cf_socket_parse (g->set.seed_addrs[i], &s->seeds[i]) == CF_OK;
+          && cf_socket_parse_address (g->set.seed_addrs[i], &s->seeds[i])
+                 == CF_OK;
   return s;
 }
--- a/gateway/policy.c
+++ b/gateway/policy.c
@@ -35,11 +35,13 @@
 
   p->ref_count = 1;
   p->routes = g_ptr_array_new_with_free_func (route_free);
-  p->by_place = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  p->by_host_prefix
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   p->services
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, service_free);
   p->tenants = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  p->org_rank = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  p->org_priority
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return p;
 }
 
@@ -55,10 +57,10 @@
 {
   if (!p || --p->ref_count > 0)
     return;
-  g_hash_table_destroy (p->by_place);
+  g_hash_table_destroy (p->by_host_prefix);
   g_hash_table_destroy (p->services);
   g_hash_table_destroy (p->tenants);
-  g_hash_table_destroy (p->org_rank);
+  g_hash_table_destroy (p->org_priority);
   g_ptr_array_free (p->routes, TRUE);
   g_free (p);
 }
@@ -69,8 +71,8 @@
   char *host = g_ascii_strdown (r->host, -1);
 
   g_ptr_array_add (p->routes, r);
-  g_hash_table_insert (p->by_place, g_strconcat (host, " ", r->prefix, NULL),
-                       r);
+  g_hash_table_insert (p->by_host_prefix,
+                       g_strconcat (host, " ", r->prefix, NULL), r);
   g_free (host);
 }
 
@@ -97,7 +99,7 @@
       if (start[n - 1] != '/')
         continue;
       start[n] = '\0';
-      r = g_hash_table_lookup (p->by_place, place);
+      r = g_hash_table_lookup (p->by_host_prefix, place);
       if (r)
         return r;
     }
--- a/gateway/policy.h
+++ b/gateway/policy.h
@@ -3,14 +3,14 @@
 #include <glib.h>
 
 /**
- * CfRepeat: what may be done with a request that a target may have run.
+ * CfRetrySafety: what may be done with a request that a target may have run.
  */
 typedef enum
 {
-  CF_REPEAT_NEVER,  /**< it runs at most once */
-  CF_REPEAT_ALWAYS, /**< it is idempotent */
-  CF_REPEAT_RESUME, /**< a stream that another target can go on with */
-} CfRepeat;
+  CF_RETRY_UNSAFE,    /**< it runs at most once */
+  CF_RETRY_SAFE,      /**< it is idempotent */
+  CF_RETRY_RESUMABLE, /**< a stream that another target can go on with */
+} CfRetrySafety;
 
 /** CfSplit: one service's share of a route's requests. */
 typedef struct
@@ -25,7 +25,7 @@
   char *name;
   char *host;
   char *prefix; /**< begins and ends with a slash */
-  CfRepeat repeat;
+  CfRetrySafety retry_safety;
   gboolean stream;   /**< answers are event streams */
   gboolean keyless;  /**< requests need no API key */
   gint64 timeout_ms; /**< the longest a caller may be kept waiting */
@@ -44,20 +44,20 @@
  */
 typedef struct
 {
-  double step_ms;       /**< fixed part of a step */
-  double per_seq_ms;    /**< added by each request that writes */
-  double read_per_ms;   /**< prompt tokens read in a ms */
-  double stride;        /**< steps in a pass that has writers */
-  double report_lag_ms; /**< age of a report that another VM asks for */
-  double slots;         /**< requests that one engine works on at once */
-  double usual_prompt;  /**< mean prompt tokens */
-  double usual_answer;  /**< mean answer tokens */
-  int sets;             /**< layers of experts; 0: no rank groups */
-  int experts;          /**< in a set */
-  int places;           /**< experts that a rank can hold of a set */
-  int spare;            /**< new ones it can take of a set in one change */
-  double copy_ms;       /**< for which a rank copies one expert */
-  double form_ms;       /**< a rank group opens so long after its last rank */
+  double step_ms;              /**< fixed part of a step */
+  double per_seq_ms;           /**< added by each request that writes */
+  double prompt_tokens_per_ms; /**< prompt tokens read in a ms */
+  double stride;               /**< steps in a pass that has writers */
+  double report_lag_ms;        /**< age of a report that another VM asks for */
+  double slots;                /**< requests that one engine works on at once */
+  double mean_prompt_tokens;   /**< mean prompt tokens */
+  double mean_answer_tokens;   /**< mean answer tokens */
+  int sets;                    /**< layers of experts; 0: no rank groups */
+  int experts;                 /**< in a set */
+  int places;                  /**< experts that a rank can hold of a set */
+  int spare;      /**< new ones it can take of a set in one change */
+  double copy_ms; /**< for which a rank copies one expert */
+  double form_ms; /**< a rank group opens so long after its last rank */
 } CfEngineModel;
 
 /** CfService: a group of like targets. */
@@ -86,12 +86,12 @@
 {
   gint ref_count;
   gint64 version;
-  GPtrArray *routes;    /**< of #CfRoute, owned */
-  GHashTable *by_place; /**< "host prefix" -> #CfRoute */
-  GHashTable *services; /**< name -> #CfService, owned */
-  GHashTable *tenants;  /**< API key -> organisation's name, owned */
-  GHashTable *org_rank; /**< organisation -> priority + 1, if it has one */
-  gboolean needs_keys;
+  GPtrArray *routes;          /**< of #CfRoute, owned */
+  GHashTable *by_host_prefix; /**< "host prefix" -> #CfRoute */
+  GHashTable *services;       /**< name -> #CfService, owned */
+  GHashTable *tenants;        /**< API key -> organisation's name, owned */
+  GHashTable *org_priority; /**< organisation -> priority + 1, if it has one */
+  gboolean requires_api_key;
   CfCallerLimits limits;
 } CfPolicy;
 
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -449,7 +449,7 @@
 
       seed->a = a;
       seed->index = a->n_seeds++;
-      seed->valid = cf_socket_parse (*s, &seed->addr) == CF_OK;
+      seed->valid = cf_socket_parse_address (*s, &seed->addr) == CF_OK;
     }
   ev_timer_init (&a->poll, on_poll, 0, 0);
   a->poll.data = a;
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -265,7 +265,7 @@
 on_timer (struct ev_loop *loop, ev_timer *t, int revents)
 {
   CfRankService *s = t->data;
-  CfTurnPart before = cf_gateway_enter (s->g, CF_TURN_LEADING);
+  CfLoopActivity before = cf_gateway_enter_activity (s->g, CF_LOOP_LEADING);
   gboolean busy = FALSE;
   gboolean more = FALSE;
   gint64 now = cf_gateway_now (s->g);
@@ -296,7 +296,7 @@
       s->ticked_ms = now;
       tell_agents (s);
     }
-  cf_gateway_enter (s->g, before);
+  cf_gateway_enter_activity (s->g, before);
 }
 
 /* Frames from agents */
@@ -324,7 +324,7 @@
   if (!t || cf_target_is_former (t, st->incarnation))
     return;
   t->pace_seen_ms = cf_gateway_now (a->s->g);
-  cf_gateway_take_pace (a->s->g, t, pace, "agent");
+  cf_gateway_update_slowdown (a->s->g, t, pace, "agent");
 }
 
 static void
@@ -416,10 +416,10 @@
 {
   const CfRankLink *a = owner;
   CfGateway *g = a->s->g;
-  CfTurnPart before = cf_gateway_enter (g, CF_TURN_LEADING);
+  CfLoopActivity before = cf_gateway_enter_activity (g, CF_LOOP_LEADING);
 
   cf_peer_msg_receive (data, n, "agent", a->target_addr, take_msg, owner);
-  cf_gateway_enter (g, before);
+  cf_gateway_enter_activity (g, before);
 }
 
 static void
--- a/gateway/signals.c
+++ b/gateway/signals.c
@@ -3,7 +3,8 @@
 #include <signal.h>
 
 void
-cf_signals_catch (struct ev_loop *loop, CfSignalCall stop, CfSignalCall reload)
+cf_signals_catch (struct ev_loop *loop, CfSignalCallback stop,
+                  CfSignalCallback reload)
 {
   static ev_signal term;
   static ev_signal intr;
--- a/gateway/signals.h
+++ b/gateway/signals.h
@@ -2,8 +2,9 @@
 
 #include <ev.h>
 
-/** CfSignalCall: what is done on a signal, on the event thread. */
-typedef void (*CfSignalCall) (struct ev_loop *loop, ev_signal *w, int revents);
+/** CfSignalCallback: what is done on a signal, on the event thread. */
+typedef void (*CfSignalCallback) (struct ev_loop *loop, ev_signal *w,
+                                  int revents);
 
 /**
  * cf_signals_catch:
@@ -12,5 +13,5 @@
  *
  * SIGPIPE is ignored: writes say so themselves.
  */
-void cf_signals_catch (struct ev_loop *loop, CfSignalCall stop,
-                       CfSignalCall reload);
+void cf_signals_catch (struct ev_loop *loop, CfSignalCallback stop,
+                       CfSignalCallback reload);
--- a/gateway/socket.c
+++ b/gateway/socket.c
@@ -69,7 +69,7 @@
 cf_socket_listen (const char *addr, int *out)
 {
   struct sockaddr_in sa;
-  CfStatus st = cf_socket_parse (addr, &sa);
+  CfStatus st = cf_socket_parse_address (addr, &sa);
   int fd;
 
   if (st != CF_OK)
@@ -103,7 +103,7 @@
 }
 
 CfStatus
-cf_socket_parse (const char *addr, struct sockaddr_in *out)
+cf_socket_parse_address (const char *addr, struct sockaddr_in *out)
 {
   char ip[INET_ADDRSTRLEN];
   const char *colon = strrchr (addr, ':');
--- a/gateway/socket.h
+++ b/gateway/socket.h
@@ -21,5 +21,5 @@
 /** cf_socket_error: the pending error of @fd, 0 if none. */
 int cf_socket_error (int fd);
 
-/** cf_socket_parse: reads "IP:PORT"; %CF_ERR_NET if it is not that. */
-CfStatus cf_socket_parse (const char *addr, struct sockaddr_in *out);
+/** cf_socket_parse_address: reads "IP:PORT"; %CF_ERR_NET if it is not that. */
+CfStatus cf_socket_parse_address (const char *addr, struct sockaddr_in *out);
--- a/gateway/stats.c
+++ b/gateway/stats.c
@@ -5,21 +5,21 @@
 {
   switch (o)
     {
-    case CF_OUT_SUCCESS:
+    case CF_OUTCOME_SUCCESS:
       return "success";
-    case CF_OUT_TARGET_FAIL:
+    case CF_OUTCOME_TARGET_FAILED:
       return "target-fail";
-    case CF_OUT_REFUSED:
+    case CF_OUTCOME_REFUSED:
       return "refused";
-    case CF_OUT_DENIED:
+    case CF_OUTCOME_DENIED:
       return "denied";
-    case CF_OUT_FAILED:
+    case CF_OUTCOME_FAILED:
       return "failed";
-    case CF_OUT_TIMEOUT:
+    case CF_OUTCOME_TIMEOUT:
       return "timeout";
-    case CF_OUT_BROKEN:
+    case CF_OUTCOME_BROKEN:
       return "broken";
-    case CF_OUT_GONE:
+    case CF_OUTCOME_CALLER_GONE:
       return "gone";
     case CF_N_OUTCOMES:
       break;
@@ -101,5 +101,5 @@
   print_histogram (out, "answer_ms", &s->whole_ms);
   print_histogram (out, "event_pause_ms", &s->pause_ms);
   print_histogram (out, "queue_ms", &s->queue_ms);
-  print_histogram (out, "turn_ms", &s->turn_ms);
+  print_histogram (out, "turn_ms", &s->iteration_ms);
 }
--- a/gateway/stats.h
+++ b/gateway/stats.h
@@ -5,14 +5,14 @@
 /** CfOutcome: how a request ended, for the counters. */
 typedef enum
 {
-  CF_OUT_SUCCESS,     /**< the target's 2xx, whole */
-  CF_OUT_TARGET_FAIL, /**< the target's own failure, passed on */
-  CF_OUT_REFUSED,     /**< not run: no room, no target, no configuration */
-  CF_OUT_DENIED,      /**< not allowed, or not a proper request */
-  CF_OUT_FAILED,      /**< it may have run, and no good answer came */
-  CF_OUT_TIMEOUT,     /**< its time was over */
-  CF_OUT_BROKEN,      /**< a stream that broke off in the middle */
-  CF_OUT_GONE,        /**< its caller left */
+  CF_OUTCOME_SUCCESS,       /**< the target's 2xx, whole */
+  CF_OUTCOME_TARGET_FAILED, /**< the target's own failure, passed on */
+  CF_OUTCOME_REFUSED,     /**< not run: no room, no target, no configuration */
+  CF_OUTCOME_DENIED,      /**< not allowed, or not a proper request */
+  CF_OUTCOME_FAILED,      /**< it may have run, and no good answer came */
+  CF_OUTCOME_TIMEOUT,     /**< its time was over */
+  CF_OUTCOME_BROKEN,      /**< a stream that broke off in the middle */
+  CF_OUTCOME_CALLER_GONE, /**< its caller left */
   CF_N_OUTCOMES,
 } CfOutcome;
 
@@ -43,13 +43,13 @@
   guint64 callers_turned_away; /**< connections closed unread: all taken */
   guint64 quarantine_refusals; /**< requests that crash targets */
   guint64 queued;              /**< requests that waited for room */
-  guint64 unrouted;     /**< requests that waited for the configuration */
-  guint64 begun_late;   /**< of these, sent too late for their objective */
-  CfHistogram first_ms; /**< to the first event of a stream */
-  CfHistogram whole_ms; /**< to the end of any other answer */
-  CfHistogram pause_ms; /**< between two events of a stream */
-  CfHistogram queue_ms; /**< waiting for room */
-  CfHistogram turn_ms;  /**< a turn of the event loop */
+  guint64 unrouted;         /**< requests that waited for the configuration */
+  guint64 begun_late;       /**< of these, sent too late for their objective */
+  CfHistogram first_ms;     /**< to the first event of a stream */
+  CfHistogram whole_ms;     /**< to the end of any other answer */
+  CfHistogram pause_ms;     /**< between two events of a stream */
+  CfHistogram queue_ms;     /**< waiting for room */
+  CfHistogram iteration_ms; /**< a turn of the event loop */
 } CfStats;
 
 /** cf_stats_print: appends all in the Prometheus text format. */
--- a/gateway/store-watch.c
+++ b/gateway/store-watch.c
@@ -162,7 +162,7 @@
 on_whole (CfStoreWatch *w)
 {
   int status = (int)w->reader.parser.status_code;
-  gboolean keep = cf_http_reader_keeps (&w->reader);
+  gboolean keep = cf_http_reader_can_keep_alive (&w->reader);
 
   cf_http_reader_next (&w->reader);
   if (!keep)
@@ -194,14 +194,14 @@
     g_string_append_len (w->body, data, (gssize)n);
 }
 
-static const CfHttpReaderCalls reader_calls = { NULL, on_body, NULL };
+static const CfHttpReaderCallbacks reader_calls = { NULL, on_body, NULL };
 
 static void
 read_some (CfStoreWatch *w)
 {
   char buf[READ_SIZE];
   ssize_t n = recv (w->io.fd, buf, sizeof buf, 0);
-  CfTurnPart before;
+  CfLoopActivity before;
   gsize used;
 
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
@@ -215,9 +215,9 @@
     failed (w, "not an HTTP answer");
   else if (w->reader.is_complete)
     {
-      before = cf_gateway_enter (w->g, CF_TURN_STORE);
+      before = cf_gateway_enter_activity (w->g, CF_LOOP_STORE);
       on_whole (w);
-      cf_gateway_enter (w->g, before);
+      cf_gateway_enter_activity (w->g, before);
     }
 }
 
@@ -281,7 +281,7 @@
       send_call (w);
       return;
     }
-  if (cf_socket_parse (w->g->set.store_addr, &sa) != CF_OK)
+  if (cf_socket_parse_address (w->g->set.store_addr, &sa) != CF_OK)
     {
       failed (w, cf_last_error ());
       return;
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -74,7 +74,7 @@
 
   if (!in_grace (g))
     {
-      cf_gateway_drop_target (g, id, rev, "store");
+      cf_gateway_remove_target (g, id, rev, "store");
       return;
     }
   m = g_new (Missed, 1);
@@ -127,7 +127,7 @@
   news.rev = it->rev;
   news.created = it->created;
   news.now_ms = cf_gateway_now (g);
-  cf_gateway_take_target (g, &news, "store");
+  cf_gateway_update_target (g, &news, "store");
 }
 
 static void
@@ -175,8 +175,8 @@
 
       if (due_ms (m) > now)
         continue;
-      cf_gateway_drop_target (g, id, m->rev,
-                              m->until_ms > now ? "lapsed" : "drained");
+      cf_gateway_remove_target (g, id, m->rev,
+                                m->until_ms > now ? "lapsed" : "drained");
       g_hash_table_iter_remove (&it);
     }
   start_timer (g);
--- a/gateway/target.c
+++ b/gateway/target.c
@@ -19,7 +19,7 @@
   t->pace = 1;
   TAILQ_INIT (&t->idle);
   TAILQ_INIT (&t->busy);
-  if (cf_socket_parse (t->record.addr, &t->addr) == CF_OK)
+  if (cf_socket_parse_address (t->record.addr, &t->addr) == CF_OK)
     return t;
   cf_target_unref (t);
   return NULL;
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -149,7 +149,7 @@
     u->calls->body (u->owner, data, n);
 }
 
-static const CfHttpReaderCalls reader_calls = { on_head, on_body, NULL };
+static const CfHttpReaderCallbacks reader_calls = { on_head, on_body, NULL };
 
 /* The time in a Keep-Alive header, as far as we use it. */
 static double
@@ -178,8 +178,9 @@
   const CfUpstreamCalls *calls = u->calls;
 
   u->idle_s = idle_time (&u->reader);
-  keep = keep && cf_http_reader_keeps (&u->reader) && u->out_sent == u->out->len
-         && u->target->listed && !u->target->record.leaving && u->idle_s > 0;
+  keep = keep && cf_http_reader_can_keep_alive (&u->reader)
+         && u->out_sent == u->out->len && u->target->listed
+         && !u->target->record.leaving && u->idle_s > 0;
   if (keep)
     {
       u->owner = NULL;
--- a/standins/comfrey-fault-proxy.c
+++ b/standins/comfrey-fault-proxy.c
@@ -211,7 +211,7 @@
       return 2;
     }
   loop = ev_default_loop (0);
-  if (cf_socket_parse (argv[2], &target) != CF_OK
+  if (cf_socket_parse_address (argv[2], &target) != CF_OK
       || cf_socket_listen (argv[1], &fd) != CF_OK)
     {
       fprintf (stderr, "comfrey-fault-proxy: %s\n", cf_last_error ());
--- a/standins/fake-http.c
+++ b/standins/fake-http.c
@@ -99,7 +99,7 @@
 {
   gsize len = n < 0 ? strlen (body) : (gsize)n;
 
-  c->close |= !cf_http_reader_keeps (&c->reader);
+  c->close |= !cf_http_reader_can_keep_alive (&c->reader);
   g_string_append_printf (c->out,
                           "HTTP/1.1 %d %s\r\n%s"
                           "Content-Length: %" G_GSIZE_FORMAT "\r\n%s\r\n",
@@ -163,7 +163,7 @@
   g_string_append_len (((FakeConn *)owner)->body, data, (gssize)n);
 }
 
-static const CfHttpReaderCalls reader_calls = { NULL, on_body, NULL };
+static const CfHttpReaderCallbacks reader_calls = { NULL, on_body, NULL };
 
 /* Looked at before what came before it is read, as by a target whose VM stood
  * still meanwhile.  An orderly end may be that of a caller which only has
@@ -290,7 +290,7 @@
 char *
 fake_http_query (const FakeConn *c, const char *name)
 {
-  const char *q = strchr (cf_http_reader_target (&c->reader), '?');
+  const char *q = strchr (cf_http_reader_request_target (&c->reader), '?');
   char **parts = g_strsplit (q ? q + 1 : "", "&", -1);
   char *value = NULL;
 
@@ -308,7 +308,7 @@
 gboolean
 fake_http_is (const FakeConn *c, const char *path)
 {
-  const char *target = cf_http_reader_target (&c->reader);
+  const char *target = cf_http_reader_request_target (&c->reader);
   gsize n = strcspn (target, "?");
 
   return strlen (path) == n && strncmp (target, path, n) == 0;
--- a/standins/fake-target.c
+++ b/standins/fake-target.c
@@ -181,7 +181,7 @@
   char *body = g_strdup_printf (
       "%s %s %s org=%s key=%s body=%s", t->id,
       http_method_str (c->reader.parser.method),
-      cf_http_reader_target (&c->reader), org ? org : "-",
+      cf_http_reader_request_target (&c->reader), org ? org : "-",
       cf_http_reader_header (&c->reader, CF_HDR_API_KEY) ? "shown" : "hidden",
       c->body->str);
 
--- a/t/t-event-stream.c
+++ b/t/t-event-stream.c
@@ -22,7 +22,7 @@
       ck_assert_str_eq (out->str, stream);
       ck_assert_uint_eq (n, 3);
       ck_assert_int_eq (s.last_id, 3);
-      ck_assert (!cf_event_stream_torn (&s));
+      ck_assert (!cf_event_stream_has_partial (&s));
       g_string_free (out, TRUE);
       cf_event_stream_clear (&s);
     }
@@ -37,7 +37,7 @@
   cf_event_stream_init (&s);
   cf_event_stream_feed (&s, "id: 1\ndata: a\n\nid: 2\nda", 23, out);
   ck_assert_str_eq (out->str, "id: 1\ndata: a\n\n");
-  ck_assert (cf_event_stream_torn (&s));
+  ck_assert (cf_event_stream_has_partial (&s));
   /* Another target goes on; it may begin with events we have. */
   cf_event_stream_restart (&s);
   g_string_truncate (out, 0);
--- a/t/t-fleet.c
+++ b/t/t-fleet.c
@@ -48,8 +48,8 @@
               "{\"version\":%" G_GINT64_FORMAT ",\"routes\":[%s]}", version,
               broken ? "{}" : "");
 
-          cf_gateway_take_policy (&g, json, strlen (json), version * 10,
-                                  i % 2 ? "store" : "peer");
+          cf_gateway_apply_policy (&g, json, strlen (json), version * 10,
+                                   i % 2 ? "store" : "peer");
           if (!broken)
             newest = MAX (newest, version);
           ck_assert_int_eq (g.policy ? g.policy->version : 0, newest);
@@ -88,7 +88,7 @@
 
           if (g_rand_int_range (rand, 0, 5) == 0)
             {
-              cf_gateway_drop_target (&g, id, at, "store");
+              cf_gateway_remove_target (&g, id, at, "store");
               if (here[t] && at >= rev_of[t])
                 here[t] = FALSE;
             }
@@ -96,7 +96,7 @@
             {
               const CfTargetNews news = { id, json, strlen (json), at, at, 0 };
 
-              cf_gateway_take_target (&g, &news, "store");
+              cf_gateway_update_target (&g, &news, "store");
               if (!here[t] || at >= rev_of[t])
                 {
                   here[t] = TRUE;
@@ -139,9 +139,9 @@
       int window = WINDOW_MS / STEP_MS;
 
       gateway_init ();
-      cf_gateway_set_fleet (&g, GATEWAYS);
+      cf_gateway_set_fleet_size (&g, GATEWAYS);
       for (int i = 0; i < GATEWAYS; i++)
-        b[i] = cf_gateway_lane (&g, "s")->budget;
+        b[i] = cf_gateway_service_state (&g, "s")->budget;
       for (int s = 0; s < n_steps; s++)
         for (int i = 0; i < GATEWAYS; i++)
           {
@@ -185,9 +185,9 @@
         double start = (double)i / fleets[f];
         gint64 wire = (gint64)(start * CF_PEER_RING);
 
-        cf_gateway_set_place (&g, start, fleets[f]);
+        cf_gateway_set_fleet_place (&g, start, fleets[f]);
         ck_assert_uint_eq (g.place.index, i);
-        cf_gateway_set_place (&g, (double)wire / CF_PEER_RING, fleets[f]);
+        cf_gateway_set_fleet_place (&g, (double)wire / CF_PEER_RING, fleets[f]);
         ck_assert_uint_eq (g.place.index, i);
         ck_assert_uint_eq (g.place.n, fleets[f]);
       }
@@ -201,8 +201,8 @@
   int taken = 0;
 
   gateway_init ();
-  b = &cf_gateway_lane (&g, "s")->budget;
-  cf_gateway_set_fleet (&g, 44);
+  b = &cf_gateway_service_state (&g, "s")->budget;
+  cf_gateway_set_fleet_size (&g, 44);
   while (cf_retry_budget_take (b))
     taken++;
   ck_assert_int_eq (taken, 1);
--- a/t/t-http-reader.c
+++ b/t/t-http-reader.c
@@ -27,7 +27,7 @@
   completes++;
 }
 
-static const CfHttpReaderCalls calls = { on_head, on_body, on_complete };
+static const CfHttpReaderCallbacks calls = { on_head, on_body, on_complete };
 
 static void
 setup (void)
@@ -77,7 +77,7 @@
       ck_assert (feed_all (&r, request, step));
       ck_assert (r.is_complete);
       ck_assert_str_eq (body->str, "abcde");
-      ck_assert_str_eq (cf_http_reader_target (&r), "/a/b?c=d");
+      ck_assert_str_eq (cf_http_reader_request_target (&r), "/a/b?c=d");
       out = cf_forward_request (&r, body, &ours);
       ck_assert_str_eq (out->str,
                         "POST /a/b?c=d HTTP/1.1\r\nHost: h.example\r\n"
@@ -153,7 +153,7 @@
   cf_http_reader_init (&r, HTTP_RESPONSE, &calls, NULL, 4096);
   ck_assert (feed_all (&r, "HTTP/1.1 200 OK\r\n\r\nabc", 9));
   ck_assert (cf_http_reader_eof (&r));
-  ck_assert (!cf_http_reader_keeps (&r));
+  ck_assert (!cf_http_reader_can_keep_alive (&r));
   cf_http_reader_clear (&r);
 }
 END_TEST
@@ -167,10 +167,10 @@
   cf_http_reader_init (&r, HTTP_REQUEST, &calls, NULL, 4096);
   ck_assert (cf_http_reader_feed (&r, two, strlen (two), &used));
   ck_assert_uint_eq (used, strlen (two) / 2);
-  ck_assert_str_eq (cf_http_reader_target (&r), "/1");
+  ck_assert_str_eq (cf_http_reader_request_target (&r), "/1");
   cf_http_reader_next (&r);
   ck_assert (cf_http_reader_feed (&r, two + used, strlen (two) - used, &used));
-  ck_assert_str_eq (cf_http_reader_target (&r), "/2");
+  ck_assert_str_eq (cf_http_reader_request_target (&r), "/2");
   ck_assert_int_eq (completes, 2);
   cf_http_reader_clear (&r);
 }
--- a/t/t-loop-watch.c
+++ b/t/t-loop-watch.c
@@ -27,16 +27,16 @@
 {
   CfLoopWatch w = { 0 };
   CfHistogram h = { 0 };
-  CfTurnPart before;
+  CfLoopActivity before;
 
   cf_loop_watch_begin (&w, 1000 * MS);
-  before = cf_loop_watch_enter (&w, CF_TURN_LEADING, 1002 * MS);
-  ck_assert_int_eq (before, CF_TURN_CALLERS);
+  before = cf_loop_watch_enter (&w, CF_LOOP_LEADING, 1002 * MS);
+  ck_assert_int_eq (before, CF_LOOP_CALLERS);
   ck_assert_int_eq (cf_loop_watch_enter (&w, before, 1030 * MS),
-                    CF_TURN_LEADING);
+                    CF_LOOP_LEADING);
   cf_loop_watch_end (&w, 1031 * MS, &h);
-  ck_assert_int_eq (w.spent_us[CF_TURN_LEADING], 28 * MS);
-  ck_assert_int_eq (w.spent_us[CF_TURN_CALLERS], 3 * MS);
+  ck_assert_int_eq (w.spent_us[CF_LOOP_LEADING], 28 * MS);
+  ck_assert_int_eq (w.spent_us[CF_LOOP_CALLERS], 3 * MS);
   ck_assert_int_eq (w.logged_us, 1031 * MS);
   /* Others within a second are told of by the next line. */
   for (int i = 0; i < 3; i++)
--- a/t/t-pace.c
+++ b/t/t-pace.c
@@ -4,9 +4,9 @@
 
 static const CfEngineModel engine = { .step_ms = 4.55,
                                       .per_seq_ms = 0.905,
-                                      .read_per_ms = 61.4,
+                                      .prompt_tokens_per_ms = 61.4,
                                       .stride = 4,
-                                      .usual_answer = 97 };
+                                      .mean_answer_tokens = 97 };
 static const CfStreamSize usual = { 800, 96 };
 /** When the tests ask; what they show comes within a second before. */
 #define NOW 1000
--- a/t/t-platform.c
+++ b/t/t-platform.c
@@ -102,14 +102,14 @@
   ck_assert_int_eq (p->version, 7);
   r = cf_policy_route (p, "H.example:80", "/x/1?q=/x/y/");
   ck_assert_str_eq (r->name, "a");
-  ck_assert_int_eq (r->repeat, CF_REPEAT_RESUME);
+  ck_assert_int_eq (r->retry_safety, CF_RETRY_RESUMABLE);
   ck_assert (r->stream);
   for (guint i = 0; i < 1000; i++)
     first += strcmp (cf_route_pick (r, i), "s1") == 0;
   ck_assert_uint_eq (first, 900);
   r = cf_policy_route (p, "h.example", "/x/y/z");
   ck_assert_str_eq (r->name, "b");
-  ck_assert_int_eq (r->repeat, CF_REPEAT_NEVER);
+  ck_assert_int_eq (r->retry_safety, CF_RETRY_UNSAFE);
   ck_assert (r->keyless);
   ck_assert_ptr_null (cf_policy_route (p, "h.example", "/xx/"));
   ck_assert_ptr_null (cf_policy_route (p, "other", "/x/1"));
