--- a/comfrey-gateway.c
+++ b/comfrey-gateway.c
@@ -18,20 +18,21 @@
 #include <stdio.h>
 #include <unistd.h>
 
-/** The metrics page's port, on the VM's own address; deploy/system.toml
- * names it to the platform. */
+/** Default port of the metrics page, on the VM's own address; the platform
+ * reads it from deploy/system.toml. */
 #define METRICS_PORT 9464
-/** Housekeeping: those that wait are looked at again, for targets whose
- * pause or ejection is over. */
-#define TICK_S 0.05
-/** After SIGTERM, callers are still sent here until the platform has asked
- * for readiness twice, a second apart.  Then idle connections are closed;
- * callers still come where no other VM serves a data centre. */
-#define STOP_HEARD_MS 2300
-/** Before SIGKILL comes, what is left is cut off in an orderly way. */
+/** Interval of housekeeping, which retries queued requests: a target's pause or
+ * ejection may have ended. */
+#define HOUSEKEEPING_INTERVAL_S 0.05
+/** After SIGTERM the platform still sends callers here until it has probed
+ * readiness twice, a second apart.  Idle connections are closed after this
+ * time; callers still arrive if no other VM serves the data centre. */
+#define STOP_PROPAGATION_MS 2300
+/** Time before SIGKILL at which remaining requests are ended in an orderly
+ * way. */
 #define STOP_MARGIN_MS 400
-/** Log lines may take so long to be written at the end. */
-#define LOG_FLUSH_MS 200
+/** Longest time to write the remaining log lines at exit. */
+#define LOG_FLUSH_TIMEOUT_MS 200
 
 static CfGateway gw;
 static CfStoreWatch policy_watch;
@@ -39,12 +40,12 @@
 static ev_io front_io;
 static CfRankService *ranks;
 static CfPeerService *peers;
-static ev_timer tick;
-static ev_check turn_begin;
-static ev_prepare turn_end;
+static ev_timer housekeeping;
+static ev_check iteration_begin;
+static ev_prepare iteration_end;
 
 static void
-policy_item (CfGateway *g, const CfStoreItem *it)
+on_policy_item (CfGateway *g, const CfStoreItem *it)
 {
   gsize n;
   const char *json;
@@ -63,35 +64,36 @@
 }
 
 static void
-policy_snapshot (CfGateway *g, GHashTable *seen, gint64 as_of)
+on_policy_snapshot (CfGateway *g, GHashTable *seen, gint64 as_of)
 {
 }
 
 static void
-policy_fresh (CfGateway *g, gint64 as_of)
+on_policy_fresh (CfGateway *g, gint64 as_of)
 {
 }
 
 static void
-policy_contact (CfGateway *g, gboolean up)
+on_policy_contact (CfGateway *g, gboolean up)
 {
   g->policy_store_up = up;
 }
 
-static const CfStoreWatchCalls policy_calls
-    = { policy_item, policy_snapshot, policy_fresh, policy_contact };
+static const CfStoreWatchCalls policy_callbacks
+    = { on_policy_item, on_policy_snapshot, on_policy_fresh,
+        on_policy_contact };
 
-/* The loop's own idea of the time of day may jump; durations and deadlines
- * are taken from the steady clock, read once a loop_watch. */
+/* The event loop's own time follows the time of day and may jump; durations
+ * and deadlines use the monotonic clock, read once per iteration. */
 static void
-on_turn_begin (struct ev_loop *loop, ev_check *w, int revents)
+on_iteration_begin (struct ev_loop *loop, ev_check *w, int revents)
 {
   gw.now_ms = cf_now_ms ();
   cf_loop_watch_begin (&gw.loop_watch, g_get_monotonic_time ());
 }
 
 static void
-on_turn_end (struct ev_loop *loop, ev_prepare *w, int revents)
+on_iteration_end (struct ev_loop *loop, ev_prepare *w, int revents)
 {
   cf_loop_watch_end (&gw.loop_watch, g_get_monotonic_time (),
                      &gw.stats.iteration_ms);
@@ -104,12 +106,12 @@
 }
 
 static void
-stop_step (CfGateway *g)
+continue_stop (CfGateway *g)
 {
   gint64 now = cf_gateway_now (g);
 
   cf_exchange_stop_look (g);
-  if (now < MIN (g->stop_started_ms + STOP_HEARD_MS, g->stop_deadline_ms))
+  if (now < MIN (g->stop_started_ms + STOP_PROPAGATION_MS, g->stop_deadline_ms))
     return;
   if (!g->stop_propagated)
     cf_log (LOG_NOTICE, CF_EV_DRAIN_DONE,
@@ -121,9 +123,9 @@
     ev_break (g->loop, EVBREAK_ALL);
 }
 
-/* Replicates records of requests that crash targets. */
+/* Replicates changed records of requests that crash targets. */
 static void
-replicate_crashes (CfGateway *g)
+replicate_crash_records (CfGateway *g)
 {
   CfPeerMsg all;
   CfPeerMsg held;
@@ -140,14 +142,14 @@
 }
 
 static void
-on_tick (struct ev_loop *loop, ev_timer *w, int revents)
+on_housekeeping (struct ev_loop *loop, ev_timer *w, int revents)
 {
   cf_exchange_route_waiting (&gw);
   cf_exchange_pump (&gw);
-  replicate_crashes (&gw);
+  replicate_crash_records (&gw);
   cf_peer_service_tick (peers);
   if (gw.stopping)
-    stop_step (&gw);
+    continue_stop (&gw);
 }
 
 static void
@@ -164,8 +166,8 @@
   cf_log (LOG_NOTICE, CF_EV_READY, "ready=no reason=stopping");
 }
 
-/* The addresses are bound for the life of the process; what can change
- * without cutting anything off is taken over. */
+/* Listen addresses stay bound for the life of the process; only settings that
+ * can change without interrupting requests are reloaded. */
 static void
 on_reload (struct ev_loop *loop, ev_signal *w, int revents)
 {
@@ -221,20 +223,21 @@
   peers = cf_peer_service_new (g);
   cf_rank_service_set_notify (ranks, notify_seeds, peers);
   cf_peer_service_on_hold_lease (peers, cf_rank_service_take_hold_lease, ranks);
-  ev_check_init (&turn_begin, on_turn_begin);
-  ev_set_priority (&turn_begin, EV_MAXPRI);
-  ev_check_start (g->loop, &turn_begin);
-  ev_prepare_init (&turn_end, on_turn_end);
-  ev_prepare_start (g->loop, &turn_end);
+  ev_check_init (&iteration_begin, on_iteration_begin);
+  ev_set_priority (&iteration_begin, EV_MAXPRI);
+  ev_check_start (g->loop, &iteration_begin);
+  ev_prepare_init (&iteration_end, on_iteration_end);
+  ev_prepare_start (g->loop, &iteration_end);
   if (listen_all (g, metrics) != CF_OK)
     {
       cf_log (LOG_ERR, CF_EV_STOP, "error=\"%s\"", cf_last_error ());
       return 1;
     }
-  cf_store_watch_start (&policy_watch, g, PF_KEY_CONFIG, &policy_calls);
+  cf_store_watch_start (&policy_watch, g, PF_KEY_CONFIG, &policy_callbacks);
   cf_target_feed_start (&target_watch, g);
-  ev_timer_init (&tick, on_tick, TICK_S, TICK_S);
-  ev_timer_start (g->loop, &tick);
+  ev_timer_init (&housekeeping, on_housekeeping, HOUSEKEEPING_INTERVAL_S,
+                 HOUSEKEEPING_INTERVAL_S);
+  ev_timer_start (g->loop, &housekeeping);
   cf_log (LOG_NOTICE, CF_EV_START, "name=%s version=%s dc=%s front=%s",
           g->set.node_name ? g->set.node_name : "-", CF_VERSION,
           g->set.data_centre ? g->set.data_centre : "-", g->set.front_addr);
@@ -253,9 +256,9 @@
 {
   GOptionEntry entries[] = {
     { "check-settings", 0, 0, G_OPTION_ARG_NONE, check,
-      "Check the platform's settings file, and exit", NULL },
+      "Check the platform's settings file and exit", NULL },
     { "metrics-port", 0, 0, G_OPTION_ARG_INT, metrics,
-      "Serve /metrics at this port of the VM's address", "PORT" },
+      "Serve /metrics on this port of the VM's address", "PORT" },
     { NULL },
   };
   GOptionContext *ctx = g_option_context_new (NULL);
@@ -263,9 +266,9 @@
   int rc = 0;
 
   g_option_context_set_summary (
-      ctx, "The gateway daemon: takes callers' requests and streams on the "
-           "platform and sends each to a target.\nThe settings file is named "
-           "by " PF_ENV_SETTINGS ".");
+      ctx, "The gateway daemon: accepts callers' requests and streams and "
+           "forwards each to a target.\nThe path of the settings file is "
+           "read from " PF_ENV_SETTINGS ".");
   g_option_context_add_main_entries (ctx, entries, NULL);
   if (!g_option_context_parse (ctx, argc, argv, &err))
     {
@@ -297,13 +300,14 @@
     }
   if (check)
     {
-      printf ("%s: good\n", cf_platform_settings_path ());
+      printf ("%s: valid\n", cf_platform_settings_path ());
       return 0;
     }
   if (!cf_log_writer_start (STDOUT_FILENO))
-    cf_log (LOG_WARNING, CF_EV_START, "error=\"no thread for the log writer\"");
+    cf_log (LOG_WARNING, CF_EV_START,
+            "error=\"cannot start the log writer thread\"");
   cf_gateway_init (&gw, ev_default_loop (EVBACKEND_EPOLL | EVFLAG_NOENV), &set);
   rc = run (&gw, metrics);
-  cf_log_writer_stop (LOG_FLUSH_MS);
+  cf_log_writer_stop (LOG_FLUSH_TIMEOUT_MS);
   return rc;
 }
--- a/comfrey-rank-agent.c
+++ b/comfrey-rank-agent.c
@@ -9,8 +9,8 @@
 #include <stdio.h>
 #include <unistd.h>
 
-/** Log lines may take so long to be written at the end. */
-#define LOG_FLUSH_MS 200
+/** Longest time to write the remaining log lines at exit. */
+#define LOG_FLUSH_TIMEOUT_MS 200
 
 static CfRankAgent agent;
 
@@ -34,9 +34,10 @@
   GError *err = NULL;
 
   g_option_context_set_summary (
-      ctx, "The rank agent: reads the state of the rank on its VM for the "
-           "gateway that leads the group, and passes on that gateway's "
-           "orders.\nThe settings file is named by " PF_ENV_SETTINGS ".");
+      ctx, "The rank agent: reports the state of the rank on its VM to the "
+           "gateway that leads the rank group, and forwards that gateway's "
+           "orders to the rank.\nThe path of the settings file is read "
+           "from " PF_ENV_SETTINGS ".");
   if (!g_option_context_parse (ctx, &argc, &argv, &err))
     {
       fprintf (stderr, "comfrey-rank-agent: %s; see --help\n", err->message);
@@ -52,7 +53,8 @@
       return 2;
     }
   if (!cf_log_writer_start (STDOUT_FILENO))
-    cf_log (LOG_WARNING, CF_EV_START, "error=\"no thread for the log writer\"");
+    cf_log (LOG_WARNING, CF_EV_START,
+            "error=\"cannot start the log writer thread\"");
   agent.loop = ev_default_loop (EVBACKEND_EPOLL | EVFLAG_NOENV);
   cf_signals_catch (agent.loop, on_stop, on_reload);
   if (cf_rank_agent_start (&agent) != CF_OK)
@@ -64,6 +66,6 @@
           agent.set.node_name ? agent.set.node_name : "-", CF_VERSION,
           agent.set.target_addr, agent.n_seeds);
   ev_run (agent.loop, 0);
-  cf_log_writer_stop (LOG_FLUSH_MS);
+  cf_log_writer_stop (LOG_FLUSH_TIMEOUT_MS);
   return 0;
 }
--- a/gateway/caller.c
+++ b/gateway/caller.c
@@ -9,41 +9,43 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/** One read; larger bodies take several. */
-#define READ_SIZE 16384
-/** A caller sends its first request within a few ms of connecting; a stop
- * does not close the connection in its face. */
-#define NEW_MS 500
-/** Bytes of later requests kept while one is answered; more wait in the
- * kernel, where they hold up only their own caller. */
-#define PIPELINE_MAX 65536
-/** How long a refused caller may take to close: closing first would reset
- * the connection and lose the refusal. */
+/** Most bytes taken by one recv(). */
+#define READ_BYTES 16384
+/** How long a new connection counts as not idle.  A caller sends its first
+ * request within a few ms of connecting, and closing the connection before
+ * that would lose the request. */
+#define FIRST_REQUEST_GRACE_MS 500
+/** Most pipelined bytes buffered while a request is answered.  The rest stays
+ * in the kernel, where it delays only this caller. */
+#define PIPELINE_MAX_BYTES 65536
+/** How long the connection stays open for reading after the last answer.
+ * Closing it before the caller does would reset it and could lose the
+ * answer. */
 #define LINGER_S 1.0
-/** At most so often it is logged that all connections are taken. */
-#define FULL_LOG_MS 1000
-/** Limits until a configuration is known. */
-#define DEFAULT_HEADER_MAX 16384
+/** Shortest interval between log lines about the caller limit. */
+#define FULL_LOG_INTERVAL_MS 1000
+/** Limits that apply until a configuration is known. */
+#define DEFAULT_HEADER_MAX_BYTES 16384
 #define DEFAULT_HEADER_TIMEOUT_S 3.0
 #define DEFAULT_IDLE_TIMEOUT_S 15.0
-#define DEFAULT_BODY_MAX 4194304
+#define DEFAULT_BODY_MAX_BYTES 4194304
 
 static void
 free_caller (CfCaller *c)
 {
   cf_http_reader_clear (&c->reader);
-  g_string_free (c->in, TRUE);
+  g_string_free (c->input, TRUE);
   g_string_free (c->body, TRUE);
-  g_string_free (c->out, TRUE);
+  g_string_free (c->output, TRUE);
   g_free (c);
 }
 
 static void
-drop_body (CfCaller *c)
+clear_body (CfCaller *c)
 {
   c->g->body_bytes -= c->body->len;
-  /* A large body's memory goes back; the usual small one is kept. */
-  if (c->body->allocated_len > PIPELINE_MAX)
+  /* Frees a large buffer; the usual small one is kept for reuse. */
+  if (c->body->allocated_len > PIPELINE_MAX_BYTES)
     {
       g_string_free (c->body, TRUE);
       c->body = g_string_new (NULL);
@@ -53,30 +55,30 @@
 }
 
 static void
-shut (CfCaller *c)
+close_caller (CfCaller *c)
 {
-  if (c->dead)
+  if (c->is_closed)
     return;
-  c->dead = TRUE;
-  drop_body (c);
+  c->is_closed = TRUE;
+  clear_body (c);
   ev_io_stop (c->g->loop, &c->io);
   ev_timer_stop (c->g->loop, &c->timer);
   close (c->io.fd);
   TAILQ_REMOVE (&c->g->callers, c, link);
   c->g->n_callers--;
-  if (!c->in_read)
+  if (!c->in_callback)
     free_caller (c);
 }
 
 static void
-leave (CfCaller *c)
+disconnect (CfCaller *c)
 {
   CfExchange *x = c->x;
 
   c->x = NULL;
   if (x)
     cf_exchange_abandon (x);
-  shut (c);
+  close_caller (c);
 }
 
 static void
@@ -105,21 +107,21 @@
 }
 
 static gsize
-body_max (const CfCaller *c)
+body_limit (const CfCaller *c)
 {
   const CfPolicy *p = c->g->policy;
 
-  return p ? (gsize)p->limits.max_body_bytes : DEFAULT_BODY_MAX;
+  return p ? (gsize)p->limits.max_body_bytes : DEFAULT_BODY_MAX_BYTES;
 }
 
 static void
-want (CfCaller *c)
+update_events (CfCaller *c)
 {
   int events = 0;
 
-  if (c->in->len < PIPELINE_MAX)
+  if (c->input->len < PIPELINE_MAX_BYTES)
     events |= EV_READ;
-  if (c->out_sent < c->out->len)
+  if (c->output_sent < c->output->len)
     events |= EV_WRITE;
   if (events == c->io.events && ev_is_active (&c->io))
     return;
@@ -129,13 +131,14 @@
     ev_io_start (c->g->loop, &c->io);
 }
 
-/* All is sent: the connection ends here if it is to. */
+/* Everything is sent: closes the sending side unless the connection stays
+ * open for another request. */
 static void
-all_sent (CfCaller *c)
+finish_output (CfCaller *c)
 {
-  g_string_truncate (c->out, 0);
-  c->out_sent = 0;
-  if (!c->close || c->x || c->lingering)
+  g_string_truncate (c->output, 0);
+  c->output_sent = 0;
+  if (!c->close_after_answer || c->x || c->lingering)
     return;
   c->lingering = TRUE;
   shutdown (c->io.fd, SHUT_WR);
@@ -145,29 +148,29 @@
 void
 cf_caller_flush (CfCaller *c)
 {
-  while (c->out_sent < c->out->len)
+  while (c->output_sent < c->output->len)
     {
-      ssize_t n = send (c->io.fd, c->out->str + c->out_sent,
-                        c->out->len - c->out_sent, MSG_NOSIGNAL);
+      ssize_t n = send (c->io.fd, c->output->str + c->output_sent,
+                        c->output->len - c->output_sent, MSG_NOSIGNAL);
 
       if (n < 0 && errno == EINTR)
         continue;
       if (n < 0 && errno != EAGAIN)
         {
-          /* The next read finds the same error and ends the connection;
-           * here the exchange is still at work on it. */
-          g_string_truncate (c->out, 0);
-          c->out_sent = 0;
+          /* The exchange is still using the caller.  The next read finds the
+           * same error and closes the connection. */
+          g_string_truncate (c->output, 0);
+          c->output_sent = 0;
           ev_feed_event (c->g->loop, &c->io, EV_READ);
           return;
         }
       if (n < 0)
         break;
-      c->out_sent += (gsize)n;
+      c->output_sent += (gsize)n;
     }
-  if (c->out_sent == c->out->len)
-    all_sent (c);
-  want (c);
+  if (c->output_sent == c->output->len)
+    finish_output (c);
+  update_events (c);
 }
 
 void
@@ -179,20 +182,20 @@
 
   if (c->g->stopping || !c->reader.has_head
       || !cf_http_reader_can_keep_alive (&c->reader) || (http10 && length < 0))
-    c->close = TRUE;
+    c->close_after_answer = TRUE;
   c->chunked = length < 0 && !http10;
-  g_string_append_printf (c->out, "HTTP/1.1 %d %s\r\n", status,
+  g_string_append_printf (c->output, "HTTP/1.1 %d %s\r\n", status,
                           http_status_str ((enum http_status)status));
   if (headers)
-    g_string_append (c->out, headers);
+    g_string_append (c->output, headers);
   if (length >= 0)
-    g_string_append_printf (c->out, "Content-Length: %" G_GINT64_FORMAT "\r\n",
-                            length);
+    g_string_append_printf (c->output,
+                            "Content-Length: %" G_GINT64_FORMAT "\r\n", length);
   else if (c->chunked)
-    g_string_append (c->out, "Transfer-Encoding: chunked\r\n");
-  if (c->close)
-    g_string_append (c->out, "Connection: close\r\n");
-  g_string_append (c->out, "\r\n");
+    g_string_append (c->output, "Transfer-Encoding: chunked\r\n");
+  if (c->close_after_answer)
+    g_string_append (c->output, "Connection: close\r\n");
+  g_string_append (c->output, "\r\n");
 }
 
 void
@@ -201,19 +204,19 @@
   if (n == 0)
     return;
   if (c->chunked)
-    g_string_append_printf (c->out, "%" G_GSIZE_MODIFIER "x\r\n", n);
-  g_string_append_len (c->out, data, (gssize)n);
+    g_string_append_printf (c->output, "%" G_GSIZE_MODIFIER "x\r\n", n);
+  g_string_append_len (c->output, data, (gssize)n);
   if (c->chunked)
-    g_string_append (c->out, "\r\n");
+    g_string_append (c->output, "\r\n");
 }
 
 static void
-next_request (CfCaller *c)
+await_next_request (CfCaller *c)
 {
-  drop_body (c);
+  clear_body (c);
   cf_http_reader_next (&c->reader);
   set_timer (c, idle_timeout (c));
-  if (c->in->len > 0)
+  if (c->input->len > 0)
     ev_feed_event (c->g->loop, &c->io, EV_READ);
 }
 
@@ -221,12 +224,12 @@
 cf_caller_end_answer (CfCaller *c)
 {
   if (c->chunked)
-    g_string_append (c->out, "0\r\n\r\n");
+    g_string_append (c->output, "0\r\n\r\n");
   c->chunked = FALSE;
   c->served = TRUE;
   c->x = NULL;
-  if (!c->close)
-    next_request (c);
+  if (!c->close_after_answer)
+    await_next_request (c);
   cf_caller_flush (c);
 }
 
@@ -234,16 +237,16 @@
 cf_caller_abort (CfCaller *c)
 {
   c->x = NULL;
-  shut (c);
+  close_caller (c);
 }
 
 gsize
 cf_caller_unsent_bytes (const CfCaller *c)
 {
-  return c->out->len - c->out_sent;
+  return c->output->len - c->output_sent;
 }
 
-/* Refuses what could not be read as a request; nothing was run. */
+/* Refuses a request that could not be read; nothing was sent to a target. */
 static void
 refuse (CfCaller *c, int status, const char *why)
 {
@@ -251,7 +254,7 @@
           why);
   c->g->stats.requests++;
   c->g->stats.outcomes[CF_OUTCOME_DENIED]++;
-  c->close = TRUE;
+  c->close_after_answer = TRUE;
   cf_caller_begin_answer (c, status, NULL, 0);
   cf_caller_end_answer (c);
 }
@@ -261,13 +264,13 @@
 {
   CfCaller *c = owner;
   const char *expect = cf_http_reader_header (&c->reader, CF_HDR_EXPECT);
-  gboolean sized = (c->reader.parser.flags & F_CONTENTLENGTH) != 0;
+  gboolean has_length = (c->reader.parser.flags & F_CONTENTLENGTH) != 0;
 
-  if (sized && c->reader.parser.content_length > body_max (c))
-    c->too_large = TRUE;
+  if (has_length && c->reader.parser.content_length > body_limit (c))
+    c->body_too_large = TRUE;
   else if (expect && g_ascii_strcasecmp (expect, "100-continue") == 0)
     {
-      g_string_append (c->out, "HTTP/1.1 100 Continue\r\n\r\n");
+      g_string_append (c->output, "HTTP/1.1 100 Continue\r\n\r\n");
       cf_caller_flush (c);
     }
 }
@@ -277,9 +280,9 @@
 {
   CfCaller *c = owner;
 
-  if (c->too_large || c->body->len + n > body_max (c))
+  if (c->body_too_large || c->body->len + n > body_limit (c))
     {
-      c->too_large = TRUE;
+      c->body_too_large = TRUE;
       return;
     }
   c->g->body_bytes += n;
@@ -288,58 +291,59 @@
 
 static const CfHttpReaderCallbacks reader_calls = { on_head, on_body, NULL };
 
-/* Reads on in the current request; whatever is behind it stays in @in. */
+/* Parses more of the current request; bytes after its end stay buffered. */
 static void
-feed_in (CfCaller *c)
+parse_input (CfCaller *c)
 {
-  gboolean fresh = !c->reader.started;
+  gboolean was_between_requests = !c->reader.started;
   gboolean had_head = c->reader.has_head;
   gsize used;
-  gboolean good;
+  gboolean is_valid;
 
-  good = cf_http_reader_feed (&c->reader, c->in->str, c->in->len, &used);
-  if (c->dead)
+  is_valid
+      = cf_http_reader_feed (&c->reader, c->input->str, c->input->len, &used);
+  if (c->is_closed)
     return;
-  g_string_erase (c->in, 0, (gssize)MIN (used, c->in->len));
+  g_string_erase (c->input, 0, (gssize)MIN (used, c->input->len));
   if (c->reader.too_large)
-    refuse (c, 431, "the head is over max-header-bytes");
-  else if (!good)
+    refuse (c, 431, "the request headers exceed max-header-bytes");
+  else if (!is_valid)
     refuse (c, 400,
             http_errno_description (HTTP_PARSER_ERRNO (&c->reader.parser)));
-  else if (c->too_large)
-    refuse (c, 413, "the body is over max-body-bytes");
+  else if (c->body_too_large)
+    refuse (c, 413, "the request body exceeds max-body-bytes");
   else if (c->g->body_bytes > c->g->body_bytes_max)
-    refuse (c, 503, "too many bytes of requests are held");
+    refuse (c, 503, "the request bodies in memory exceed their limit");
   else if (c->reader.is_complete)
     {
       ev_timer_stop (c->g->loop, &c->timer);
       cf_exchange_start (c->g, c);
     }
-  else if (fresh && c->reader.started)
+  else if (was_between_requests && c->reader.started)
     set_timer (c, header_timeout (c));
   else if (c->reader.has_head && !had_head)
     set_timer (c, idle_timeout (c));
 }
 
 static void
-read_some (CfCaller *c)
+read_input (CfCaller *c)
 {
-  char buf[READ_SIZE];
+  char buf[READ_BYTES];
   ssize_t n = recv (c->io.fd, buf, sizeof buf, 0);
 
   if (n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR))
     {
-      leave (c);
+      disconnect (c);
       return;
     }
   if (c->lingering)
     return;
   if (n > 0)
-    g_string_append_len (c->in, buf, n);
-  if (!c->x && c->in->len > 0 && !c->close)
-    feed_in (c);
-  if (!c->dead)
-    want (c);
+    g_string_append_len (c->input, buf, n);
+  if (!c->x && c->input->len > 0 && !c->close_after_answer)
+    parse_input (c);
+  if (!c->is_closed)
+    update_events (c);
 }
 
 static void
@@ -347,17 +351,17 @@
 {
   CfCaller *c = w->data;
 
-  c->in_read = TRUE;
+  c->in_callback = TRUE;
   if (revents & EV_WRITE)
     {
       cf_caller_flush (c);
-      if (!c->dead && c->x && c->out->len == 0)
+      if (!c->is_closed && c->x && c->output->len == 0)
         cf_exchange_drained (c->x);
     }
-  if (!c->dead && (revents & EV_READ))
-    read_some (c);
-  c->in_read = FALSE;
-  if (c->dead)
+  if (!c->is_closed && (revents & EV_READ))
+    read_input (c);
+  c->in_callback = FALSE;
+  if (c->is_closed)
     free_caller (c);
 }
 
@@ -366,10 +370,10 @@
 {
   CfCaller *c = w->data;
 
-  if (c->reader.started && !c->lingering && !c->close)
-    refuse (c, 408, "the request did not come in in time");
+  if (c->reader.started && !c->lingering && !c->close_after_answer)
+    refuse (c, 408, "timed out while receiving the request");
   else
-    leave (c);
+    disconnect (c);
 }
 
 static void
@@ -377,13 +381,13 @@
 {
   CfCaller *c = g_new0 (CfCaller, 1);
   gsize head_max = g->policy ? (gsize)g->policy->limits.max_header_bytes
-                             : DEFAULT_HEADER_MAX;
+                             : DEFAULT_HEADER_MAX_BYTES;
 
   c->g = g;
   c->accepted_ms = cf_gateway_now (g);
-  c->in = g_string_new (NULL);
+  c->input = g_string_new (NULL);
   c->body = g_string_new (NULL);
-  c->out = g_string_new (NULL);
+  c->output = g_string_new (NULL);
   cf_http_reader_init (&c->reader, HTTP_REQUEST, &reader_calls, c, head_max);
   ev_io_init (&c->io, on_io, fd, EV_READ);
   c->io.data = c;
@@ -395,26 +399,28 @@
   g->n_callers++;
 }
 
-/* Its first request is on its way. */
+/* Whether the first request of @c is probably on its way. */
 static gboolean
-is_new (const CfCaller *c)
+is_newly_connected (const CfCaller *c)
 {
-  return !c->served && cf_gateway_now (c->g) - c->accepted_ms < NEW_MS;
+  return !c->served
+         && cf_gateway_now (c->g) - c->accepted_ms < FIRST_REQUEST_GRACE_MS;
 }
 
 static gboolean
 is_idle (const CfCaller *c)
 {
-  return !c->x && !c->reader.started && c->out->len == 0 && !is_new (c);
+  return !c->x && !c->reader.started && c->output->len == 0
+         && !is_newly_connected (c);
 }
 
 static void
-log_full (CfGateway *g)
+log_callers_full (CfGateway *g)
 {
   gint64 now = cf_gateway_now (g);
 
   if (g->callers_full_logged_ms
-      && now - g->callers_full_logged_ms < FULL_LOG_MS)
+      && now - g->callers_full_logged_ms < FULL_LOG_INTERVAL_MS)
     return;
   g->callers_full_logged_ms = now;
   cf_log (LOG_WARNING, CF_EV_CALLERS_FULL,
@@ -422,9 +428,10 @@
           g->n_exchanges, g->stats.callers_turned_away);
 }
 
-/* Whether one more caller may connect, perhaps in the place of one that is
- * idle.  Once the process has no descriptor left, it reaches no target, and
- * turns its loop for nothing since it cannot accept what waits. */
+/* Whether one more caller may connect; closes an idle connection for it if
+ * necessary.  Without the limit the process could run out of descriptors: it
+ * would reach no target, and its loop would spin because it cannot accept the
+ * pending connections. */
 static gboolean
 make_room (CfGateway *g)
 {
@@ -432,12 +439,12 @@
 
   if (g->n_callers < g->callers_max)
     return TRUE;
-  log_full (g);
+  log_callers_full (g);
   TAILQ_FOREACH (c, &g->callers, link)
   {
     if (!is_idle (c))
       continue;
-    shut (c);
+    close_caller (c);
     return TRUE;
   }
   return FALSE;
@@ -470,7 +477,7 @@
       CfCaller *next = TAILQ_NEXT (c, link);
 
       if (is_idle (c))
-        shut (c);
+        close_caller (c);
       c = next;
     }
 }
@@ -484,8 +491,8 @@
     {
       if (c->x)
         cf_exchange_end_with_process (c->x);
-      else if (c->reader.started && !c->close)
-        refuse (c, 503, "the process ends");
-      shut (c);
+      else if (c->reader.started && !c->close_after_answer)
+        refuse (c, 503, "the gateway is stopping");
+      close_caller (c);
     }
 }
--- a/gateway/caller.h
+++ b/gateway/caller.h
@@ -7,60 +7,62 @@
 
 /**
  * CfCaller:
- * A caller's connection.  It reads one request whole, has an exchange
- * answer it, and reads the next.
+ * A caller's connection.  It reads one complete request, starts an exchange
+ * that answers it, and only then parses the next request.
  */
 struct CfCaller
 {
   TAILQ_ENTRY (CfCaller) link;
   CfGateway *g;
   ev_io io;
-  ev_timer timer; /**< header and idle timeouts, and lingering */
+  ev_timer timer; /**< header timeout, idle timeout, lingering */
   CfHttpReader reader;
-  GString *in;   /**< bytes behind the current request */
-  GString *body; /**< of the current request */
-  GString *out;
-  gsize out_sent;
+  GString *input;    /**< received bytes not parsed yet */
+  GString *body;     /**< of the current request, decoded */
+  GString *output;   /**< bytes of the answer, sent and unsent */
+  gsize output_sent; /**< how many bytes of @output are sent */
   gint64 accepted_ms;
-  gboolean served;    /**< it had an answer already */
-  CfExchange *x;      /**< answers the current request */
-  gboolean chunked;   /**< the answer is sent in chunks */
-  gboolean close;     /**< no request after this answer */
-  gboolean lingering; /**< only waits for the caller to close */
-  gboolean too_large;
-  gboolean in_read; /**< freed only after the read */
-  gboolean dead;
+  gboolean served;             /**< at least one answer was completed */
+  CfExchange *x;               /**< exchange of the current request */
+  gboolean chunked;            /**< the answer uses chunked encoding */
+  gboolean close_after_answer; /**< no further request is read */
+  gboolean lingering;          /**< waits for the caller to close */
+  gboolean body_too_large;     /**< the body exceeds max-body-bytes */
+  gboolean in_callback;        /**< on_io() runs, and frees it afterwards */
+  gboolean is_closed;          /**< to be freed when on_io() returns */
 };
 
-/** cf_caller_accept: takes all connections that wait at @listener. */
+/** cf_caller_accept: accepts all pending connections of @listener. */
 void cf_caller_accept (CfGateway *g, int listener);
 
 /**
  * cf_caller_begin_answer:
- * Begins the answer.
- * @headers: (nullable): whole header lines, each with its line end
- * @length: of the body, or -1 if it is not known yet
+ * Appends the status line and the headers of the answer to the output.
+ * @headers: (nullable): complete header lines, each with its CRLF
+ * @length: length of the body, or -1 if it is not known yet
  */
 void cf_caller_begin_answer (CfCaller *c, int status, const char *headers,
                              gint64 length);
 
-/** cf_caller_append_body: more of the answer's body. */
+/** cf_caller_append_body: appends @n bytes of the answer's body. */
 void cf_caller_append_body (CfCaller *c, const char *data, gsize n);
 
-/** cf_caller_end_answer: the answer is whole; the exchange is done with @c. */
+/** cf_caller_end_answer: completes the answer and detaches the exchange. */
 void cf_caller_end_answer (CfCaller *c);
 
-/** cf_caller_flush: sends what can be sent. */
+/** cf_caller_flush: sends as much output as the socket takes. */
 void cf_caller_flush (CfCaller *c);
 
-/** cf_caller_abort: closes at once, so that the answer looks cut off. */
+/** cf_caller_abort: closes at once, so that the caller sees a truncated
+ * answer. */
 void cf_caller_abort (CfCaller *c);
 
-/** cf_caller_unsent_bytes: bytes of the answer that are not sent yet. */
+/** cf_caller_unsent_bytes: bytes of output that are not sent yet. */
 gsize cf_caller_unsent_bytes (const CfCaller *c);
 
-/** cf_caller_close_idle: closes those that have no request in progress. */
+/** cf_caller_close_idle: closes callers that have no request in progress. */
 void cf_caller_close_idle (CfGateway *g);
 
-/** cf_caller_abort_all: answers what can be answered, and closes all. */
+/** cf_caller_abort_all: ends all exchanges, refuses unfinished requests and
+ * closes all callers. */
 void cf_caller_abort_all (CfGateway *g);
--- a/gateway/control.h
+++ b/gateway/control.h
@@ -5,8 +5,9 @@
 
 /**
  * cf_control_listen:
- * Takes links from other processes of ours at the control address; a
- * link's first message says whose it is.
+ * Accepts links from rank agents and other gateways at the control address.
+ * The first message of a link is a hello that tells which of the two it is;
+ * the link is then handed to @ranks or @peers.
  */
 CfStatus cf_control_listen (CfGateway *g, CfPeerService *peers,
                             CfRankService *ranks);
--- a/gateway/event-stream.c
+++ b/gateway/event-stream.c
@@ -18,8 +18,8 @@
   s->partial = NULL;
 }
 
-/* The length of the first whole event in @p, its blank line included; 0 if
- * there is none.  Lines end with LF or CRLF. */
+/* Returns the length of the first complete event in @p, including its blank
+ * line; 0 if there is none.  Lines end with LF or CRLF. */
 static gsize
 event_length (const char *p, gsize n)
 {
@@ -35,7 +35,7 @@
   return 0;
 }
 
-/* The number in the event's "id:" line; -1 if it has none. */
+/* Returns the number in the event's "id:" line; -1 if it has none. */
 static gint64
 event_id (const char *p, gsize n)
 {
@@ -55,7 +55,7 @@
 }
 
 static guint
-take_event (CfEventStream *s, const char *p, gsize n, GString *out)
+append_event (CfEventStream *s, const char *p, gsize n, GString *out)
 {
   gint64 id = event_id (p, n);
 
@@ -76,16 +76,16 @@
 {
   gsize at = 0;
   gsize len;
-  guint taken = 0;
+  guint n_appended = 0;
 
   g_string_append_len (s->partial, data, (gssize)n);
   while ((len = event_length (s->partial->str + at, s->partial->len - at)))
     {
-      taken += take_event (s, s->partial->str + at, len, out);
+      n_appended += append_event (s, s->partial->str + at, len, out);
       at += len;
     }
   g_string_erase (s->partial, 0, (gssize)at);
-  return taken;
+  return n_appended;
 }
 
 void
--- a/gateway/event-stream.h
+++ b/gateway/event-stream.h
@@ -4,16 +4,17 @@
 
 /**
  * CfEventStream:
- * Cuts a text/event-stream into whole events, so that a stream which
- * breaks off in the middle of one can be taken up elsewhere without a torn
- * event, and drops events that the caller already has.
+ * Splits a text/event-stream into complete events, so that a stream that
+ * breaks off in the middle of an event can be resumed at another target
+ * without forwarding a truncated event.  Drops events that were forwarded
+ * before.
  */
 typedef struct
 {
-  GString *partial;  /**< the event that is not whole yet */
-  gint64 last_id;    /**< of the last event given out; -1: none */
-  guint64 n_events;  /**< given out so far */
-  guint64 n_dropped; /**< dropped, since their id was not higher */
+  GString *partial;  /**< bytes of the incomplete event */
+  gint64 last_id;    /**< id of the last event returned; -1: none */
+  guint64 n_events;  /**< events returned so far */
+  guint64 n_dropped; /**< events dropped because their id was not higher */
 } CfEventStream;
 
 void cf_event_stream_init (CfEventStream *s);
@@ -21,14 +22,15 @@
 
 /**
  * cf_event_stream_feed:
- * @out: whole events are appended here, byte for byte
- * Returns: how many were.
+ * @out: complete events are appended to it unchanged
+ * Returns: the number of events appended.
  */
 guint cf_event_stream_feed (CfEventStream *s, const char *data, gsize n,
                             GString *out);
 
-/** cf_event_stream_restart: another target goes on after last_id. */
+/** cf_event_stream_restart: discards the incomplete event; another target
+ * resumes the stream after @last_id. */
 void cf_event_stream_restart (CfEventStream *s);
 
-/** cf_event_stream_has_partial: whether an event has begun and is not whole. */
+/** cf_event_stream_has_partial: whether an event is incomplete. */
 gboolean cf_event_stream_has_partial (const CfEventStream *s);
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -10,27 +10,29 @@
 #include <math.h>
 #include <string.h>
 
-/** Of the fleet's retry allowance, the part that all gateways use together;
- * the rest covers one that counts itself as one of fewer. */
-#define RETRY_PART 0.8
-/** Unreadable records whose revision is remembered, so that each is logged
- * once; past this all are logged once more. */
-#define REJECTS_MAX 1024
-/** Of a spoiled id, what is logged. */
-#define REJECT_NAME_MAX 64
-/** Of the memory limit, the part that request bodies may take. */
-#define BODY_MEMORY_PART 4
-/** Descriptors that the platform keeps for files out of max-fds. */
-#define FILE_FDS 200
-/** Of the others, the part that callers may take: each caller's request may
- * need a connection to a target besides. */
-#define CALLER_FDS_PART 2
-/** A target's pace is told once a second; not told any more for so long, it
- * is not believed any more. */
-#define PACE_FRESH_MS 3500
+/** Share of the fleet's retry allowance that the gateways use together.  The
+ * rest is a margin for a gateway that takes the fleet for smaller than it
+ * is. */
+#define RETRY_SHARE 0.8
+/** Most unreadable records whose revision is kept, so that each is logged only
+ * once.  When there are more, the table is emptied and each is logged once
+ * again. */
+#define REJECTED_RECORDS_MAX 1024
+/** Most characters of a rejected target's id that are logged. */
+#define REJECTED_ID_LOG_CHARS 64
+/** Request bodies may take the memory limit divided by this. */
+#define BODY_MEMORY_DIVISOR 4
+/** Descriptors of max-fds that the platform reserves for files. */
+#define RESERVED_FILE_FDS 200
+/** Callers may take the remaining descriptors divided by this: each caller's
+ * request may need another one for a connection to a target. */
+#define CALLER_FDS_DIVISOR 2
+/** A target's slowdown expires after this time without a report; agents and
+ * peers report it once a second. */
+#define SLOWDOWN_EXPIRY_MS 3500
 
 static void
-lane_free (gpointer data)
+service_state_free (gpointer data)
 {
   CfServiceState *l = data;
 
@@ -42,35 +44,35 @@
 retry_slack (const CfGateway *g)
 {
   double slack
-      = (double)g->set.retry_slack * RETRY_PART / MAX (g->fleet_size, 1);
+      = (double)g->set.retry_slack * RETRY_SHARE / MAX (g->fleet_size, 1);
 
   return (gint64)MAX (slack, 1);
 }
 
-/* No one counts retries for the whole fleet, so each gateway keeps to an
- * even share of the slack; the ratio is of its own requests. */
+/* Retries are not counted for the fleet as a whole, so each gateway uses an
+ * equal share of the slack; the ratio applies to its own requests. */
 CfServiceState *
 cf_gateway_service_state (CfGateway *g, const char *service)
 {
   CfServiceState *l;
 
   if (!g->service_states)
-    g->service_states
-        = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, lane_free);
+    g->service_states = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                               service_state_free);
   l = g_hash_table_lookup (g->service_states, service);
   if (l)
     return l;
   l = g_new0 (CfServiceState, 1);
   cf_wait_queue_init (&l->queue);
   cf_retry_budget_init (&l->budget,
-                        (gint64)(g->set.retry_ratio * RETRY_PART * 100),
+                        (gint64)(g->set.retry_ratio * RETRY_SHARE * 100),
                         retry_slack (g));
   g_hash_table_insert (g->service_states, g_strdup (service), l);
   return l;
 }
 
 static gboolean
-is_named_service (const void *data, const char *service)
+is_configured_service (const void *data, const char *service)
 {
   const CfGateway *g = data;
 
@@ -78,9 +80,9 @@
 }
 
 static guint
-callers_max (const CfPlatformSettings *s)
+compute_callers_max (const CfPlatformSettings *s)
 {
-  return (guint)MAX ((s->max_fds - FILE_FDS) / CALLER_FDS_PART, 1);
+  return (guint)MAX ((s->max_fds - RESERVED_FILE_FDS) / CALLER_FDS_DIVISOR, 1);
 }
 
 void
@@ -92,13 +94,13 @@
   memset (set, 0, sizeof *set);
   g->now_ms = cf_now_ms ();
   g->started_ms = g->now_ms;
-  g->body_bytes_max = (gsize)g->set.memory_mb * 1048576 / BODY_MEMORY_PART;
-  g->callers_max = callers_max (&g->set);
+  g->body_bytes_max = (gsize)g->set.memory_mb * 1048576 / BODY_MEMORY_DIVISOR;
+  g->callers_max = compute_callers_max (&g->set);
   TAILQ_INIT (&g->callers);
   TAILQ_INIT (&g->probes);
   TAILQ_INIT (&g->unrouted);
   cf_target_table_init (&g->targets);
-  g->targets.is_named = is_named_service;
+  g->targets.is_named = is_configured_service;
   g->targets.is_named_data = g;
   g->quarantine = cf_quarantine_new ();
   cf_gateway_service_state (g, "");
@@ -126,9 +128,10 @@
 }
 
 CfLoopActivity
-cf_gateway_enter_activity (CfGateway *g, CfLoopActivity part)
+cf_gateway_enter_activity (CfGateway *g, CfLoopActivity activity)
 {
-  return cf_loop_watch_enter (&g->loop_watch, part, g_get_monotonic_time ());
+  return cf_loop_watch_enter (&g->loop_watch, activity,
+                              g_get_monotonic_time ());
 }
 
 gboolean
@@ -186,7 +189,7 @@
 }
 
 static const char *
-change_name (CfTargetChange c)
+target_change_name (CfTargetChange c)
 {
   switch (c)
     {
@@ -208,10 +211,10 @@
   return "unknown";
 }
 
-/* Whether the unreadable record of @id at @rev is met for the first time;
- * lists are read again and again. */
+/* Whether the unreadable record of @id at @rev is seen for the first time;
+ * lists are read repeatedly. */
 static gboolean
-is_new_reject (CfGateway *g, const char *id, gint64 rev)
+is_newly_rejected (CfGateway *g, const char *id, gint64 rev)
 {
   const gint64 *seen;
   gint64 *at;
@@ -222,7 +225,7 @@
   seen = g_hash_table_lookup (g->rejected_records, id);
   if (seen && *seen >= rev)
     return FALSE;
-  if (g_hash_table_size (g->rejected_records) >= REJECTS_MAX)
+  if (g_hash_table_size (g->rejected_records) >= REJECTED_RECORDS_MAX)
     g_hash_table_remove_all (g->rejected_records);
   at = g_new (gint64, 1);
   *at = rev;
@@ -234,7 +237,7 @@
 cf_gateway_reject_target (CfGateway *g, const char *id, gint64 rev,
                           const char *source, const char *reason)
 {
-  if (is_new_reject (g, id, rev))
+  if (is_newly_rejected (g, id, rev))
     {
       char *name = g_strescape (id, NULL);
 
@@ -242,29 +245,30 @@
       cf_log (LOG_ERR, CF_EV_TARGET_LIST,
               "target=\"%.*s\" outcome=bad rev=%" G_GINT64_FORMAT
               " source=%s error=\"%s\"",
-              REJECT_NAME_MAX, name, rev, source, reason);
+              REJECTED_ID_LOG_CHARS, name, rev, source, reason);
       g_free (name);
     }
   cf_gateway_remove_target (g, id, rev, "unreadable");
 }
 
 static void
-log_change (const CfGateway *g, const CfTargetNews *news, CfTargetChange c,
+log_change (const CfGateway *g, const CfTargetNews *update, CfTargetChange c,
             const char *source)
 {
-  const CfTarget *t = g_hash_table_lookup (g->targets.by_id, news->id);
+  const CfTarget *t = g_hash_table_lookup (g->targets.by_id, update->id);
 
   cf_log (LOG_NOTICE, CF_EV_TARGET_LIST,
           "target=%s service=%s addr=%s outcome=%s rev=%" G_GINT64_FORMAT
           " incarnation=%" G_GINT64_FORMAT " source=%s",
-          news->id, t ? t->record.service : "-", t ? t->record.addr : "-",
-          change_name (c), news->rev, t ? t->record.incarnation : 0, source);
+          update->id, t ? t->record.service : "-", t ? t->record.addr : "-",
+          target_change_name (c), update->rev, t ? t->record.incarnation : 0,
+          source);
 }
 
-/* What was believed of the target before is about a process that is gone,
- * or that the list does not lead to any more. */
+/* Closes connections to @former: its process is gone, or the list does not
+ * lead to it any more.  Requests in flight fail only after a restart. */
 static void
-end_former (CfTarget *former, CfTargetChange c)
+close_former_connections (CfTarget *former, CfTargetChange c)
 {
   if (c == CF_TARGET_RESTARTED)
     cf_upstream_fail_all (former);
@@ -273,27 +277,28 @@
 }
 
 void
-cf_gateway_update_target (CfGateway *g, const CfTargetNews *news,
+cf_gateway_update_target (CfGateway *g, const CfTargetNews *update,
                           const char *source)
 {
   CfTargetRecord r;
   CfTargetChange c;
   CfTarget *former;
 
-  if (cf_platform_target_parse (news->id, news->json, news->n, &r) != CF_OK)
+  if (cf_platform_target_parse (update->id, update->json, update->n, &r)
+      != CF_OK)
     {
-      cf_gateway_reject_target (g, news->id, news->rev, source,
+      cf_gateway_reject_target (g, update->id, update->rev, source,
                                 cf_last_error ());
       return;
     }
-  former = g_hash_table_lookup (g->targets.by_id, news->id);
+  former = g_hash_table_lookup (g->targets.by_id, update->id);
   if (former)
     cf_target_ref (former);
-  c = cf_target_table_put (&g->targets, &r, news);
+  c = cf_target_table_put (&g->targets, &r, update);
   if (c != CF_TARGET_SAME)
-    log_change (g, news, c, source);
+    log_change (g, update, c, source);
   if (former && (!former->listed || c == CF_TARGET_LEAVING))
-    end_former (former, c);
+    close_former_connections (former, c);
   cf_target_unref (former);
   if (c != CF_TARGET_SAME)
     cf_exchange_pump (g);
@@ -354,7 +359,8 @@
     {
       CfTarget *t = v;
 
-      if (t->pace != 1 && cf_gateway_now (g) - t->pace_at_ms > PACE_FRESH_MS)
+      if (t->pace != 1
+          && cf_gateway_now (g) - t->pace_at_ms > SLOWDOWN_EXPIRY_MS)
         cf_gateway_update_slowdown (g, t, 1, "forgotten");
     }
 }
@@ -375,7 +381,7 @@
   GHashTableIter it;
   gpointer l;
 
-  /* At the start peers are not heard yet: the seeds count as there. */
+  /* Peers are unknown at the start, so all seeds count as running. */
   n = MAX (n, MAX (g_strv_length (g->set.seed_addrs), 1));
   if (n == g->fleet_size)
     return;
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -23,149 +23,164 @@
 typedef TAILQ_HEAD (CfExchangeList, CfExchange) CfExchangeList;
 typedef TAILQ_HEAD (CfCrashProbeList, CfCrashProbe) CfCrashProbeList;
 
-/** CfServiceState: what this process keeps for each service it sends work to.
- */
+/** CfServiceState: what this process keeps for each service that it sends
+ * requests to. */
 typedef struct
 {
-  CfWaitQueue queue;
+  CfWaitQueue queue; /**< requests that wait for a target */
   CfRetryBudget budget;
   CfOutage outage;
-  CfPace latency;
-  CfPassRecord pass;
+  CfPace latency;    /**< recent latency of its streams */
+  CfPassRecord pass; /**< its latest pass, as seen here */
   CfConcurrencyLimit limit;
-  guint in_flight;      /**< requests of ours that its targets have */
+  guint in_flight;      /**< requests of this gateway at its targets */
   gint64 busy_since_ms; /**< when @in_flight last rose from 0 */
-  gint64 last_event_ms; /**< when any of its targets last sent something */
+  gint64 last_event_ms; /**< when a target last sent part of an answer */
 } CfServiceState;
 
 /**
  * CfGateway:
- * What lives as long as the process: the settings, the newest policy, the
- * targets, the callers' connections.  All of it belongs to the one event
- * thread.
+ * The state of the gateway process: settings, newest configuration, targets,
+ * callers' connections.  Only the event thread accesses it.
  */
 struct CfGateway
 {
   struct ev_loop *loop;
-  gint64 now_ms; /**< steady clock, as of this loop_watch of the loop */
+  gint64 now_ms; /**< monotonic time at the start of this event loop
+                    iteration */
   gint64 started_ms;
   CfPlatformSettings set;
-  CfPolicy *policy;          /**< in force; %NULL until one is known */
+  CfPolicy *policy;          /**< configuration in force; %NULL: none yet */
   gint64 policy_rev;         /**< the store's revision of it */
-  GBytes *policy_json;       /**< it as the store holds it, for peers */
-  gboolean policy_store_up;  /**< the store answers the watch of it */
-  gboolean targets_store_up; /**< and the watch of the targets */
+  GBytes *policy_json;       /**< @policy as stored, for peers */
+  gboolean policy_store_up;  /**< the store answers the watch of
+                                    the configuration */
+  gboolean targets_store_up; /**< the store answers the watch of
+                                    the targets */
   CfTargetTable targets;
-  GHashTable *rejected_records; /**< id -> revision of its unreadable record */
-  gint64 targets_rev;           /**< the store's revision the table is as of */
-  gint64 targets_at_ms;         /**< when the store last confirmed the table */
-  gboolean rate_limits_changed; /**< of targets; peers are to be notified */
-  guint fleet_size;             /**< gateways that share the retry budget */
-  CfFleetPlace place;           /**< ours among the gateways */
-  double ring_start; /**< where this one begins on the ring of targets, from
-                          0 to below 1 */
+  GHashTable *rejected_records; /**< target id -> revision of its unreadable
+                                    record */
+  gint64 targets_rev;           /**< store revision that @targets reflects */
+  gint64 targets_at_ms;         /**< when the store last confirmed @targets */
+  gboolean rate_limits_changed; /**< peers have to be notified of targets' rate
+                                    limits */
+  guint fleet_size;   /**< number of gateways that share the retry budget */
+  CfFleetPlace place; /**< place of this gateway among all gateways */
+  double ring_start;  /**< where this gateway starts on the ring of targets,
+                           in [0, 1) */
   GHashTable *service_states; /**< service -> #CfServiceState */
   CfQuarantine *quarantine;   /**< requests that crash targets */
-  CfCrashProbeList probes;    /**< of targets that may have crashed */
+  CfCrashProbeList probes;    /**< probes of targets that may have crashed */
   CfCallerList callers;
   guint n_callers;
-  guint callers_max; /**< the others are for targets, peers, the store */
-  gint64
-      callers_full_logged_ms; /**< when it was last logged that all are taken */
-  CfExchangeList unrouted;    /**< requests that wait until the process knows
-                                   the configuration and the targets */
+  guint callers_max; /**< limit of @n_callers; the remaining descriptors are
+                        for targets, peers and the store */
+  gint64 callers_full_logged_ms; /**< when the caller limit was last logged */
+  CfExchangeList unrouted;       /**< requests that wait until the process knows
+                                      the configuration and the targets */
   guint n_exchanges;
-  gsize body_bytes; /**< of requests that are held in memory */
+  gsize body_bytes; /**< bytes of request bodies in memory */
   gsize body_bytes_max;
-  gboolean stopping;        /**< SIGTERM came */
-  gboolean stop_propagated; /**< the platform had the time to learn of it */
-  gboolean exiting;         /**< the loop is left; nothing more is sent */
-  gint64 stop_started_ms;
-  gint64 stop_deadline_ms; /**< when what still runs is cut off */
+  gboolean stopping;        /**< SIGTERM was received */
+  gboolean stop_propagated; /**< the platform has had time to notice that this
+                                gateway is not ready */
+  gboolean exiting;         /**< the event loop has ended; nothing is sent any
+                                more */
+  gint64 stop_started_ms;   /**< when @stopping was set */
+  gint64 stop_deadline_ms;  /**< when remaining requests are aborted */
   CfStats stats;
   CfLoopWatch loop_watch;
 };
 
 /**
  * cf_gateway_init:
- * Makes what a gateway has before it knows anything: no policy, no targets,
- * no callers, alone in its fleet.
- * @set: taken over
+ * Initializes a gateway without configuration, targets or callers.  Until it
+ * knows its peers, the fleet counts as large as the list of seeds.
+ * @set: its contents are moved into @g
  */
 void cf_gateway_init (CfGateway *g, struct ev_loop *loop,
                       CfPlatformSettings *set);
 
-/** cf_gateway_clear: frees all of it; no caller is left. */
+/** cf_gateway_clear: frees the contents of @g; all callers have to be closed
+ * before. */
 void cf_gateway_clear (CfGateway *g);
 
-/** cf_gateway_service_state: the lane of @service, made when first asked for.
- */
+/** cf_gateway_service_state: the state of @service, created on first use. */
 CfServiceState *cf_gateway_service_state (CfGateway *g, const char *service);
 
-/** cf_gateway_now: a steady clock, as of this loop_watch of the loop, in ms. */
+/** cf_gateway_now: the monotonic time in ms at the start of this event loop
+ * iteration. */
 gint64 cf_gateway_now (const CfGateway *g);
 
 /**
  * cf_gateway_enter_activity:
- * Attributes the current loop iteration's time to @part.
- * Returns: the previous part, to be restored by the caller.
+ * Attributes the time of the current event loop iteration to @activity.
+ * Returns: the previous activity, to be entered again afterwards.
  */
-CfLoopActivity cf_gateway_enter_activity (CfGateway *g, CfLoopActivity part);
+CfLoopActivity cf_gateway_enter_activity (CfGateway *g,
+                                          CfLoopActivity activity);
 
 /** cf_gateway_can_route: whether a configuration and a list of targets are
  * known. */
 gboolean cf_gateway_can_route (const CfGateway *g);
 
-/** cf_gateway_is_ready: whether callers should be sent here. */
+/** cf_gateway_is_ready: whether the platform should send callers to this
+ * gateway. */
 gboolean cf_gateway_is_ready (const CfGateway *g);
 
 /**
  * cf_gateway_apply_policy:
- * Puts @json in force if it is good and newer than what is.
- * @rev: the store's revision of it
+ * Puts configuration @json in force if it is valid and newer than the current
+ * one.
+ * @rev: store revision of @json
  * @source: "store" or "peer", for the log
  */
 void cf_gateway_apply_policy (CfGateway *g, const char *json, gsize n,
                               gint64 rev, const char *source);
 
-/** cf_gateway_update_target: the record of a target came. */
-void cf_gateway_update_target (CfGateway *g, const CfTargetNews *news,
+/** cf_gateway_update_target: updates the targets from a target's record. */
+void cf_gateway_update_target (CfGateway *g, const CfTargetNews *update,
                                const char *source);
 
 /**
  * cf_gateway_reject_target:
- * The record of @id at @rev cannot be read: it names no target to use, also
- * if an earlier one did.  Requests that the target has go on.
+ * Handles an unreadable record of @id at @rev: logs it once and removes the
+ * target if an earlier record listed it.  Requests in flight at the target
+ * continue.
  */
 void cf_gateway_reject_target (CfGateway *g, const char *id, gint64 rev,
                                const char *source, const char *reason);
 
-/** cf_gateway_remove_target: target @id is gone. */
+/** cf_gateway_remove_target: removes target @id, unless its record is newer
+ * than @rev. */
 void cf_gateway_remove_target (CfGateway *g, const char *id, gint64 rev,
                                const char *source);
 
 /**
  * cf_gateway_retain_targets:
- * @ids: all targets there are, as of revision @as_of; others are dropped
+ * Removes the targets that are not listed any more.
+ * @ids: all targets listed as of store revision @as_of
  */
 void cf_gateway_retain_targets (CfGateway *g, GHashTable *ids, gint64 as_of,
                                 const char *source);
 
-/** cf_gateway_update_slowdown: how slow @t is, as an agent or a peer tells. */
-void cf_gateway_update_slowdown (CfGateway *g, CfTarget *t, double latency,
+/** cf_gateway_update_slowdown: records how many times as long as usual @t
+ * takes, as reported by an agent or a peer. */
+void cf_gateway_update_slowdown (CfGateway *g, CfTarget *t, double slowdown,
                                  const char *source);
 
-/** cf_gateway_expire_slowdowns: targets nobody has called slow lately are as
- * usual again. */
+/** cf_gateway_expire_slowdowns: resets the slowdown of targets that have not
+ * been reported slow recently. */
 void cf_gateway_expire_slowdowns (CfGateway *g);
 
 /**
  * cf_gateway_set_fleet_place:
- * @ring_start: where this gateway begins on the ring of targets
- * @members: gateways that this was worked out for
+ * @ring_start: where this gateway starts on the ring of targets, in [0, 1)
+ * @members: number of gateways for which @ring_start was computed
  */
 void cf_gateway_set_fleet_place (CfGateway *g, double ring_start,
                                  guint members);
 
-/** cf_gateway_set_fleet_size: @n gateways share the retry budget. */
+/** cf_gateway_set_fleet_size: sets the number of gateways that share the retry
+ * budget; at least the number of seeds. */
 void cf_gateway_set_fleet_size (CfGateway *g, guint n);
--- a/gateway/http-reader.c
+++ b/gateway/http-reader.c
@@ -3,12 +3,13 @@
 #include <string.h>
 
 static CfHttpReader *
-reader_of (http_parser *p)
+parser_reader (http_parser *p)
 {
   return p->data;
 }
 
-/* Counts towards the head's limit; past it the parser is stopped. */
+/* Appends to the text of the head; stops the parser once the head exceeds its
+ * limit. */
 static int
 append (CfHttpReader *r, const char *at, size_t n)
 {
@@ -23,7 +24,7 @@
 }
 
 static void
-begin_piece (CfHttpReader *r)
+begin_string (CfHttpReader *r)
 {
   g_string_append_c (r->text, '\0');
   g_array_append_val (r->offsets, r->text->len);
@@ -32,14 +33,14 @@
 static int
 on_begin (http_parser *p)
 {
-  reader_of (p)->started = TRUE;
+  parser_reader (p)->started = TRUE;
   return 0;
 }
 
 static int
 on_url (http_parser *p, const char *at, size_t n)
 {
-  CfHttpReader *r = reader_of (p);
+  CfHttpReader *r = parser_reader (p);
 
   r->request_target_len += n;
   return append (r, at, n);
@@ -48,12 +49,12 @@
 static int
 on_field (http_parser *p, const char *at, size_t n)
 {
-  CfHttpReader *r = reader_of (p);
+  CfHttpReader *r = parser_reader (p);
 
   if (r->has_head)
-    return 0; /* A trailer: checked by the parser, not kept. */
+    return 0; /* A trailer: the parser checks it, nothing is stored. */
   if (r->in_value || r->offsets->len == 0)
-    begin_piece (r);
+    begin_string (r);
   r->in_value = FALSE;
   return append (r, at, n);
 }
@@ -61,25 +62,26 @@
 static int
 on_value (http_parser *p, const char *at, size_t n)
 {
-  CfHttpReader *r = reader_of (p);
+  CfHttpReader *r = parser_reader (p);
 
   if (r->has_head)
     return 0;
   if (!r->in_value)
-    begin_piece (r);
+    begin_string (r);
   r->in_value = TRUE;
   return append (r, at, n);
 }
 
-/* The parser lets spaces into names; "Transfer-Encoding : x" would mean one
- * thing to us and another to a target. */
+/* http-parser accepts spaces in header names.  A name such as
+ * "Transfer-Encoding " could be read differently by the gateway and a target,
+ * which allows request smuggling. */
 static gboolean
-is_token (const char *name)
+is_header_name (const char *name)
 {
   return *name && strpbrk (name, " \t\"(),/:;<=>?@[\\]{}") == NULL;
 }
 
-/* FALSE if a header has no proper name. */
+/* Returns FALSE if a header name is invalid. */
 static gboolean
 index_headers (CfHttpReader *r)
 {
@@ -89,7 +91,7 @@
 
       h.name = r->text->str + g_array_index (r->offsets, gsize, i);
       h.value = r->text->str + g_array_index (r->offsets, gsize, i + 1);
-      if (!is_token (h.name))
+      if (!is_header_name (h.name))
         return FALSE;
       h.kind = cf_platform_header_kind (h.name, strlen (h.name));
       g_array_append_val (r->headers, h);
@@ -100,11 +102,11 @@
 static int
 on_head (http_parser *p)
 {
-  CfHttpReader *r = reader_of (p);
+  CfHttpReader *r = parser_reader (p);
 
-  /* A header with an empty last value leaves a name without its value. */
+  /* http-parser does not report an empty value of the last header. */
   if (r->offsets->len % 2)
-    begin_piece (r);
+    begin_string (r);
   if (!index_headers (r))
     return -1;
   r->has_head = TRUE;
@@ -116,7 +118,7 @@
 static int
 on_body (http_parser *p, const char *at, size_t n)
 {
-  CfHttpReader *r = reader_of (p);
+  CfHttpReader *r = parser_reader (p);
 
   r->callbacks->body (r->owner, at, n);
   return 0;
@@ -125,7 +127,7 @@
 static int
 on_complete (http_parser *p)
 {
-  reader_of (p)->is_complete = TRUE;
+  parser_reader (p)->is_complete = TRUE;
   http_parser_pause (p, 1);
   return 0;
 }
@@ -236,7 +238,7 @@
 }
 
 static gboolean
-list_names (const char *list, const char *name)
+list_contains (const char *list, const char *name)
 {
   gsize n = strlen (name);
 
@@ -264,7 +266,7 @@
 
       if (c->kind == CF_HDR_CONNECTION
           && g_ascii_strcasecmp (c->name, "Connection") == 0
-          && list_names (c->value, h->name))
+          && list_contains (c->value, h->name))
         return FALSE;
     }
   return TRUE;
--- a/gateway/http-reader.h
+++ b/gateway/http-reader.h
@@ -5,7 +5,7 @@
 #include <glib.h>
 #include <http_parser.h>
 
-/** CfHeader: one header; both strings end with a zero byte. */
+/** CfHeader: one header; both strings are NUL-terminated. */
 typedef struct
 {
   const char *name;
@@ -15,39 +15,42 @@
 
 typedef struct CfHttpReader CfHttpReader;
 
-/** CfHttpReaderCallbacks: what the owner of a reader is told. */
+/** CfHttpReaderCallbacks: callbacks to the owner of a reader. */
 typedef struct
 {
-  /** The head is in: method or status, target and headers can be read. */
+  /** The head is complete: method or status, request target and headers are
+   * available.  May be %NULL. */
   void (*head) (void *owner);
-  /** @n bytes of the body, which last only for this call. */
+  /** @n bytes of the decoded body; @data is valid during this call only. */
   void (*body) (void *owner, const char *data, gsize n);
-  /** The message is whole; the reader stops until the next _feed(). */
+  /** The message is complete; the reader stops at its end, and
+   * cf_http_reader_next() prepares it for another.  May be %NULL. */
   void (*complete) (void *owner);
 } CfHttpReaderCallbacks;
 
 /**
  * CfHttpReader:
- * Reads one HTTP/1.1 message after another from a connection's bytes, with
- * http-parser's strict framing.  Lives as long as its connection.
+ * Parses the HTTP/1.1 messages of one connection, one after another, with
+ * the strict framing rules of http-parser.  Lives as long as its connection.
  */
 struct CfHttpReader
 {
   http_parser parser;
   const CfHttpReaderCallbacks *callbacks;
   void *owner;
-  GString *text;   /**< target, names and values, each zero-ended */
-  GArray *offsets; /**< of the names and values in @text */
-  GArray *headers; /**< of #CfHeader, once the head is in */
+  GString *text;   /**< request target, header names and values, each
+                       NUL-terminated */
+  GArray *offsets; /**< offsets of the names and values in @text */
+  GArray *headers; /**< of #CfHeader, filled once the head is complete */
   gsize request_target_len;
   gsize head_bytes;
-  gsize head_max; /**< a longer head is refused */
-  gboolean in_value;
-  gboolean no_body; /**< the answer to a HEAD request */
-  gboolean started; /**< some bytes of the message are in */
+  gsize head_max;    /**< limit of @head_bytes; a longer head is an error */
+  gboolean in_value; /**< the last string begun is a header value */
+  gboolean no_body;  /**< set by the owner: answers a HEAD request */
+  gboolean started;  /**< the first bytes of the message were read */
   gboolean has_head;
   gboolean is_complete;
-  gboolean too_large;
+  gboolean too_large; /**< the head exceeds @head_max */
 };
 
 void cf_http_reader_init (CfHttpReader *r, enum http_parser_type type,
@@ -55,30 +58,33 @@
                           gsize head_max);
 void cf_http_reader_clear (CfHttpReader *r);
 
-/** cf_http_reader_next: forgets the message, ready for the one after it. */
+/** cf_http_reader_next: resets the reader for the next message. */
 void cf_http_reader_next (CfHttpReader *r);
 
 /**
  * cf_http_reader_feed:
- * Reads up to the end of the current message.
+ * Parses up to the end of the current message.
  * @used: (out): how many of the @n bytes belong to it
- * Returns: %FALSE if the bytes are no such message.
+ * Returns: %FALSE if the bytes are not a valid message, if its head exceeds
+ *   the limit, or if it asks for a protocol upgrade.
  */
 gboolean cf_http_reader_feed (CfHttpReader *r, const char *data, gsize n,
                               gsize *used);
 
 /**
  * cf_http_reader_eof:
- * The peer closed its side.  A message that ends with its connection is
- * complete by this.
- * Returns: %FALSE if a message was cut off.
+ * Handles the end of the connection's input.  It completes a message that
+ * has no length.
+ * Returns: %FALSE if a message was truncated.
  */
 gboolean cf_http_reader_eof (CfHttpReader *r);
 
-/** cf_http_reader_header: (nullable): the first header of @kind. */
+/** cf_http_reader_header: (nullable): the value of the first header of
+ * @kind. */
 const char *cf_http_reader_header (const CfHttpReader *r, CfHeaderKind kind);
 
-/** cf_http_reader_request_target: the request target, as the caller sent it. */
+/** cf_http_reader_request_target: the request target (path and query), as
+ * received. */
 const char *cf_http_reader_request_target (const CfHttpReader *r);
 
 /** cf_http_reader_can_keep_alive: whether the connection may carry another
@@ -87,7 +93,7 @@
 
 /**
  * cf_http_reader_may_forward:
- * Whether @h is forwarded: it concerns neither this connection only, by
- * its kind or by being named in a Connection header, nor the framing.
+ * Whether @h may be forwarded: it is neither a framing header nor a
+ * hop-by-hop header, by its kind or because a Connection header names it.
  */
 gboolean cf_http_reader_may_forward (const CfHttpReader *r, const CfHeader *h);
--- a/gateway/loop-watch.c
+++ b/gateway/loop-watch.c
@@ -4,12 +4,12 @@
 
 #include <string.h>
 
-/** Callers' events are to wait no longer for other work; half of it for what
- * the processor's share stretches. */
-#define LONG_TURN_US 10000
-/** Between two log lines of long turns: a loop that is late throughout says
- * so once a second. */
-#define LOG_PAUSE_US 1000000
+/** Longest time that callers' events should wait for other work; half of it
+ * is headroom for CPU contention. */
+#define LONG_ITERATION_US 10000
+/** Shortest interval between log lines about long iterations: a loop that is
+ * permanently late logs once a second. */
+#define LOG_INTERVAL_US 1000000
 #define US_IN_MS 1000
 
 const char *
@@ -33,24 +33,24 @@
 cf_loop_watch_begin (CfLoopWatch *w, gint64 now)
 {
   w->begun_us = now;
-  w->part_us = now;
-  w->part = CF_LOOP_CALLERS;
+  w->activity_since_us = now;
+  w->activity = CF_LOOP_CALLERS;
   memset (w->spent_us, 0, sizeof w->spent_us);
 }
 
 CfLoopActivity
-cf_loop_watch_enter (CfLoopWatch *w, CfLoopActivity part, gint64 now)
+cf_loop_watch_enter (CfLoopWatch *w, CfLoopActivity activity, gint64 now)
 {
-  CfLoopActivity before = w->part;
+  CfLoopActivity previous = w->activity;
 
-  w->spent_us[before] += now - w->part_us;
-  w->part_us = now;
-  w->part = part;
-  return before;
+  w->spent_us[previous] += now - w->activity_since_us;
+  w->activity_since_us = now;
+  w->activity = activity;
+  return previous;
 }
 
 static CfLoopActivity
-longest_part (const CfLoopWatch *w)
+longest_activity (const CfLoopWatch *w)
 {
   CfLoopActivity longest = CF_LOOP_CALLERS;
 
@@ -61,12 +61,12 @@
 }
 
 static void
-note_long (CfLoopWatch *w, gint64 us, gint64 now)
+report_long_iteration (CfLoopWatch *w, gint64 us, gint64 now)
 {
-  CfLoopActivity p = longest_part (w);
+  CfLoopActivity p = longest_activity (w);
 
   w->n_unlogged++;
-  if (w->logged_us && now - w->logged_us < LOG_PAUSE_US)
+  if (w->logged_us && now - w->logged_us < LOG_INTERVAL_US)
     return;
   cf_log (LOG_NOTICE, CF_EV_LONG_TURN,
           "ms=%" G_GINT64_FORMAT " in=%s part_ms=%" G_GINT64_FORMAT " turns=%u",
@@ -87,6 +87,6 @@
   w->begun_us = 0;
   w->longest_ms = MAX (w->longest_ms, us / US_IN_MS);
   cf_histogram_add (iteration_ms, us / US_IN_MS);
-  if (us > LONG_TURN_US)
-    note_long (w, us, now);
+  if (us > LONG_ITERATION_US)
+    report_long_iteration (w, us, now);
 }
--- a/gateway/loop-watch.h
+++ b/gateway/loop-watch.h
@@ -2,12 +2,13 @@
 
 #include "stats.h"
 
-/** CfLoopActivity: what a turn of the loop spends its time on. */
+/** CfLoopActivity: what an event loop iteration spends its time on. */
 typedef enum
 {
-  CF_LOOP_CALLERS, /**< connections of callers, targets, peers */
-  CF_LOOP_LEADING, /**< rank groups: what agents say, plans, orders */
-  CF_LOOP_STORE,   /**< news of the store: configuration, targets */
+  CF_LOOP_CALLERS, /**< connections to callers, targets and peers */
+  CF_LOOP_LEADING, /**< leading rank groups: agents' reports, planning, orders
+                    */
+  CF_LOOP_STORE,   /**< updates from the store: configuration, targets */
   CF_N_LOOP_ACTIVITIES,
 } CfLoopActivity;
 
@@ -15,32 +16,33 @@
 
 /**
  * CfLoopWatch:
- * How long the turns of the event loop take.  All callers' events wait for a
- * turn's end, so one that takes long is counted, and logged with the part
- * that took most of it.  It has no clock of its own.
+ * Measures the duration of event loop iterations.  Callers' events wait for
+ * the end of the current iteration, so a long one is counted, and logged with
+ * the activity that took most of it.  The caller passes in the time.
  */
 typedef struct
 {
-  gint64 begun_us; /**< of the turn; 0: none is under way */
-  gint64 part_us;  /**< when @part began */
-  CfLoopActivity part;
-  gint64 spent_us[CF_N_LOOP_ACTIVITIES];
-  gint64 longest_ms; /**< of all turns */
-  gint64 logged_us;  /**< when a long turn was last logged; 0: never */
-  guint n_unlogged;  /**< long turns since then */
+  gint64 begun_us; /**< start of the iteration; 0: none is in progress */
+  gint64 activity_since_us; /**< when @activity began */
+  CfLoopActivity activity;
+  gint64 spent_us[CF_N_LOOP_ACTIVITIES]; /**< in this iteration */
+  gint64 longest_ms;                     /**< longest of all iterations */
+  gint64 logged_us; /**< when a long iteration was last logged; 0: never */
+  guint n_unlogged; /**< long iterations since then */
 } CfLoopWatch;
 
-/** cf_loop_watch_begin: a turn begins, with callers' part. */
+/** cf_loop_watch_begin: begins an iteration, with %CF_LOOP_CALLERS. */
 void cf_loop_watch_begin (CfLoopWatch *w, gint64 now_us);
 
 /**
  * cf_loop_watch_enter:
- * The turn goes on with @part.
- * Returns: the part before, to be entered again afterwards.
+ * Attributes the time from now on to @activity.
+ * Returns: the previous activity, to be entered again afterwards.
  */
-CfLoopActivity cf_loop_watch_enter (CfLoopWatch *w, CfLoopActivity part,
+CfLoopActivity cf_loop_watch_enter (CfLoopWatch *w, CfLoopActivity activity,
                                     gint64 now_us);
 
-/** cf_loop_watch_end: the turn is over; @iteration_ms counts it. */
+/** cf_loop_watch_end: ends the iteration and adds its duration to
+ * @iteration_ms. */
 void cf_loop_watch_end (CfLoopWatch *w, gint64 now_us,
                         CfHistogram *iteration_ms);
--- a/gateway/ops.c
+++ b/gateway/ops.c
@@ -9,22 +9,23 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define HEAD_MAX 8192
-#define READ_SIZE 4096
-/** A probe comes each second; a connection idle for longer is dropped. */
-#define IDLE_S 10.0
+#define HEAD_MAX_BYTES 8192
+#define READ_BYTES 4096
+/** The platform probes readiness once a second; a connection idle for longer
+ * than this is closed. */
+#define IDLE_TIMEOUT_S 10.0
 
-/** CfOpsConn: a connection of an operator or of the platform. */
+/** OpsConnection: a connection from an operator or from the platform. */
 typedef struct
 {
   CfGateway *g;
   ev_io io;
   ev_timer timer;
   CfHttpReader reader;
-} CfOpsConn;
+} OpsConnection;
 
 static void
-shut (CfOpsConn *c)
+close_connection (OpsConnection *c)
 {
   ev_io_stop (c->g->loop, &c->io);
   ev_timer_stop (c->g->loop, &c->timer);
@@ -52,7 +53,7 @@
 }
 
 static int
-answer_text (CfGateway *g, const char *path, GString *body)
+write_page (CfGateway *g, const char *path, GString *body)
 {
   if (cf_platform_is_ready_call (path))
     {
@@ -65,20 +66,20 @@
       print_metrics (g, body);
       return 200;
     }
-  g_string_assign (body, "no such page\n");
+  g_string_assign (body, "no such page; see /metrics\n");
   return 404;
 }
 
-/* Answers are short, so one that does not fit the socket's buffer goes to
- * a reader that does not read: the connection ends. */
+/* Answers are short, so one that does not fit into the socket buffer means
+ * that the client does not read.  Returns whether the connection stays open. */
 static gboolean
-answer (CfOpsConn *c)
+send_answer (OpsConnection *c)
 {
   GString *body = g_string_new (NULL);
   GString *out = g_string_new (NULL);
   gboolean keep = cf_http_reader_can_keep_alive (&c->reader);
   int status
-      = answer_text (c->g, cf_http_reader_request_target (&c->reader), body);
+      = write_page (c->g, cf_http_reader_request_target (&c->reader), body);
   ssize_t sent;
 
   g_string_printf (out,
@@ -97,7 +98,7 @@
 static void
 on_body (void *owner, const char *data, gsize n)
 {
-  /* A probe has no body; one that comes all the same is read and dropped. */
+  /* Probes have no body; if there is one, it is read and dropped. */
 }
 
 static const CfHttpReaderCallbacks reader_calls = { NULL, on_body, NULL };
@@ -105,17 +106,17 @@
 static void
 on_io (struct ev_loop *loop, ev_io *w, int revents)
 {
-  CfOpsConn *c = w->data;
-  char buf[READ_SIZE];
+  OpsConnection *c = w->data;
+  char buf[READ_BYTES];
   ssize_t n = recv (w->fd, buf, sizeof buf, 0);
   gsize used;
 
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
     return;
   if (n <= 0 || !cf_http_reader_feed (&c->reader, buf, (gsize)n, &used)
-      || (c->reader.is_complete && !answer (c)))
+      || (c->reader.is_complete && !send_answer (c)))
     {
-      shut (c);
+      close_connection (c);
       return;
     }
   ev_timer_again (loop, &c->timer);
@@ -124,23 +125,24 @@
 static void
 on_timer (struct ev_loop *loop, ev_timer *t, int revents)
 {
-  shut (t->data);
+  close_connection (t->data);
 }
 
 static void
 on_accept (struct ev_loop *loop, ev_io *w, int revents)
 {
   int fd = cf_socket_accept (w->fd);
-  CfOpsConn *c;
+  OpsConnection *c;
 
   if (fd < 0)
     return;
-  c = g_new0 (CfOpsConn, 1);
+  c = g_new0 (OpsConnection, 1);
   c->g = w->data;
-  cf_http_reader_init (&c->reader, HTTP_REQUEST, &reader_calls, c, HEAD_MAX);
+  cf_http_reader_init (&c->reader, HTTP_REQUEST, &reader_calls, c,
+                       HEAD_MAX_BYTES);
   ev_io_init (&c->io, on_io, fd, EV_READ);
   c->io.data = c;
-  ev_timer_init (&c->timer, on_timer, 0, IDLE_S);
+  ev_timer_init (&c->timer, on_timer, 0, IDLE_TIMEOUT_S);
   c->timer.data = c;
   ev_io_start (loop, &c->io);
   ev_timer_again (loop, &c->timer);
@@ -155,7 +157,7 @@
 
   if (st != CF_OK)
     return st;
-  w = g_new0 (ev_io, 1); /* lives as long as the process */
+  w = g_new0 (ev_io, 1); /* never freed: lives as long as the process */
   ev_io_init (w, on_accept, fd, EV_READ);
   w->data = g;
   ev_io_start (g->loop, w);
--- a/gateway/policy.c
+++ b/gateway/policy.c
@@ -2,8 +2,9 @@
 
 #include <string.h>
 
-/** Longest "host prefix" key that a look-up builds. */
-#define PLACE_MAX 1024
+/** Longest "host prefix" key that a look-up builds; a longer host and path have
+ * no route. */
+#define ROUTE_KEY_MAX_BYTES 1024
 
 static void
 route_free (gpointer data)
@@ -76,30 +77,30 @@
   g_free (host);
 }
 
-/* Prefixes end with a slash, so only the places just after a slash of the
- * path can end one; they are tried from the longest down. */
+/* Prefixes end with a slash, so only the parts of the path that end with a
+ * slash are looked up, longest first. */
 const CfRoute *
 cf_policy_route (const CfPolicy *p, const char *host, const char *path)
 {
-  char place[PLACE_MAX];
+  char key[ROUTE_KEY_MAX_BYTES];
   gsize host_len = strcspn (host, ":");
   gsize path_len = strcspn (path, "?#");
-  char *start = place + host_len + 1;
+  char *key_path = key + host_len + 1;
 
-  if (host_len + path_len + 2 > sizeof place)
+  if (host_len + path_len + 2 > sizeof key)
     return NULL;
   for (gsize i = 0; i < host_len; i++)
-    place[i] = g_ascii_tolower (host[i]);
-  place[host_len] = ' ';
-  memcpy (start, path, path_len);
+    key[i] = g_ascii_tolower (host[i]);
+  key[host_len] = ' ';
+  memcpy (key_path, path, path_len);
   for (gsize n = path_len; n > 0; n--)
     {
       const CfRoute *r;
 
-      if (start[n - 1] != '/')
+      if (key_path[n - 1] != '/')
         continue;
-      start[n] = '\0';
-      r = g_hash_table_lookup (p->by_host_prefix, place);
+      key_path[n] = '\0';
+      r = g_hash_table_lookup (p->by_host_prefix, key);
       if (r)
         return r;
     }
@@ -115,16 +116,16 @@
 const char *
 cf_route_pick (const CfRoute *r, guint hash)
 {
-  guint at;
+  guint point;
 
   if (r->n_splits == 1 || r->total_weight == 0)
     return r->splits[0].service;
-  at = hash % r->total_weight;
+  point = hash % r->total_weight;
   for (guint i = 0; i < r->n_splits; i++)
     {
-      if (at < r->splits[i].weight)
+      if (point < r->splits[i].weight)
         return r->splits[i].service;
-      at -= r->splits[i].weight;
+      point -= r->splits[i].weight;
     }
   return r->splits[r->n_splits - 1].service;
 }
--- a/gateway/policy.h
+++ b/gateway/policy.h
@@ -3,13 +3,14 @@
 #include <glib.h>
 
 /**
- * CfRetrySafety: what may be done with a request that a target may have run.
+ * CfRetrySafety: whether a request that a target may have run may be sent
+ * again.
  */
 typedef enum
 {
-  CF_RETRY_UNSAFE,    /**< it runs at most once */
-  CF_RETRY_SAFE,      /**< it is idempotent */
-  CF_RETRY_RESUMABLE, /**< a stream that another target can go on with */
+  CF_RETRY_UNSAFE,    /**< not idempotent: runs at most once */
+  CF_RETRY_SAFE,      /**< idempotent */
+  CF_RETRY_RESUMABLE, /**< a stream that another target can resume */
 } CfRetrySafety;
 
 /** CfSplit: one service's share of a route's requests. */
@@ -19,18 +20,19 @@
   guint weight;
 } CfSplit;
 
-/** CfRoute: which service answers requests for a host and path prefix. */
+/** CfRoute: the services that answer requests for a host and path prefix. */
 typedef struct
 {
   char *name;
   char *host;
   char *prefix; /**< begins and ends with a slash */
   CfRetrySafety retry_safety;
-  gboolean stream;   /**< answers are event streams */
+  gboolean stream;   /**< the answers are event streams */
   gboolean keyless;  /**< requests need no API key */
-  gint64 timeout_ms; /**< the longest a caller may be kept waiting */
-  gint64 aim_ms;     /**< latency objective: first event, or whole answer */
-  gint64 gap_aim_ms; /**< objective for the pause between events; 0: none */
+  gint64 timeout_ms; /**< longest time until the answer is complete */
+  gint64 aim_ms; /**< latency objective: first event of a stream, or complete
+                      answer */
+  gint64 gap_aim_ms; /**< objective for the pause between two events; 0: none */
   gint64 priority;   /**< 0 is the most urgent */
   guint max_attempts;
   CfSplit *splits;
@@ -40,35 +42,39 @@
 
 /**
  * CfEngineModel:
- * The published speed of a service's engines; 0 where none is published.
+ * The published performance of a service's inference engines; 0 where a value
+ * is not published.
  */
 typedef struct
 {
-  double step_ms;              /**< fixed part of a step */
-  double per_seq_ms;           /**< added by each request that writes */
-  double prompt_tokens_per_ms; /**< prompt tokens read in a ms */
-  double stride;               /**< steps in a pass that has writers */
-  double report_lag_ms;        /**< age of a report that another VM asks for */
-  double slots;                /**< requests that one engine works on at once */
-  double mean_prompt_tokens;   /**< mean prompt tokens */
-  double mean_answer_tokens;   /**< mean answer tokens */
-  int sets;                    /**< layers of experts; 0: no rank groups */
-  int experts;                 /**< in a set */
-  int places;                  /**< experts that a rank can hold of a set */
-  int spare;      /**< new ones it can take of a set in one change */
-  double copy_ms; /**< for which a rank copies one expert */
-  double form_ms; /**< a rank group opens so long after its last rank */
+  double step_ms;    /**< fixed cost of an engine step */
+  double per_seq_ms; /**< added to a step by each generating request */
+  double prompt_tokens_per_ms; /**< prompt tokens processed per ms */
+  double stride;        /**< steps in a pass with generating requests, each of
+                      which writes one token per request */
+  double report_lag_ms; /**< age of a load report when another VM gets it */
+  double slots;         /**< requests that one engine processes concurrently */
+  double mean_prompt_tokens; /**< per request */
+  double mean_answer_tokens; /**< per request */
+  int sets;       /**< layers with experts; 0: there are no rank groups */
+  int experts;    /**< experts of a set */
+  int places;     /**< experts of a set that a rank can hold */
+  int spare;      /**< new experts per set that a rank can take in one map
+                             change */
+  double copy_ms; /**< time in which a rank copies one expert */
+  double form_ms; /**< time from the start of a group's last rank until the
+                             group accepts requests */
 } CfEngineModel;
 
-/** CfService: a group of like targets. */
+/** CfService: interchangeable targets under one name. */
 typedef struct
 {
   char *name;
-  gint64 max_conns; /**< connections one target takes from all callers */
+  gint64 max_conns; /**< connections that one target accepts in total */
   CfEngineModel engine;
 } CfService;
 
-/** CfCallerLimits: what a caller may send, and how slowly. */
+/** CfCallerLimits: limits on the size and duration of callers' requests. */
 typedef struct
 {
   gint64 max_header_bytes;
@@ -79,8 +85,8 @@
 
 /**
  * CfPolicy:
- * One version of the configuration, immutable once built and shared by
- * reference: a request keeps the version it was routed by.
+ * One version of the configuration.  Immutable once built and reference
+ * counted: a request keeps the version that it was routed by.
  */
 typedef struct
 {
@@ -89,9 +95,10 @@
   GPtrArray *routes;          /**< of #CfRoute, owned */
   GHashTable *by_host_prefix; /**< "host prefix" -> #CfRoute */
   GHashTable *services;       /**< name -> #CfService, owned */
-  GHashTable *tenants;        /**< API key -> organisation's name, owned */
-  GHashTable *org_priority; /**< organisation -> priority + 1, if it has one */
-  gboolean requires_api_key;
+  GHashTable *tenants;        /**< API key -> name of the organisation, owned */
+  GHashTable *org_priority;   /**< organisation -> its priority + 1, if it
+                                      has one */
+  gboolean requires_api_key;  /**< on routes that are not @keyless */
   CfCallerLimits limits;
 } CfPolicy;
 
@@ -99,28 +106,30 @@
 CfPolicy *cf_policy_ref (CfPolicy *p);
 void cf_policy_unref (CfPolicy *p);
 
-/** cf_policy_add_route: takes @r, made with g_new0(). */
+/** cf_policy_add_route: takes ownership of @r, allocated with g_new0(). */
 void cf_policy_add_route (CfPolicy *p, CfRoute *r);
 
 /**
  * cf_policy_route:
- * @host: the Host header; a port after it is ignored
- * @path: the request's path, with or without a query
+ * @host: value of the Host header; a port is ignored
+ * @path: path of the request, with or without a query
  * Returns: the route of @host with the longest prefix of @path, or %NULL.
  */
 const CfRoute *cf_policy_route (const CfPolicy *p, const char *host,
                                 const char *path);
 
-/** cf_policy_service: (nullable): the service called @name. */
+/** cf_policy_service: (nullable): the service named @name. */
 const CfService *cf_policy_service (const CfPolicy *p, const char *name);
 
 /**
  * cf_route_pick:
- * @hash: spreads requests over the route's services by their weights
- * Returns: the service's name.
+ * Picks one of the route's services according to their weights.
+ * @hash: uniformly distributed over requests
+ * Returns: the name of the service.
  */
 const char *cf_route_pick (const CfRoute *r, guint hash);
 
-/** cf_policy_gap_aim_ms: the shortest pause between events that routes to
- * @service promise; each pass of its engines is one.  0: none does. */
+/** cf_policy_gap_aim_ms: the lowest objective for the pause between events
+ * among the routes to @service; 0: none has one.  An engine writes an event
+ * per pass, so the objective applies to each pass. */
 gint64 cf_policy_gap_aim_ms (const CfPolicy *p, const char *service);
--- a/gateway/signals.h
+++ b/gateway/signals.h
@@ -2,16 +2,16 @@
 
 #include <ev.h>
 
-/** CfSignalCallback: what is done on a signal, on the event thread. */
+/** CfSignalCallback: handles a signal on the event thread. */
 typedef void (*CfSignalCallback) (struct ev_loop *loop, ev_signal *w,
                                   int revents);
 
 /**
  * cf_signals_catch:
- * @stop: on SIGTERM and SIGINT
- * @reload: on SIGHUP
+ * @stop: called on SIGTERM and SIGINT
+ * @reload: called on SIGHUP
  *
- * SIGPIPE is ignored: writes say so themselves.
+ * Also ignores SIGPIPE: a write to a closed connection fails with EPIPE.
  */
 void cf_signals_catch (struct ev_loop *loop, CfSignalCallback stop,
                        CfSignalCallback reload);
--- a/gateway/socket.c
+++ b/gateway/socket.c
@@ -7,32 +7,34 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/** Unanswered data or probes end a connection after so long: longer than a
- * lossy link needs for two resends, shorter than a caller waits. */
-#define SILENCE_MS 2500
+/** A connection fails after data or probes went unacknowledged for this time:
+ * longer than two retransmissions take on a lossy link, shorter than a caller
+ * waits. */
+#define SILENCE_TIMEOUT_MS 2500
 #define KEEPALIVE_IDLE_S 1
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES 2
-/** Callers that wait to be accepted; a full queue costs one seconds. */
+/** Connections waiting to be accepted.  When the backlog is full, a caller
+ * has to retry its connect and loses seconds. */
 #define LISTEN_BACKLOG 1024
 
 static void
-set_int (int fd, int level, int name, int value)
+set_int_option (int fd, int level, int name, int value)
 {
-  /* A kernel without the option still serves; silence is then found later,
-   * by the deadline of the request. */
+  /* Errors are ignored: on a kernel without the option a silent peer is only
+   * detected later, at the deadline of the request. */
   (void)setsockopt (fd, level, name, &value, sizeof value);
 }
 
 static void
 set_options (int fd)
 {
-  set_int (fd, IPPROTO_TCP, TCP_NODELAY, 1);
-  set_int (fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-  set_int (fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S);
-  set_int (fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S);
-  set_int (fd, IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES);
-  set_int (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, SILENCE_MS);
+  set_int_option (fd, IPPROTO_TCP, TCP_NODELAY, 1);
+  set_int_option (fd, SOL_SOCKET, SO_KEEPALIVE, 1);
+  set_int_option (fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S);
+  set_int_option (fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S);
+  set_int_option (fd, IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES);
+  set_int_option (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, SILENCE_TIMEOUT_MS);
 }
 
 int
@@ -76,13 +78,14 @@
     return st;
   fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
-    return cf_fail (CF_ERR_NET, "raise the limit on descriptors",
-                    "no socket for %s: %s", addr, strerror (errno));
-  set_int (fd, SOL_SOCKET, SO_REUSEADDR, 1);
+    return cf_fail (CF_ERR_NET, "raise the limit of file descriptors",
+                    "cannot create a socket for %s: %s", addr,
+                    strerror (errno));
+  set_int_option (fd, SOL_SOCKET, SO_REUSEADDR, 1);
   if (bind (fd, (struct sockaddr *)&sa, sizeof sa) < 0
       || listen (fd, LISTEN_BACKLOG) < 0)
     {
-      st = cf_fail (CF_ERR_NET, "free the address or set another one",
+      st = cf_fail (CF_ERR_NET, "free the address or configure another one",
                     "cannot listen at %s: %s", addr, strerror (errno));
       close (fd);
       return st;
@@ -120,5 +123,6 @@
       if (inet_pton (AF_INET, ip, &out->sin_addr) == 1)
         return CF_OK;
     }
-  return cf_fail (CF_ERR_NET, "give it as IP:PORT", "bad address %s", addr);
+  return cf_fail (CF_ERR_NET, "write the address as IP:PORT", "bad address %s",
+                  addr);
 }
--- a/gateway/stats.c
+++ b/gateway/stats.c
@@ -58,16 +58,16 @@
 static void
 print_histogram (GString *out, const char *name, const CfHistogram *h)
 {
-  guint64 below = 0;
+  guint64 cumulative = 0;
 
   g_string_append_printf (out, "# TYPE comfrey_%s histogram\n", name);
   for (guint i = 0; i < CF_HISTOGRAM_BUCKETS - 1; i++)
     {
-      below += h->counts[i];
+      cumulative += h->counts[i];
       g_string_append_printf (out,
                               "comfrey_%s_bucket{le=\"%u\"} "
                               "%" G_GUINT64_FORMAT "\n",
-                              name, 1U << i, below);
+                              name, 1U << i, cumulative);
     }
   g_string_append_printf (out,
                           "comfrey_%s_bucket{le=\"+Inf\"} %" G_GUINT64_FORMAT
--- a/t/t-event-stream.c
+++ b/t/t-event-stream.c
@@ -1,4 +1,4 @@
-/* Cutting event streams into whole events, and going on elsewhere. */
+/* Splitting event streams into complete events, and resuming them. */
 #include "gateway/event-stream.h"
 #include "harness.h"
 
@@ -7,7 +7,7 @@
 static const char stream[] = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
                              "comment: x\nid:3\ndata: c\n\n";
 
-START_TEST (any_cut_gives_the_same_events)
+START_TEST (split_input_yields_the_same_events)
 {
   for (gsize step = 1; step < 30; step++)
     {
@@ -29,7 +29,7 @@
 }
 END_TEST
 
-START_TEST (a_torn_event_is_held_back)
+START_TEST (a_partial_event_is_held_back)
 {
   CfEventStream s;
   GString *out = g_string_new (NULL);
@@ -38,7 +38,7 @@
   cf_event_stream_feed (&s, "id: 1\ndata: a\n\nid: 2\nda", 23, out);
   ck_assert_str_eq (out->str, "id: 1\ndata: a\n\n");
   ck_assert (cf_event_stream_has_partial (&s));
-  /* Another target goes on; it may begin with events we have. */
+  /* Another target resumes; it may repeat events already received. */
   cf_event_stream_restart (&s);
   g_string_truncate (out, 0);
   cf_event_stream_feed (&s, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", 30, out);
@@ -49,9 +49,9 @@
 }
 END_TEST
 
-/* However often and wherever a stream breaks off, the caller gets each
+/* However often and wherever a stream breaks off, the caller receives each
  * event once, in order. */
-START_TEST (resumed_streams_are_whole)
+START_TEST (resumed_streams_are_complete)
 {
   GRand *rand = g_rand_new_with_seed (11);
 
@@ -59,26 +59,26 @@
     {
       CfEventStream s;
       GString *out = g_string_new (NULL);
-      GString *want = g_string_new (NULL);
+      GString *expected = g_string_new (NULL);
 
       cf_event_stream_init (&s);
       for (int e = 1; e <= 20; e++)
-        g_string_append_printf (want, "id: %d\ndata: %d\n\n", e, e * e);
+        g_string_append_printf (expected, "id: %d\ndata: %d\n\n", e, e * e);
       while (s.last_id < 20)
         {
-          GString *run = g_string_new (NULL);
+          GString *input = g_string_new (NULL);
 
           for (int e = (int)MAX (s.last_id, 0) + 1; e <= 20; e++)
-            g_string_append_printf (run, "id: %d\ndata: %d\n\n", e, e * e);
+            g_string_append_printf (input, "id: %d\ndata: %d\n\n", e, e * e);
           cf_event_stream_feed (
-              &s, run->str,
-              (gsize)g_rand_int_range (rand, 0, (int)run->len + 1), out);
+              &s, input->str,
+              (gsize)g_rand_int_range (rand, 0, (int)input->len + 1), out);
           cf_event_stream_restart (&s);
-          g_string_free (run, TRUE);
+          g_string_free (input, TRUE);
         }
-      ck_assert_str_eq (out->str, want->str);
+      ck_assert_str_eq (out->str, expected->str);
       g_string_free (out, TRUE);
-      g_string_free (want, TRUE);
+      g_string_free (expected, TRUE);
       cf_event_stream_clear (&s);
     }
   g_rand_free (rand);
@@ -91,9 +91,9 @@
   Suite *s = suite_create ("event-stream");
   TCase *t = tcase_create ("event-stream");
 
-  tcase_add_test (t, any_cut_gives_the_same_events);
-  tcase_add_test (t, a_torn_event_is_held_back);
-  tcase_add_test (t, resumed_streams_are_whole);
+  tcase_add_test (t, split_input_yields_the_same_events);
+  tcase_add_test (t, a_partial_event_is_held_back);
+  tcase_add_test (t, resumed_streams_are_complete);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-http-reader.c
+++ b/t/t-http-reader.c
@@ -1,4 +1,4 @@
-/* Reading HTTP messages: framing, limits, and what is passed on. */
+/* Reading HTTP messages: framing, limits, and which headers are forwarded. */
 #include "gateway/forward.h"
 #include "gateway/http-reader.h"
 #include "harness.h"
@@ -6,13 +6,13 @@
 #include <string.h>
 
 static GString *body;
-static int heads;
-static int completes;
+static int n_heads;
+static int n_completes;
 
 static void
 on_head (void *owner)
 {
-  heads++;
+  n_heads++;
 }
 
 static void
@@ -24,7 +24,7 @@
 static void
 on_complete (void *owner)
 {
-  completes++;
+  n_completes++;
 }
 
 static const CfHttpReaderCallbacks calls = { on_head, on_body, on_complete };
@@ -33,7 +33,7 @@
 setup (void)
 {
   body = g_string_new (NULL);
-  heads = completes = 0;
+  n_heads = n_completes = 0;
 }
 
 static void
@@ -42,7 +42,7 @@
   g_string_free (body, TRUE);
 }
 
-/* Feeds @text a piece of @step bytes at a time; FALSE once refused. */
+/* Feeds @text in pieces of @step bytes; returns FALSE once it is refused. */
 static gboolean
 feed_all (CfHttpReader *r, const char *text, gsize step)
 {
@@ -63,9 +63,9 @@
       "Comfreypost-Deadline-Ms: 900\r\nTransfer-Encoding: chunked\r\n\r\n"
       "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
 
-START_TEST (any_cut_reads_the_same)
+START_TEST (split_input_is_read_the_same)
 {
-  const CfForwardHeaders ours = { 500, "i-1", "org", -1 };
+  const CfForwardHeaders headers = { 500, "i-1", "org", -1 };
 
   for (gsize step = 1; step < 60; step++)
     {
@@ -78,7 +78,7 @@
       ck_assert (r.is_complete);
       ck_assert_str_eq (body->str, "abcde");
       ck_assert_str_eq (cf_http_reader_request_target (&r), "/a/b?c=d");
-      out = cf_forward_request (&r, body, &ours);
+      out = cf_forward_request (&r, body, &headers);
       ck_assert_str_eq (out->str,
                         "POST /a/b?c=d HTTP/1.1\r\nHost: h.example\r\n"
                         "Comfreypost-Request-Id: r1\r\nX-Stay: 2\r\n"
@@ -93,9 +93,9 @@
 }
 END_TEST
 
-START_TEST (smuggled_and_bad_requests_are_refused)
+START_TEST (smuggled_and_invalid_requests_are_refused)
 {
-  const char *const bad[] = {
+  const char *const invalid[] = {
     "GET / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n"
     "\r\n",
     "GET / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n",
@@ -106,18 +106,18 @@
     "GET / HTTP/1.1\r\nTransfer-Encoding : chunked\r\n\r\n",
   };
 
-  for (gsize i = 0; i < G_N_ELEMENTS (bad); i++)
+  for (gsize i = 0; i < G_N_ELEMENTS (invalid); i++)
     {
       CfHttpReader r;
 
       cf_http_reader_init (&r, HTTP_REQUEST, &calls, NULL, 4096);
-      ck_assert_msg (!feed_all (&r, bad[i], 7), "case %zu was taken", i);
+      ck_assert_msg (!feed_all (&r, invalid[i], 7), "case %zu was accepted", i);
       cf_http_reader_clear (&r);
     }
 }
 END_TEST
 
-START_TEST (heads_are_bounded)
+START_TEST (long_heads_are_refused)
 {
   GString *text = g_string_new ("GET / HTTP/1.1\r\nX: ");
   CfHttpReader r;
@@ -133,23 +133,23 @@
 }
 END_TEST
 
-START_TEST (cut_answers_are_not_whole)
+START_TEST (truncated_answers_are_incomplete)
 {
   CfHttpReader r;
-  const char *const cut[] = {
+  const char *const truncated[] = {
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
     "HTTP/1.1 200 OK\r\nContent-Le",
   };
 
-  for (gsize i = 0; i < G_N_ELEMENTS (cut); i++)
+  for (gsize i = 0; i < G_N_ELEMENTS (truncated); i++)
     {
       cf_http_reader_init (&r, HTTP_RESPONSE, &calls, NULL, 4096);
-      ck_assert (feed_all (&r, cut[i], 9));
+      ck_assert (feed_all (&r, truncated[i], 9));
       ck_assert (!cf_http_reader_eof (&r));
       cf_http_reader_clear (&r);
     }
-  /* An answer without a length ends with its connection. */
+  /* The end of the connection ends an answer without a length. */
   cf_http_reader_init (&r, HTTP_RESPONSE, &calls, NULL, 4096);
   ck_assert (feed_all (&r, "HTTP/1.1 200 OK\r\n\r\nabc", 9));
   ck_assert (cf_http_reader_eof (&r));
@@ -158,7 +158,7 @@
 }
 END_TEST
 
-START_TEST (messages_follow_each_other)
+START_TEST (pipelined_messages_are_read_in_turn)
 {
   CfHttpReader r;
   const char two[] = "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n";
@@ -171,13 +171,13 @@
   cf_http_reader_next (&r);
   ck_assert (cf_http_reader_feed (&r, two + used, strlen (two) - used, &used));
   ck_assert_str_eq (cf_http_reader_request_target (&r), "/2");
-  ck_assert_int_eq (completes, 2);
+  ck_assert_int_eq (n_completes, 2);
   cf_http_reader_clear (&r);
 }
 END_TEST
 
-/* Random bytes and random damage must neither crash nor hang the reader. */
-START_TEST (random_damage_is_survived)
+/* Requests with random bytes overwritten neither crash nor hang the reader. */
+START_TEST (damaged_requests_neither_crash_nor_hang)
 {
   GRand *rand = g_rand_new_with_seed (7);
 
@@ -208,12 +208,12 @@
   TCase *t = tcase_create ("http-reader");
 
   tcase_add_checked_fixture (t, setup, teardown);
-  tcase_add_test (t, any_cut_reads_the_same);
-  tcase_add_test (t, smuggled_and_bad_requests_are_refused);
-  tcase_add_test (t, heads_are_bounded);
-  tcase_add_test (t, cut_answers_are_not_whole);
-  tcase_add_test (t, messages_follow_each_other);
-  tcase_add_test (t, random_damage_is_survived);
+  tcase_add_test (t, split_input_is_read_the_same);
+  tcase_add_test (t, smuggled_and_invalid_requests_are_refused);
+  tcase_add_test (t, long_heads_are_refused);
+  tcase_add_test (t, truncated_answers_are_incomplete);
+  tcase_add_test (t, pipelined_messages_are_read_in_turn);
+  tcase_add_test (t, damaged_requests_neither_crash_nor_hang);
   suite_add_tcase (s, t);
   return t_run (s);
 }
