--- a/comfrey-gateway.c
+++ b/comfrey-gateway.c
@@ -100,7 +100,7 @@
 }
 
 static void
-on_front (struct ev_loop *loop, ev_io *w, int revents)
+on_front_connection (struct ev_loop *loop, ev_io *w, int revents)
 {
   cf_caller_accept (&gw, w->fd);
 }
@@ -197,7 +197,7 @@
   st = cf_socket_listen (g->set.front_addr, &fd);
   if (st == CF_OK)
     {
-      ev_io_init (&front_io, on_front, fd, EV_READ);
+      ev_io_init (&front_io, on_front_connection, fd, EV_READ);
       ev_io_start (g->loop, &front_io);
       st = cf_ops_listen (g, g->set.ready_addr);
     }
--- a/gateway/caller.c
+++ b/gateway/caller.c
@@ -90,7 +90,7 @@
 }
 
 static double
-idle_timeout (const CfCaller *c)
+idle_timeout_s (const CfCaller *c)
 {
   const CfPolicy *p = c->g->policy;
 
@@ -98,7 +98,7 @@
 }
 
 static double
-header_timeout (const CfCaller *c)
+header_timeout_s (const CfCaller *c)
 {
   const CfPolicy *p = c->g->policy;
 
@@ -215,7 +215,7 @@
 {
   clear_body (c);
   cf_http_reader_next (&c->reader);
-  set_timer (c, idle_timeout (c));
+  set_timer (c, idle_timeout_s (c));
   if (c->input->len > 0)
     ev_feed_event (c->g->loop, &c->io, EV_READ);
 }
@@ -248,10 +248,10 @@
 
 /* Refuses a request that could not be read; nothing was sent to a target. */
 static void
-refuse (CfCaller *c, int status, const char *why)
+refuse (CfCaller *c, int status, const char *reason)
 {
   cf_log (LOG_NOTICE, CF_EV_NO_ROUTE, "id=- status=%d reason=\"%s\"", status,
-          why);
+          reason);
   c->g->stats.requests++;
   c->g->stats.outcomes[CF_OUTCOME_DENIED]++;
   c->close_after_answer = TRUE;
@@ -289,7 +289,8 @@
   g_string_append_len (c->body, data, (gssize)n);
 }
 
-static const CfHttpReaderCallbacks reader_calls = { on_head, on_body, NULL };
+static const CfHttpReaderCallbacks reader_callbacks
+    = { on_head, on_body, NULL };
 
 /* Parses more of the current request; bytes after its end stay buffered. */
 static void
@@ -320,9 +321,9 @@
       cf_exchange_start (c->g, c);
     }
   else if (was_between_requests && c->reader.started)
-    set_timer (c, header_timeout (c));
+    set_timer (c, header_timeout_s (c));
   else if (c->reader.has_head && !had_head)
-    set_timer (c, idle_timeout (c));
+    set_timer (c, idle_timeout_s (c));
 }
 
 static void
@@ -388,10 +389,11 @@
   c->input = g_string_new (NULL);
   c->body = g_string_new (NULL);
   c->output = g_string_new (NULL);
-  cf_http_reader_init (&c->reader, HTTP_REQUEST, &reader_calls, c, head_max);
+  cf_http_reader_init (&c->reader, HTTP_REQUEST, &reader_callbacks, c,
+                       head_max);
   ev_io_init (&c->io, on_io, fd, EV_READ);
   c->io.data = c;
-  ev_timer_init (&c->timer, on_timer, idle_timeout (c), 0);
+  ev_timer_init (&c->timer, on_timer, idle_timeout_s (c), 0);
   c->timer.data = c;
   ev_io_start (g->loop, &c->io);
   ev_timer_start (g->loop, &c->timer);
@@ -428,10 +430,10 @@
           g->n_exchanges, g->stats.callers_turned_away);
 }
 
-/* Whether one more caller may connect; closes an idle connection for it if
- * necessary.  Without the limit the process could run out of descriptors: it
- * would reach no target, and its loop would spin because it cannot accept the
- * pending connections. */
+/* Makes room for one more caller, by closing an idle one if necessary, and
+ * returns whether there is room.  Without the limit the process could run out
+ * of descriptors: it would reach no target, and its loop would spin because it
+ * cannot accept the pending connections. */
 static gboolean
 make_room (CfGateway *g)
 {
--- a/gateway/caller.h
+++ b/gateway/caller.h
@@ -27,9 +27,9 @@
   gboolean chunked;            /**< the answer uses chunked encoding */
   gboolean close_after_answer; /**< no further request is read */
   gboolean lingering;          /**< waits for the caller to close */
-  gboolean body_too_large;     /**< the body exceeds max-body-bytes */
-  gboolean in_callback;        /**< on_io() runs, and frees it afterwards */
-  gboolean is_closed;          /**< to be freed when on_io() returns */
+  gboolean body_too_large;     /**< over max-body-bytes */
+  gboolean in_callback;        /**< on_io() runs */
+  gboolean is_closed;          /**< freed when on_io() returns */
 };
 
 /** cf_caller_accept: accepts all pending connections of @listener. */
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -34,10 +34,10 @@
 static void
 service_state_free (gpointer data)
 {
-  CfServiceState *l = data;
+  CfServiceState *s = data;
 
-  cf_retry_budget_clear (&l->budget);
-  g_free (l);
+  cf_retry_budget_clear (&s->budget);
+  g_free (s);
 }
 
 static gint64
@@ -54,21 +54,21 @@
 CfServiceState *
 cf_gateway_service_state (CfGateway *g, const char *service)
 {
-  CfServiceState *l;
+  CfServiceState *s;
 
   if (!g->service_states)
     g->service_states = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                                service_state_free);
-  l = g_hash_table_lookup (g->service_states, service);
-  if (l)
-    return l;
-  l = g_new0 (CfServiceState, 1);
-  cf_wait_queue_init (&l->queue);
-  cf_retry_budget_init (&l->budget,
+  s = g_hash_table_lookup (g->service_states, service);
+  if (s)
+    return s;
+  s = g_new0 (CfServiceState, 1);
+  cf_wait_queue_init (&s->queue);
+  cf_retry_budget_init (&s->budget,
                         (gint64)(g->set.retry_ratio * RETRY_SHARE * 100),
                         retry_slack (g));
-  g_hash_table_insert (g->service_states, g_strdup (service), l);
-  return l;
+  g_hash_table_insert (g->service_states, g_strdup (service), s);
+  return s;
 }
 
 static gboolean
@@ -217,7 +217,7 @@
 is_newly_rejected (CfGateway *g, const char *id, gint64 rev)
 {
   const gint64 *seen;
-  gint64 *at;
+  gint64 *stored_rev;
 
   if (!g->rejected_records)
     g->rejected_records
@@ -227,9 +227,9 @@
     return FALSE;
   if (g_hash_table_size (g->rejected_records) >= REJECTED_RECORDS_MAX)
     g_hash_table_remove_all (g->rejected_records);
-  at = g_new (gint64, 1);
-  *at = rev;
-  g_hash_table_replace (g->rejected_records, g_strdup (id), at);
+  stored_rev = g_new (gint64, 1);
+  *stored_rev = rev;
+  g_hash_table_replace (g->rejected_records, g_strdup (id), stored_rev);
   return TRUE;
 }
 
@@ -252,8 +252,8 @@
 }
 
 static void
-log_change (const CfGateway *g, const CfTargetNews *update, CfTargetChange c,
-            const char *source)
+log_target_change (const CfGateway *g, const CfTargetNews *update,
+                   CfTargetChange c, const char *source)
 {
   const CfTarget *t = g_hash_table_lookup (g->targets.by_id, update->id);
 
@@ -296,7 +296,7 @@
     cf_target_ref (former);
   c = cf_target_table_put (&g->targets, &r, update);
   if (c != CF_TARGET_SAME)
-    log_change (g, update, c, source);
+    log_target_change (g, update, c, source);
   if (former && (!former->listed || c == CF_TARGET_LEAVING))
     close_former_connections (former, c);
   cf_target_unref (former);
@@ -379,7 +379,7 @@
 cf_gateway_set_fleet_size (CfGateway *g, guint n)
 {
   GHashTableIter it;
-  gpointer l;
+  gpointer s;
 
   /* Peers are unknown at the start, so all seeds count as running. */
   n = MAX (n, MAX (g_strv_length (g->set.seed_addrs), 1));
@@ -387,6 +387,6 @@
     return;
   g->fleet_size = n;
   g_hash_table_iter_init (&it, g->service_states);
-  while (g_hash_table_iter_next (&it, NULL, &l))
-    cf_retry_budget_set_slack (&((CfServiceState *)l)->budget, retry_slack (g));
+  while (g_hash_table_iter_next (&it, NULL, &s))
+    cf_retry_budget_set_slack (&((CfServiceState *)s)->budget, retry_slack (g));
 }
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -46,48 +46,38 @@
 struct CfGateway
 {
   struct ev_loop *loop;
-  gint64 now_ms; /**< monotonic time at the start of this event loop
-                    iteration */
+  gint64 now_ms; /**< monotonic time at the start of the iteration */
   gint64 started_ms;
   CfPlatformSettings set;
   CfPolicy *policy;          /**< configuration in force; %NULL: none yet */
-  gint64 policy_rev;         /**< the store's revision of it */
+  gint64 policy_rev;         /**< store revision of @policy */
   GBytes *policy_json;       /**< @policy as stored, for peers */
-  gboolean policy_store_up;  /**< the store answers the watch of
-                                    the configuration */
-  gboolean targets_store_up; /**< the store answers the watch of
-                                    the targets */
+  gboolean policy_store_up;  /**< the store answers the watch of the policy */
+  gboolean targets_store_up; /**< the store answers the watch of the targets */
   CfTargetTable targets;
-  GHashTable *rejected_records; /**< target id -> revision of its unreadable
-                                    record */
+  GHashTable *rejected_records; /**< id -> revision of its unreadable record */
   gint64 targets_rev;           /**< store revision that @targets reflects */
   gint64 targets_at_ms;         /**< when the store last confirmed @targets */
-  gboolean rate_limits_changed; /**< peers have to be notified of targets' rate
-                                    limits */
+  gboolean rate_limits_changed; /**< peers are to be notified of rate limits */
   guint fleet_size;   /**< number of gateways that share the retry budget */
-  CfFleetPlace place; /**< place of this gateway among all gateways */
-  double ring_start;  /**< where this gateway starts on the ring of targets,
-                           in [0, 1) */
+  CfFleetPlace place; /**< of this gateway among all gateways */
+  double ring_start;  /**< start on the ring of targets, in [0, 1) */
   GHashTable *service_states; /**< service -> #CfServiceState */
   CfQuarantine *quarantine;   /**< requests that crash targets */
   CfCrashProbeList probes;    /**< probes of targets that may have crashed */
   CfCallerList callers;
   guint n_callers;
-  guint callers_max; /**< limit of @n_callers; the remaining descriptors are
-                        for targets, peers and the store */
+  guint callers_max; /**< leaves descriptors for targets, peers, the store */
   gint64 callers_full_logged_ms; /**< when the caller limit was last logged */
-  CfExchangeList unrouted;       /**< requests that wait until the process knows
-                                      the configuration and the targets */
+  CfExchangeList unrouted;       /**< requests that cannot be routed yet */
   guint n_exchanges;
   gsize body_bytes; /**< bytes of request bodies in memory */
   gsize body_bytes_max;
   gboolean stopping;        /**< SIGTERM was received */
-  gboolean stop_propagated; /**< the platform has had time to notice that this
-                                gateway is not ready */
-  gboolean exiting;         /**< the event loop has ended; nothing is sent any
-                                more */
-  gint64 stop_started_ms;   /**< when @stopping was set */
-  gint64 stop_deadline_ms;  /**< when remaining requests are aborted */
+  gboolean stop_propagated; /**< the platform could see it not ready */
+  gboolean exiting;       /**< the event loop has ended; nothing more is sent */
+  gint64 stop_started_ms; /**< when @stopping was set */
+  gint64 stop_deadline_ms; /**< when remaining requests are aborted */
   CfStats stats;
   CfLoopWatch loop_watch;
 };
@@ -95,7 +85,7 @@
 /**
  * cf_gateway_init:
  * Initializes a gateway without configuration, targets or callers.  Until it
- * knows its peers, the fleet counts as large as the list of seeds.
+ * hears from its peers, it assumes that all seeds are running.
  * @set: its contents are moved into @g
  */
 void cf_gateway_init (CfGateway *g, struct ev_loop *loop,
@@ -158,7 +148,7 @@
 
 /**
  * cf_gateway_retain_targets:
- * Removes the targets that are not listed any more.
+ * Removes the targets that are not in @ids.
  * @ids: all targets listed as of store revision @as_of
  */
 void cf_gateway_retain_targets (CfGateway *g, GHashTable *ids, gint64 as_of,
--- a/gateway/http-reader.h
+++ b/gateway/http-reader.h
@@ -38,8 +38,7 @@
   http_parser parser;
   const CfHttpReaderCallbacks *callbacks;
   void *owner;
-  GString *text;   /**< request target, header names and values, each
-                       NUL-terminated */
+  GString *text;   /**< request target, names, values, NUL-terminated */
   GArray *offsets; /**< offsets of the names and values in @text */
   GArray *headers; /**< of #CfHeader, filled once the head is complete */
   gsize request_target_len;
--- a/gateway/loop-watch.c
+++ b/gateway/loop-watch.c
@@ -13,9 +13,9 @@
 #define US_IN_MS 1000
 
 const char *
-cf_loop_activity_name (CfLoopActivity p)
+cf_loop_activity_name (CfLoopActivity a)
 {
-  switch (p)
+  switch (a)
     {
     case CF_LOOP_CALLERS:
       return "callers";
@@ -54,23 +54,23 @@
 {
   CfLoopActivity longest = CF_LOOP_CALLERS;
 
-  for (int p = 0; p < CF_N_LOOP_ACTIVITIES; p++)
-    if (w->spent_us[p] > w->spent_us[longest])
-      longest = p;
+  for (int a = 0; a < CF_N_LOOP_ACTIVITIES; a++)
+    if (w->spent_us[a] > w->spent_us[longest])
+      longest = a;
   return longest;
 }
 
 static void
 report_long_iteration (CfLoopWatch *w, gint64 us, gint64 now)
 {
-  CfLoopActivity p = longest_activity (w);
+  CfLoopActivity a = longest_activity (w);
 
   w->n_unlogged++;
   if (w->logged_us && now - w->logged_us < LOG_INTERVAL_US)
     return;
   cf_log (LOG_NOTICE, CF_EV_LONG_TURN,
           "ms=%" G_GINT64_FORMAT " in=%s part_ms=%" G_GINT64_FORMAT " turns=%u",
-          us / US_IN_MS, cf_loop_activity_name (p), w->spent_us[p] / US_IN_MS,
+          us / US_IN_MS, cf_loop_activity_name (a), w->spent_us[a] / US_IN_MS,
           w->n_unlogged);
   w->logged_us = now;
   w->n_unlogged = 0;
--- a/gateway/loop-watch.h
+++ b/gateway/loop-watch.h
@@ -6,19 +6,18 @@
 typedef enum
 {
   CF_LOOP_CALLERS, /**< connections to callers, targets and peers */
-  CF_LOOP_LEADING, /**< leading rank groups: agents' reports, planning, orders
-                    */
+  CF_LOOP_LEADING, /**< rank groups: agents' reports, plans, orders */
   CF_LOOP_STORE,   /**< updates from the store: configuration, targets */
   CF_N_LOOP_ACTIVITIES,
 } CfLoopActivity;
 
-const char *cf_loop_activity_name (CfLoopActivity p);
+const char *cf_loop_activity_name (CfLoopActivity a);
 
 /**
  * CfLoopWatch:
  * Measures the duration of event loop iterations.  Callers' events wait for
  * the end of the current iteration, so a long one is counted, and logged with
- * the activity that took most of it.  The caller passes in the time.
+ * the activity that took most of it.  The time is always an argument.
  */
 typedef struct
 {
--- a/gateway/ops.c
+++ b/gateway/ops.c
@@ -52,6 +52,7 @@
   cf_stats_gauge (out, "log_lines_dropped", (double)cf_log_writer_dropped ());
 }
 
+/* Writes the page at @path to @body and returns the HTTP status. */
 static int
 write_page (CfGateway *g, const char *path, GString *body)
 {
@@ -101,7 +102,7 @@
   /* Probes have no body; if there is one, it is read and dropped. */
 }
 
-static const CfHttpReaderCallbacks reader_calls = { NULL, on_body, NULL };
+static const CfHttpReaderCallbacks reader_callbacks = { NULL, on_body, NULL };
 
 static void
 on_io (struct ev_loop *loop, ev_io *w, int revents)
@@ -138,7 +139,7 @@
     return;
   c = g_new0 (OpsConnection, 1);
   c->g = w->data;
-  cf_http_reader_init (&c->reader, HTTP_REQUEST, &reader_calls, c,
+  cf_http_reader_init (&c->reader, HTTP_REQUEST, &reader_callbacks, c,
                        HEAD_MAX_BYTES);
   ev_io_init (&c->io, on_io, fd, EV_READ);
   c->io.data = c;
--- a/gateway/policy.h
+++ b/gateway/policy.h
@@ -30,8 +30,7 @@
   gboolean stream;   /**< the answers are event streams */
   gboolean keyless;  /**< requests need no API key */
   gint64 timeout_ms; /**< longest time until the answer is complete */
-  gint64 aim_ms; /**< latency objective: first event of a stream, or complete
-                      answer */
+  gint64 aim_ms;     /**< latency objective: first event, or whole answer */
   gint64 gap_aim_ms; /**< objective for the pause between two events; 0: none */
   gint64 priority;   /**< 0 is the most urgent */
   guint max_attempts;
@@ -49,9 +48,8 @@
 {
   double step_ms;    /**< fixed cost of an engine step */
   double per_seq_ms; /**< added to a step by each generating request */
-  double prompt_tokens_per_ms; /**< prompt tokens processed per ms */
-  double stride;        /**< steps in a pass with generating requests, each of
-                      which writes one token per request */
+  double prompt_tokens_per_ms; /**< speed of processing prompts */
+  double stride;        /**< steps (tokens per request) in a generating pass */
   double report_lag_ms; /**< age of a load report when another VM gets it */
   double slots;         /**< requests that one engine processes concurrently */
   double mean_prompt_tokens; /**< per request */
@@ -59,11 +57,9 @@
   int sets;       /**< layers with experts; 0: there are no rank groups */
   int experts;    /**< experts of a set */
   int places;     /**< experts of a set that a rank can hold */
-  int spare;      /**< new experts per set that a rank can take in one map
-                             change */
+  int spare;      /**< new experts of a set taken in one map change */
   double copy_ms; /**< time in which a rank copies one expert */
-  double form_ms; /**< time from the start of a group's last rank until the
-                             group accepts requests */
+  double form_ms; /**< from a group's last rank to its first work */
 } CfEngineModel;
 
 /** CfService: interchangeable targets under one name. */
@@ -96,8 +92,7 @@
   GHashTable *by_host_prefix; /**< "host prefix" -> #CfRoute */
   GHashTable *services;       /**< name -> #CfService, owned */
   GHashTable *tenants;        /**< API key -> name of the organisation, owned */
-  GHashTable *org_priority;   /**< organisation -> its priority + 1, if it
-                                      has one */
+  GHashTable *org_priority;   /**< organisation -> priority + 1, if set */
   gboolean requires_api_key;  /**< on routes that are not @keyless */
   CfCallerLimits limits;
 } CfPolicy;
--- a/gateway/socket.h
+++ b/gateway/socket.h
@@ -13,8 +13,8 @@
  * errno set. */
 int cf_socket_connect (const struct sockaddr_in *addr);
 
-/** cf_socket_accept: accepts a pending connection of @listener; -1 if there
- * is none. */
+/** cf_socket_accept: accepts a pending connection of @listener; -1 on
+ * failure or if there is none. */
 int cf_socket_accept (int listener);
 
 /** cf_socket_listen: listens at "IP:PORT"; on failure the error names the
--- a/gateway/stats.h
+++ b/gateway/stats.h
@@ -7,8 +7,7 @@
 {
   CF_OUTCOME_SUCCESS,       /**< a complete 2xx answer of the target */
   CF_OUTCOME_TARGET_FAILED, /**< the target's own error answer, forwarded */
-  CF_OUTCOME_REFUSED,       /**< not run: queue full, no target, no
-                                   configuration */
+  CF_OUTCOME_REFUSED,       /**< not run: no room, target or configuration */
   CF_OUTCOME_DENIED,        /**< not authorized, or not a valid request */
   CF_OUTCOME_FAILED,        /**< may have run, but got no valid answer */
   CF_OUTCOME_TIMEOUT,       /**< its deadline passed */
@@ -36,18 +35,16 @@
 {
   guint64 requests;
   guint64 outcomes[CF_N_OUTCOMES];
-  guint64 sends; /**< requests sent to targets, including retries and resumes */
+  guint64 sends;   /**< requests sent, including retries and resumes */
   guint64 retries; /**< requests sent again after a failure */
   guint64 resumes; /**< streams resumed at another target */
   guint64 store_calls;
   guint64 store_errors;
   guint64 records_rejected;    /**< unreadable target records */
   guint64 callers_turned_away; /**< connections closed at the caller limit */
-  guint64
-      quarantine_refusals; /**< requests refused because they crash targets */
-  guint64 queued;          /**< requests queued for a free target */
-  guint64
-      unrouted; /**< requests that waited for the configuration or targets */
+  guint64 quarantine_refusals; /**< requests that crash targets, refused */
+  guint64 queued;              /**< requests that had to queue */
+  guint64 unrouted;   /**< requests that waited for the configuration */
   guint64 begun_late; /**< queued requests sent too late for their objective */
   CfHistogram first_ms;     /**< time to the first event of a stream */
   CfHistogram whole_ms;     /**< time to the end of any other answer */
