--- a/gateway/answer.h
+++ b/gateway/answer.h
@@ -24,7 +24,7 @@
  * that promise "not run" may not if the request must not run again, since it
  * has run.
  */
-gboolean cf_answer_may_forward (int status, CfRepeat repeat);
+gboolean cf_answer_may_forward (int status, CfRetrySafety retry_safety);
 
 /** cf_answer_append_headers: appends the header lines of @r that are
  * forwarded to the caller. */
--- a/gateway/exchange-answer.c
+++ b/gateway/exchange-answer.c
@@ -55,7 +55,7 @@
 static void
 detect_outage (CfExchange *x)
 {
-  CfLane *l = x->lane;
+  CfServiceState *l = x->lane;
   gint64 now = cf_gateway_now (x->gateway);
 
   if (now - l->last_event_ms < OUTAGE_MIN_SILENCE_MS
@@ -125,13 +125,13 @@
 start_answer (CfExchange *x, gint64 length)
 {
   x->answer_started = TRUE;
-  cf_caller_begin (x->caller, x->status, x->answer_head->str, length);
+  cf_caller_begin_answer (x->caller, x->status, x->answer_head->str, length);
 }
 
 static void
 log_overload (const CfExchange *x)
 {
-  const CfLane *l = x->lane;
+  const CfServiceState *l = x->lane;
   const CfWaiter *first = TAILQ_FIRST (&l->queue.waiters);
 
   cf_log (LOG_NOTICE, CF_EV_OVERLOAD,
@@ -139,20 +139,20 @@
           "pause_ms=%.0f waiting=%u waited_ms=%" G_GINT64_FORMAT,
           x->service, cf_concurrency_limit_get (&l->limit) ? "begins" : "over",
           cf_concurrency_limit_get (&l->limit), l->in_flight, l->limit.mean_ms,
-          l->pace.pause_ms, l->queue.n,
+          l->latency.pause_ms, l->queue.n,
           first ? cf_gateway_now (x->gateway) - first->since_ms : 0);
 }
 
 static void
 sample_concurrency_limit (CfExchange *x)
 {
-  CfLane *l = x->lane;
+  CfServiceState *l = x->lane;
   CfFirstEventSample e = { 0 };
 
   e.now_ms = cf_gateway_now (x->gateway);
   e.sent_ms = x->sent_ms;
   e.unqueued_ms = cf_stream_latency_unqueued_ms (
-      &l->pace, cf_exchange_engine_model (x), &x->size);
+      &l->latency, cf_exchange_engine_model (x), &x->size);
   e.aim_ms = x->route->aim_ms;
   e.in_flight = l->in_flight;
   e.fair_share
@@ -189,7 +189,7 @@
   if (x->last_event_ms == 0)
     {
       x->first_event_ms = now - x->start_ms;
-      cf_stream_latency_add_first_event (&x->lane->pace, now - x->sent_ms);
+      cf_stream_latency_add_first_event (&x->lane->latency, now - x->sent_ms);
       sample_concurrency_limit (x);
       cf_histogram_add (&x->gateway->stats.first_ms, x->first_event_ms);
     }
@@ -198,7 +198,7 @@
       gint64 pause = now - x->last_event_ms;
 
       x->longest_pause_ms = MAX (x->longest_pause_ms, pause);
-      cf_stream_latency_add_event (&x->lane->pace, now, pause);
+      cf_stream_latency_add_event (&x->lane->latency, now, pause);
       cf_histogram_add (&x->gateway->stats.pause_ms, pause);
     }
   x->last_event_ms = now;
@@ -214,9 +214,9 @@
   if (!x->answer_started)
     start_answer (x, -1);
   record_event (x);
-  cf_caller_data (x->caller, x->held_body->str, x->held_body->len);
+  cf_caller_append_body (x->caller, x->held_body->str, x->held_body->len);
   g_string_truncate (x->held_body, 0);
-  if (x->route->repeat != CF_REPEAT_NEVER)
+  if (x->route->retry_safety != CF_RETRY_UNSAFE)
     cf_exchange_start_silence_timer (x, cf_exchange_silence_timeout_ms (x));
   cf_caller_flush (x->caller);
 }
@@ -229,7 +229,7 @@
     return;
   if (!x->answer_started)
     start_answer (x, x->content_length);
-  cf_caller_data (x->caller, x->held_body->str, x->held_body->len);
+  cf_caller_append_body (x->caller, x->held_body->str, x->held_body->len);
   g_string_truncate (x->held_body, 0);
   cf_caller_flush (x->caller);
 }
@@ -251,7 +251,7 @@
             "target=%s per_s=%.3f source=answer id=%s", t->record.id, limit,
             x->id);
   if (cf_rate_limit_update (&t->limit, limit, cf_gateway_now (x->gateway)))
-    x->gateway->limits_changed = TRUE;
+    x->gateway->rate_limits_changed = TRUE;
 }
 
 static void
@@ -293,7 +293,7 @@
     forward_events (x, data, n);
   else
     forward_bytes (x, data, n);
-  if (cf_caller_backlog (x->caller) > CALLER_BACKLOG_MAX)
+  if (cf_caller_unsent_bytes (x->caller) > CALLER_BACKLOG_MAX)
     cf_upstream_set_paused (x->upstream, TRUE);
 }
 
@@ -308,8 +308,8 @@
     start_answer (x, is_head && x->content_length >= 0
                          ? x->content_length
                          : (gint64)x->held_body->len);
-  cf_caller_data (c, x->held_body->str, x->held_body->len);
-  cf_caller_end (c);
+  cf_caller_append_body (c, x->held_body->str, x->held_body->len);
+  cf_caller_end_answer (c);
   cf_exchange_finish (x, o, status, "answered");
 }
 
@@ -321,14 +321,14 @@
   if (!x->route->stream)
     {
       record_progress (x);
-      finish_answer (x, CF_OUT_SUCCESS);
+      finish_answer (x, CF_OUTCOME_SUCCESS);
       return;
     }
   /* Bytes after the last complete event, if any, come from the target too. */
   g_string_assign (x->held_body, x->event_stream.partial->str);
   if (!x->answer_started)
     start_answer (x, -1);
-  finish_answer (x, CF_OUT_SUCCESS);
+  finish_answer (x, CF_OUTCOME_SUCCESS);
 }
 
 /* Handles a signed failure: retries if that is allowed, else forwards it. */
@@ -344,7 +344,7 @@
       cf_exchange_retry_or_end (x, "target-failed");
       return;
     }
-  if (x->route->repeat != CF_REPEAT_NEVER && x->status >= 500
+  if (x->route->retry_safety != CF_RETRY_UNSAFE && x->status >= 500
       && cf_exchange_may_retry (x) && cf_retry_budget_take (&x->lane->budget))
     {
       x->may_have_run = TRUE;
@@ -358,8 +358,8 @@
       x->gateway->stats.retries++;
       cf_exchange_send_or_queue (x);
     }
-  else if (cf_answer_may_forward (x->status, x->route->repeat))
-    finish_answer (x, CF_OUT_TARGET_FAIL);
+  else if (cf_answer_may_forward (x->status, x->route->retry_safety))
+    finish_answer (x, CF_OUTCOME_TARGET_FAILED);
   else
     {
       x->may_have_run = TRUE;
--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -15,7 +15,7 @@
 gint64
 cf_exchange_backoff_ms (const CfExchange *x)
 {
-  const CfLane *l = x->lane;
+  const CfServiceState *l = x->lane;
 
   if (cf_outage_is_long (&l->outage, cf_gateway_now (x->gateway)))
     return cf_wait_queue_backoff_ms (CF_NO_CAPACITY_LONG_OUTAGE);
@@ -29,7 +29,7 @@
 gboolean
 cf_exchange_may_retry (CfExchange *x)
 {
-  if (x->may_have_run && x->route->repeat == CF_REPEAT_NEVER)
+  if (x->may_have_run && x->route->retry_safety == CF_RETRY_UNSAFE)
     return FALSE;
   if (cf_exchange_is_suspected (x))
     return FALSE;
@@ -86,7 +86,7 @@
   x->sent_ms = cf_gateway_now (x->gateway);
   if (x->route->stream)
     x->expected_first_ms = cf_stream_latency_first_event_ms (
-        &x->lane->pace, cf_exchange_engine_model (x), &x->size);
+        &x->lane->latency, cf_exchange_engine_model (x), &x->size);
   x->gateway->stats.sends++;
   g_ptr_array_add (x->tried_targets, cf_target_ref (t));
   x->upstream = cf_upstream_send (x->gateway->loop, t, req, x->id, head_only,
@@ -96,7 +96,7 @@
       cf_exchange_on_upstream_failure (x, CF_FAILURE_UNSENT);
       return;
     }
-  if (x->route->repeat != CF_REPEAT_NEVER)
+  if (x->route->retry_safety != CF_RETRY_UNSAFE)
     cf_exchange_start_silence_timer (x, cf_exchange_first_check_ms (x));
 }
 
@@ -117,7 +117,7 @@
 
   if (x->route->stream)
     first = cf_stream_latency_first_event_ms (
-        &x->lane->pace, cf_exchange_engine_model (x), &x->size);
+        &x->lane->latency, cf_exchange_engine_model (x), &x->size);
   return cf_waiter_objective_send_by_ms (x->start_ms, x->route->aim_ms, first);
 }
 
@@ -130,7 +130,7 @@
     return x->deadline_ms;
   return x->deadline_ms
          - cf_stream_latency_typical_total_ms (
-             &x->lane->pace, cf_exchange_engine_model (x), &x->size);
+             &x->lane->latency, cf_exchange_engine_model (x), &x->size);
 }
 
 /* Queues it until a target has a free slot, at most for as long as that leaves
@@ -202,7 +202,7 @@
    * its stalled targets may not notice that they did. */
   if (!CF_WITHOUT_STALL_CHECK
       && cf_exchange_is_service_silent (
-          x, cf_stream_latency_stall_timeout_ms (&x->lane->pace)))
+          x, cf_stream_latency_stall_timeout_ms (&x->lane->latency)))
     return TRUE;
   if (CF_WITHOUT_OUTAGE_WAIT)
     return FALSE;
@@ -233,11 +233,12 @@
    * slots for. */
   in.yields = !cf_outage_has_ended_recently (&x->lane->outage, in.now_ms)
               && cf_waiter_has_to_yield (&x->waiter, in.now_ms,
-                                         x->lane->pace.pause_ms,
+                                         x->lane->latency.pause_ms,
                                          x->route->gap_aim_ms);
   if (x->route->stream)
     {
-      in.stall_timeout_ms = cf_stream_latency_stall_timeout_ms (&x->lane->pace);
+      in.stall_timeout_ms
+          = cf_stream_latency_stall_timeout_ms (&x->lane->latency);
       in.ring_start = &x->gateway->ring_start;
     }
   return cf_balancer_pick (&x->gateway->targets, &in, t);
@@ -311,7 +312,7 @@
 
 /* (nullable): the first queued request that may probe an outage. */
 static CfWaiter *
-first_probe_candidate (CfLane *l)
+first_probe_candidate (CfServiceState *l)
 {
   CfWaiter *w;
 
@@ -324,7 +325,7 @@
 /* Sends the first request of the queue if a target has a free slot.  FALSE if
  * none was taken from the queue. */
 static gboolean
-dispatch_first (CfGateway *g, CfLane *l)
+dispatch_first (CfGateway *g, CfServiceState *l)
 {
   CfWaitQueue *q = &l->queue;
   CfWaiter *w
@@ -357,9 +358,9 @@
   GHashTableIter it;
   gpointer lane;
 
-  if (g->ending)
+  if (g->exiting)
     return;
-  g_hash_table_iter_init (&it, g->lanes);
+  g_hash_table_iter_init (&it, g->service_states);
   while (g_hash_table_iter_next (&it, NULL, &lane))
     while (dispatch_first (g, lane))
       ;
--- a/gateway/exchange-stop.c
+++ b/gateway/exchange-stop.c
@@ -20,7 +20,7 @@
 
   if (x->route->stream)
     whole = cf_stream_latency_max_total_ms (
-        &x->lane->pace, cf_exchange_engine_model (x), &x->size,
+        &x->lane->latency, cf_exchange_engine_model (x), &x->size,
         cf_gateway_now (x->gateway));
   return whole < 0 ? left : MIN (whole, left);
 }
@@ -41,9 +41,9 @@
   const CfGateway *g = x->gateway;
 
   if (!g->stopping || x->answer_started
-      || (!g->stop_heard && has_unknown_duration (x)))
+      || (!g->stop_propagated && has_unknown_duration (x)))
     return G_MAXINT64;
-  return g->end_at_ms - cf_gateway_now (g) - completion_ms (x);
+  return g->stop_deadline_ms - cf_gateway_now (g) - completion_ms (x);
 }
 
 static void
@@ -54,8 +54,8 @@
           " left_ms=%" G_GINT64_FORMAT
           " pause_ms=%.1f answer=%" G_GINT64_FORMAT,
           x->id, outcome, completion_ms (x),
-          x->gateway->end_at_ms - cf_gateway_now (x->gateway),
-          x->lane->pace.pause_ms, x->size.answer);
+          x->gateway->stop_deadline_ms - cf_gateway_now (x->gateway),
+          x->lane->latency.pause_ms, x->size.answer);
 }
 
 /* The check applies from SIGTERM on, although the platform routes callers here
@@ -86,7 +86,7 @@
 }
 
 static CfExchange *
-first_too_late (const CfLane *l)
+first_too_late (const CfServiceState *l)
 {
   CfWaiter *w;
 
@@ -103,7 +103,7 @@
   gpointer lane;
   CfExchange *x;
 
-  g_hash_table_iter_init (&it, g->lanes);
+  g_hash_table_iter_init (&it, g->service_states);
   while (g_hash_table_iter_next (&it, NULL, &lane))
     while ((x = first_too_late (lane)))
       cf_exchange_refuse_too_late (x);
@@ -115,7 +115,7 @@
   if (x->answer_started)
     {
       x->caller->x = NULL;
-      cf_exchange_finish (x, CF_OUT_BROKEN, x->status, "cut-by-stop");
+      cf_exchange_finish (x, CF_OUTCOME_BROKEN, x->status, "cut-by-stop");
     }
   else if (x->upstream || x->may_have_run)
     cf_exchange_fail (x, "cut-by-stop");
--- a/gateway/exchange-unrouted.c
+++ b/gateway/exchange-unrouted.c
@@ -13,7 +13,7 @@
 static gboolean
 may_become_routable (const CfGateway *g)
 {
-  return !cf_gateway_is_informed (g) && !g->stopping
+  return !cf_gateway_can_route (g) && !g->stopping
          && cf_gateway_now (g) - g->started_ms < STARTUP_TIMEOUT_MS;
 }
 
@@ -68,7 +68,7 @@
 {
   CfExchange *x;
 
-  while (cf_gateway_is_informed (g) && (x = TAILQ_FIRST (&g->unrouted)))
+  while (cf_gateway_can_route (g) && (x = TAILQ_FIRST (&g->unrouted)))
     {
       cf_exchange_remove_unrouted (x);
       cf_exchange_route (x);
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -50,7 +50,7 @@
 static const char *
 run_state_name (const CfExchange *x, CfOutcome o)
 {
-  if (o == CF_OUT_SUCCESS || o == CF_OUT_TARGET_FAIL)
+  if (o == CF_OUTCOME_SUCCESS || o == CF_OUTCOME_TARGET_FAILED)
     return "yes";
   return x->may_have_run || x->upstream ? "maybe" : "no";
 }
@@ -71,7 +71,7 @@
           x->first_event_ms, x->expected_first_ms, x->longest_pause_ms,
           x->policy ? x->policy->version : 0);
   g->stats.outcomes[o]++;
-  if (o == CF_OUT_SUCCESS && !x->event_stream.n_events)
+  if (o == CF_OUTCOME_SUCCESS && !x->event_stream.n_events)
     cf_histogram_add (&g->stats.whole_ms, ms);
   if (x->lane)
     cf_wait_queue_remove (&x->lane->queue, &x->waiter);
@@ -96,9 +96,9 @@
   if (retry_ms >= 0)
     g_string_append_printf (h, "Retry-After: %.3f\r\n",
                             (double)retry_ms / 1000);
-  cf_caller_begin (c, status, h->str, (gint64)strlen (body));
-  cf_caller_data (c, body, strlen (body));
-  cf_caller_end (c);
+  cf_caller_begin_answer (c, status, h->str, (gint64)strlen (body));
+  cf_caller_append_body (c, body, strlen (body));
+  cf_caller_end_answer (c);
   g_string_free (h, TRUE);
   g_free (body);
   cf_exchange_finish (x, o, status, reason);
@@ -108,7 +108,7 @@
 cf_exchange_refuse (CfExchange *x, const char *reason, gint64 backoff_ms)
 {
   answer_locally (
-      x, CF_OUT_REFUSED, 503, reason,
+      x, CF_OUTCOME_REFUSED, 503, reason,
       cf_retry_after_ms (cf_exchange_remaining_ms (x), backoff_ms, x->hash));
 }
 
@@ -119,10 +119,10 @@
 
   if (!x->answer_started)
     {
-      answer_locally (x, CF_OUT_FAILED, 502, reason, -1);
+      answer_locally (x, CF_OUTCOME_FAILED, 502, reason, -1);
       return;
     }
-  cf_exchange_finish (x, CF_OUT_BROKEN, x->status, reason);
+  cf_exchange_finish (x, CF_OUTCOME_BROKEN, x->status, reason);
   cf_caller_abort (c);
 }
 
@@ -134,13 +134,13 @@
 
   if (x->answer_started)
     {
-      cf_exchange_finish (x, CF_OUT_TIMEOUT, x->status, "deadline");
+      cf_exchange_finish (x, CF_OUTCOME_TIMEOUT, x->status, "deadline");
       cf_caller_abort (c);
     }
   else if (x->upstream || x->may_have_run)
-    answer_locally (x, CF_OUT_TIMEOUT, 504, "deadline", -1);
+    answer_locally (x, CF_OUTCOME_TIMEOUT, 504, "deadline", -1);
   else
-    answer_locally (x, CF_OUT_TIMEOUT, 503, "deadline", 0);
+    answer_locally (x, CF_OUTCOME_TIMEOUT, 503, "deadline", 0);
 }
 
 /* Sets the organisation that the caller's API key belongs to.  FALSE if the
@@ -153,7 +153,7 @@
   const char *key = value ? cf_platform_api_key (value) : NULL;
 
   x->org = key ? g_hash_table_lookup (x->policy->tenants, key) : NULL;
-  return x->org || x->route->keyless || !x->policy->needs_keys;
+  return x->org || x->route->keyless || !x->policy->requires_api_key;
 }
 
 /* The organisation's priority if it has one, else the route's. */
@@ -163,7 +163,7 @@
   gpointer org_priority = NULL;
 
   if (x->org)
-    org_priority = g_hash_table_lookup (x->policy->org_rank, x->org);
+    org_priority = g_hash_table_lookup (x->policy->org_priority, x->org);
   return org_priority ? GPOINTER_TO_INT (org_priority) - 1 : x->route->priority;
 }
 
@@ -198,7 +198,7 @@
   gint64 allowed = allowed_ms (x);
 
   x->service = cf_route_pick (x->route, x->hash);
-  x->lane = cf_gateway_lane (x->gateway, x->service);
+  x->lane = cf_gateway_service_state (x->gateway, x->service);
   cf_platform_size (cf_http_reader_header (&x->caller->reader, CF_HDR_SIZE),
                     &x->size.prompt, &x->size.answer);
   x->deadline_ms = x->start_ms + allowed;
@@ -242,7 +242,7 @@
 {
   CfGateway *g = x->gateway;
   const char *host = cf_http_reader_header (&x->caller->reader, CF_HDR_HOST);
-  const char *path = cf_http_reader_target (&x->caller->reader);
+  const char *path = cf_http_reader_request_target (&x->caller->reader);
 
   if (!g->policy)
     {
@@ -253,9 +253,9 @@
   x->policy = cf_policy_ref (g->policy);
   x->route = cf_policy_route (x->policy, host, path);
   if (!x->route)
-    answer_locally (x, CF_OUT_DENIED, 404, "no-route", -1);
+    answer_locally (x, CF_OUTCOME_DENIED, 404, "no-route", -1);
   else if (!identify_org (x))
-    answer_locally (x, CF_OUT_DENIED, 401, "unknown-key", -1);
+    answer_locally (x, CF_OUTCOME_DENIED, 401, "unknown-key", -1);
   else
     start_routed (x);
 }
@@ -266,7 +266,7 @@
   CfExchange *x = new_exchange (g, c);
 
   if (!cf_http_reader_header (&c->reader, CF_HDR_HOST))
-    answer_locally (x, CF_OUT_DENIED, 400, "no-host", -1);
+    answer_locally (x, CF_OUTCOME_DENIED, 400, "no-host", -1);
   else if (!cf_exchange_defer_routing (x))
     cf_exchange_route (x);
 }
@@ -277,7 +277,7 @@
   x->caller = NULL;
   cf_log (LOG_INFO, CF_EV_CALLER_GONE, "id=%s target=%s", x->id,
           cf_exchange_target_id (x));
-  cf_exchange_finish (x, CF_OUT_GONE, 0, "caller-left");
+  cf_exchange_finish (x, CF_OUTCOME_CALLER_GONE, 0, "caller-left");
 }
 
 void
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -10,67 +10,69 @@
 #include <math.h>
 #include <string.h>
 
-/** Of the fleet's retry allowance, the part that all gateways use together;
- * the rest covers one that counts itself as one of fewer. */
-#define RETRY_PART 0.8
-/** Unreadable records whose revision is remembered, so that each is logged
- * once; past this all are logged once more. */
-#define REJECTS_MAX 1024
-/** Of a spoiled id, what is logged. */
-#define REJECT_NAME_MAX 64
-/** Of the memory limit, the part that request bodies may take. */
-#define BODY_MEMORY_PART 4
-/** Descriptors that the platform keeps for files out of max-fds. */
-#define FILE_FDS 200
-/** Of the others, the part that callers may take: each caller's request may
- * need a connection to a target besides. */
-#define CALLER_FDS_PART 2
-/** A target's slowdown is told once a second; not told any more for so long, it
- * is not believed any more. */
-#define PACE_FRESH_MS 3500
+/** Share of the fleet's retry allowance that the gateways use together.  The
+ * rest is a margin for a gateway that takes the fleet for smaller than it
+ * is. */
+#define RETRY_SHARE 0.8
+/** Most unreadable records whose revision is kept, so that each is logged only
+ * once.  When there are more, the table is emptied and each is logged once
+ * again. */
+#define REJECTED_RECORDS_MAX 1024
+/** Most characters of a rejected target's id that are logged. */
+#define REJECTED_ID_LOG_CHARS 64
+/** Request bodies may take the memory limit divided by this. */
+#define BODY_MEMORY_DIVISOR 4
+/** Descriptors of max-fds that the platform reserves for files. */
+#define RESERVED_FILE_FDS 200
+/** Callers may take the remaining descriptors divided by this: each caller's
+ * request may need another one for a connection to a target. */
+#define CALLER_FDS_DIVISOR 2
+/** A target's slowdown expires after this time without a report; agents and
+ * peers report it once a second. */
+#define SLOWDOWN_EXPIRY_MS 3500
 
 static void
-lane_free (gpointer data)
+service_state_free (gpointer data)
 {
-  CfLane *l = data;
+  CfServiceState *s = data;
 
-  cf_retry_budget_clear (&l->budget);
-  g_free (l);
+  cf_retry_budget_clear (&s->budget);
+  g_free (s);
 }
 
 static gint64
 retry_slack (const CfGateway *g)
 {
   double slack
-      = (double)g->set.retry_slack * RETRY_PART / MAX (g->fleet_size, 1);
+      = (double)g->set.retry_slack * RETRY_SHARE / MAX (g->fleet_size, 1);
 
   return (gint64)MAX (slack, 1);
 }
 
-/* No one counts retries for the whole fleet, so each gateway keeps to an
- * even share of the slack; the ratio is of its own requests. */
-CfLane *
-cf_gateway_lane (CfGateway *g, const char *service)
+/* Retries are not counted for the fleet as a whole, so each gateway uses an
+ * equal share of the slack; the ratio applies to its own requests. */
+CfServiceState *
+cf_gateway_service_state (CfGateway *g, const char *service)
 {
-  CfLane *l;
-
-  if (!g->lanes)
-    g->lanes
-        = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, lane_free);
-  l = g_hash_table_lookup (g->lanes, service);
-  if (l)
-    return l;
-  l = g_new0 (CfLane, 1);
-  cf_wait_queue_init (&l->queue);
-  cf_retry_budget_init (&l->budget,
-                        (gint64)(g->set.retry_ratio * RETRY_PART * 100),
+  CfServiceState *s;
+
+  if (!g->service_states)
+    g->service_states = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                               service_state_free);
+  s = g_hash_table_lookup (g->service_states, service);
+  if (s)
+    return s;
+  s = g_new0 (CfServiceState, 1);
+  cf_wait_queue_init (&s->queue);
+  cf_retry_budget_init (&s->budget,
+                        (gint64)(g->set.retry_ratio * RETRY_SHARE * 100),
                         retry_slack (g));
-  g_hash_table_insert (g->lanes, g_strdup (service), l);
-  return l;
+  g_hash_table_insert (g->service_states, g_strdup (service), s);
+  return s;
 }
 
 static gboolean
-is_named_service (const void *data, const char *service)
+is_configured_service (const void *data, const char *service)
 {
   const CfGateway *g = data;
 
@@ -78,9 +80,9 @@
 }
 
 static guint
-callers_max (const CfPlatformSettings *s)
+compute_callers_max (const CfPlatformSettings *s)
 {
-  return (guint)MAX ((s->max_fds - FILE_FDS) / CALLER_FDS_PART, 1);
+  return (guint)MAX ((s->max_fds - RESERVED_FILE_FDS) / CALLER_FDS_DIVISOR, 1);
 }
 
 void
@@ -92,18 +94,18 @@
   memset (set, 0, sizeof *set);
   g->now_ms = cf_now_ms ();
   g->started_ms = g->now_ms;
-  g->body_bytes_max = (gsize)g->set.memory_mb * 1048576 / BODY_MEMORY_PART;
-  g->callers_max = callers_max (&g->set);
+  g->body_bytes_max = (gsize)g->set.memory_mb * 1048576 / BODY_MEMORY_DIVISOR;
+  g->callers_max = compute_callers_max (&g->set);
   TAILQ_INIT (&g->callers);
   TAILQ_INIT (&g->probes);
   TAILQ_INIT (&g->unrouted);
   cf_target_table_init (&g->targets);
-  g->targets.is_configured = is_named_service;
+  g->targets.is_configured = is_configured_service;
   g->targets.is_configured_data = g;
   g->quarantine = cf_quarantine_new ();
-  cf_gateway_lane (g, "");
-  cf_gateway_set_fleet (g, 0);
-  cf_gateway_set_place (g, g_random_double (), g->fleet_size);
+  cf_gateway_service_state (g, "");
+  cf_gateway_set_fleet_size (g, 0);
+  cf_gateway_set_fleet_place (g, g_random_double (), g->fleet_size);
 }
 
 void
@@ -111,8 +113,8 @@
 {
   cf_crash_probe_stop_all (g);
   cf_target_table_clear (&g->targets);
-  g_clear_pointer (&g->rejects, g_hash_table_destroy);
-  g_clear_pointer (&g->lanes, g_hash_table_destroy);
+  g_clear_pointer (&g->rejected_records, g_hash_table_destroy);
+  g_clear_pointer (&g->service_states, g_hash_table_destroy);
   g_clear_pointer (&g->quarantine, cf_quarantine_free);
   g_clear_pointer (&g->policy, cf_policy_unref);
   g_clear_pointer (&g->policy_json, g_bytes_unref);
@@ -125,27 +127,28 @@
   return g->now_ms;
 }
 
-CfTurnPart
-cf_gateway_enter (CfGateway *g, CfTurnPart part)
+CfLoopActivity
+cf_gateway_enter_activity (CfGateway *g, CfLoopActivity activity)
 {
-  return cf_loop_watch_enter (&g->turn, part, g_get_monotonic_time ());
+  return cf_loop_watch_enter (&g->loop_watch, activity,
+                              g_get_monotonic_time ());
 }
 
 gboolean
-cf_gateway_is_informed (const CfGateway *g)
+cf_gateway_can_route (const CfGateway *g)
 {
   return g->policy && g->targets_rev != 0;
 }
 
 gboolean
-cf_gateway_ready (const CfGateway *g)
+cf_gateway_is_ready (const CfGateway *g)
 {
   return g->policy && !g->stopping;
 }
 
 void
-cf_gateway_take_policy (CfGateway *g, const char *json, gsize n, gint64 rev,
-                        const char *source)
+cf_gateway_apply_policy (CfGateway *g, const char *json, gsize n, gint64 rev,
+                         const char *source)
 {
   CfPolicy *p;
 
@@ -186,7 +189,7 @@
 }
 
 static const char *
-change_name (CfTargetChange c)
+target_change_name (CfTargetChange c)
 {
   switch (c)
     {
@@ -208,25 +211,25 @@
   return "unknown";
 }
 
-/* Whether the unreadable record of @id at @rev is met for the first time;
- * lists are read again and again. */
+/* Whether the unreadable record of @id at @rev is seen for the first time;
+ * lists are read repeatedly. */
 static gboolean
-is_new_reject (CfGateway *g, const char *id, gint64 rev)
+is_newly_rejected (CfGateway *g, const char *id, gint64 rev)
 {
   const gint64 *seen;
-  gint64 *at;
+  gint64 *stored_rev;
 
-  if (!g->rejects)
-    g->rejects
+  if (!g->rejected_records)
+    g->rejected_records
         = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  seen = g_hash_table_lookup (g->rejects, id);
+  seen = g_hash_table_lookup (g->rejected_records, id);
   if (seen && *seen >= rev)
     return FALSE;
-  if (g_hash_table_size (g->rejects) >= REJECTS_MAX)
-    g_hash_table_remove_all (g->rejects);
-  at = g_new (gint64, 1);
-  *at = rev;
-  g_hash_table_replace (g->rejects, g_strdup (id), at);
+  if (g_hash_table_size (g->rejected_records) >= REJECTED_RECORDS_MAX)
+    g_hash_table_remove_all (g->rejected_records);
+  stored_rev = g_new (gint64, 1);
+  *stored_rev = rev;
+  g_hash_table_replace (g->rejected_records, g_strdup (id), stored_rev);
   return TRUE;
 }
 
@@ -234,7 +237,7 @@
 cf_gateway_reject_target (CfGateway *g, const char *id, gint64 rev,
                           const char *source, const char *reason)
 {
-  if (is_new_reject (g, id, rev))
+  if (is_newly_rejected (g, id, rev))
     {
       char *name = g_strescape (id, NULL);
 
@@ -242,29 +245,30 @@
       cf_log (LOG_ERR, CF_EV_TARGET_LIST,
               "target=\"%.*s\" outcome=bad rev=%" G_GINT64_FORMAT
               " source=%s error=\"%s\"",
-              REJECT_NAME_MAX, name, rev, source, reason);
+              REJECTED_ID_LOG_CHARS, name, rev, source, reason);
       g_free (name);
     }
-  cf_gateway_drop_target (g, id, rev, "unreadable");
+  cf_gateway_remove_target (g, id, rev, "unreadable");
 }
 
 static void
-log_change (const CfGateway *g, const CfTargetUpdate *news, CfTargetChange c,
-            const char *source)
+log_target_change (const CfGateway *g, const CfTargetUpdate *update,
+                   CfTargetChange c, const char *source)
 {
-  const CfTarget *t = g_hash_table_lookup (g->targets.by_id, news->id);
+  const CfTarget *t = g_hash_table_lookup (g->targets.by_id, update->id);
 
   cf_log (LOG_NOTICE, CF_EV_TARGET_LIST,
           "target=%s service=%s addr=%s outcome=%s rev=%" G_GINT64_FORMAT
           " incarnation=%" G_GINT64_FORMAT " source=%s",
-          news->id, t ? t->record.service : "-", t ? t->record.addr : "-",
-          change_name (c), news->rev, t ? t->record.incarnation : 0, source);
+          update->id, t ? t->record.service : "-", t ? t->record.addr : "-",
+          target_change_name (c), update->rev, t ? t->record.incarnation : 0,
+          source);
 }
 
-/* What was believed of the target before is about a process that is gone,
- * or that the list does not lead to any more. */
+/* Closes connections to @former: its process is gone, or the list does not
+ * lead to it any more.  Requests in flight fail only after a restart. */
 static void
-end_former (CfTarget *former, CfTargetChange c)
+close_former_connections (CfTarget *former, CfTargetChange c)
 {
   if (c == CF_TARGET_RESTARTED)
     cf_upstream_fail_all (former);
@@ -273,35 +277,36 @@
 }
 
 void
-cf_gateway_take_target (CfGateway *g, const CfTargetUpdate *news,
-                        const char *source)
+cf_gateway_update_target (CfGateway *g, const CfTargetUpdate *update,
+                          const char *source)
 {
   CfTargetRecord r;
   CfTargetChange c;
   CfTarget *former;
 
-  if (cf_platform_target_parse (news->id, news->json, news->n, &r) != CF_OK)
+  if (cf_platform_target_parse (update->id, update->json, update->n, &r)
+      != CF_OK)
     {
-      cf_gateway_reject_target (g, news->id, news->rev, source,
+      cf_gateway_reject_target (g, update->id, update->rev, source,
                                 cf_last_error ());
       return;
     }
-  former = g_hash_table_lookup (g->targets.by_id, news->id);
+  former = g_hash_table_lookup (g->targets.by_id, update->id);
   if (former)
     cf_target_ref (former);
-  c = cf_target_table_put (&g->targets, &r, news);
+  c = cf_target_table_put (&g->targets, &r, update);
   if (c != CF_TARGET_SAME)
-    log_change (g, news, c, source);
+    log_target_change (g, update, c, source);
   if (former && (!former->listed || c == CF_TARGET_LEAVING))
-    end_former (former, c);
+    close_former_connections (former, c);
   cf_target_unref (former);
   if (c != CF_TARGET_SAME)
     cf_exchange_dispatch_queued (g);
 }
 
 void
-cf_gateway_drop_target (CfGateway *g, const char *id, gint64 rev,
-                        const char *source)
+cf_gateway_remove_target (CfGateway *g, const char *id, gint64 rev,
+                          const char *source)
 {
   CfTarget *t = g_hash_table_lookup (g->targets.by_id, id);
 
@@ -316,8 +321,8 @@
 }
 
 void
-cf_gateway_keep_targets (CfGateway *g, GHashTable *ids, gint64 as_of,
-                         const char *source)
+cf_gateway_retain_targets (CfGateway *g, GHashTable *ids, gint64 as_of,
+                           const char *source)
 {
   GPtrArray *gone = g_ptr_array_new_with_free_func (g_free);
   GHashTableIter it;
@@ -328,14 +333,14 @@
     if (!g_hash_table_contains (ids, id))
       g_ptr_array_add (gone, g_strdup (id));
   for (guint i = 0; i < gone->len; i++)
-    cf_gateway_drop_target (g, gone->pdata[i], as_of, source);
+    cf_gateway_remove_target (g, gone->pdata[i], as_of, source);
   g_ptr_array_free (gone, TRUE);
   g->targets_rev = as_of;
 }
 
 void
-cf_gateway_take_pace (CfGateway *g, CfTarget *t, double slowdown,
-                      const char *source)
+cf_gateway_update_slowdown (CfGateway *g, CfTarget *t, double slowdown,
+                            const char *source)
 {
   if (cf_target_set_slowdown (t, slowdown, cf_gateway_now (g)))
     cf_log (LOG_NOTICE, CF_EV_TARGET_LIST,
@@ -344,7 +349,7 @@
 }
 
 void
-cf_gateway_forget_paces (CfGateway *g)
+cf_gateway_expire_slowdowns (CfGateway *g)
 {
   GHashTableIter it;
   gpointer v;
@@ -355,13 +360,13 @@
       CfTarget *t = v;
 
       if (t->slowdown != 1
-          && cf_gateway_now (g) - t->slowdown_updated_ms > PACE_FRESH_MS)
-        cf_gateway_take_pace (g, t, 1, "forgotten");
+          && cf_gateway_now (g) - t->slowdown_updated_ms > SLOWDOWN_EXPIRY_MS)
+        cf_gateway_update_slowdown (g, t, 1, "forgotten");
     }
 }
 
 void
-cf_gateway_set_place (CfGateway *g, double ring_start, guint members)
+cf_gateway_set_fleet_place (CfGateway *g, double ring_start, guint members)
 {
   guint n = MAX (members, 1);
 
@@ -371,17 +376,17 @@
 }
 
 void
-cf_gateway_set_fleet (CfGateway *g, guint n)
+cf_gateway_set_fleet_size (CfGateway *g, guint n)
 {
   GHashTableIter it;
-  gpointer l;
+  gpointer s;
 
-  /* At the start peers are not heard yet: the seeds count as there. */
+  /* Peers are unknown at the start, so all seeds count as running. */
   n = MAX (n, MAX (g_strv_length (g->set.seed_addrs), 1));
   if (n == g->fleet_size)
     return;
   g->fleet_size = n;
-  g_hash_table_iter_init (&it, g->lanes);
-  while (g_hash_table_iter_next (&it, NULL, &l))
-    cf_retry_budget_set_slack (&((CfLane *)l)->budget, retry_slack (g));
+  g_hash_table_iter_init (&it, g->service_states);
+  while (g_hash_table_iter_next (&it, NULL, &s))
+    cf_retry_budget_set_slack (&((CfServiceState *)s)->budget, retry_slack (g));
 }
--- a/gateway/rank-agent-order.c
+++ b/gateway/rank-agent-order.c
@@ -15,8 +15,8 @@
  * than with attempts of the leader if many orders are lost. */
 #define ORDER_ATTEMPTS_MAX 4
 #define REPORT_TIMEOUT_MS 50
-/** The agent itself rejects orders with an old fencing token, since the rank
- * may not check tokens. */
+/** The agent itself rejected_records orders with an old fencing token, since
+ * the rank may not check tokens. */
 #define STATUS_FENCED 412
 #define STATUS_DONE 200
 #define STATUS_CONFLICT 409
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -460,7 +460,7 @@
 
       seed->agent = a;
       seed->index = a->n_seeds++;
-      seed->has_addr = cf_socket_parse (*s, &seed->addr) == CF_OK;
+      seed->has_addr = cf_socket_parse_address (*s, &seed->addr) == CF_OK;
     }
   ev_timer_init (&a->read_timer, on_read_timer, 0, 0);
   a->read_timer.data = a;
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -279,7 +279,8 @@
 on_timer (struct ev_loop *loop, ev_timer *t, int revents)
 {
   CfRankService *s = t->data;
-  CfTurnPart before = cf_gateway_enter (s->gateway, CF_TURN_LEADING);
+  CfLoopActivity before
+      = cf_gateway_enter_activity (s->gateway, CF_LOOP_LEADING);
   gboolean is_busy = FALSE;
   gboolean has_more = FALSE;
   gint64 now = cf_gateway_now (s->gateway);
@@ -313,7 +314,7 @@
       s->tick_sent_ms = now;
       send_ticks (s);
     }
-  cf_gateway_enter (s->gateway, before);
+  cf_gateway_enter_activity (s->gateway, before);
 }
 
 /* Messages from agents */
@@ -343,7 +344,7 @@
   if (!t || cf_target_is_older_incarnation (t, st->incarnation))
     return;
   t->slowdown_observed_ms = cf_gateway_now (a->service->gateway);
-  cf_gateway_take_pace (a->service->gateway, t, pace, "agent");
+  cf_gateway_update_slowdown (a->service->gateway, t, pace, "agent");
 }
 
 static void
@@ -439,10 +440,10 @@
 {
   const CfAgentLink *a = owner;
   CfGateway *g = a->service->gateway;
-  CfTurnPart before = cf_gateway_enter (g, CF_TURN_LEADING);
+  CfLoopActivity before = cf_gateway_enter_activity (g, CF_LOOP_LEADING);
 
   cf_peer_msg_receive (data, n, "agent", a->target_addr, handle_msg, owner);
-  cf_gateway_enter (g, before);
+  cf_gateway_enter_activity (g, before);
 }
 
 static void
--- a/gateway/stats.c
+++ b/gateway/stats.c
@@ -5,21 +5,21 @@
 {
   switch (o)
     {
-    case CF_OUT_SUCCESS:
+    case CF_OUTCOME_SUCCESS:
       return "success";
-    case CF_OUT_TARGET_FAIL:
+    case CF_OUTCOME_TARGET_FAILED:
       return "target-fail";
-    case CF_OUT_REFUSED:
+    case CF_OUTCOME_REFUSED:
       return "refused";
-    case CF_OUT_DENIED:
+    case CF_OUTCOME_DENIED:
       return "denied";
-    case CF_OUT_FAILED:
+    case CF_OUTCOME_FAILED:
       return "failed";
-    case CF_OUT_TIMEOUT:
+    case CF_OUTCOME_TIMEOUT:
       return "timeout";
-    case CF_OUT_BROKEN:
+    case CF_OUTCOME_BROKEN:
       return "broken";
-    case CF_OUT_GONE:
+    case CF_OUTCOME_CALLER_GONE:
       return "gone";
     case CF_N_OUTCOMES:
       break;
@@ -58,16 +58,16 @@
 static void
 print_histogram (GString *out, const char *name, const CfHistogram *h)
 {
-  guint64 below = 0;
+  guint64 cumulative = 0;
 
   g_string_append_printf (out, "# TYPE comfrey_%s histogram\n", name);
   for (guint i = 0; i < CF_HISTOGRAM_BUCKETS - 1; i++)
     {
-      below += h->counts[i];
+      cumulative += h->counts[i];
       g_string_append_printf (out,
                               "comfrey_%s_bucket{le=\"%u\"} "
                               "%" G_GUINT64_FORMAT "\n",
-                              name, 1U << i, below);
+                              name, 1U << i, cumulative);
     }
   g_string_append_printf (out,
                           "comfrey_%s_bucket{le=\"+Inf\"} %" G_GUINT64_FORMAT
@@ -101,5 +101,5 @@
   print_histogram (out, "answer_ms", &s->whole_ms);
   print_histogram (out, "event_pause_ms", &s->pause_ms);
   print_histogram (out, "queue_ms", &s->queue_ms);
-  print_histogram (out, "turn_ms", &s->turn_ms);
+  print_histogram (out, "turn_ms", &s->iteration_ms);
 }
--- a/gateway/stream-latency.c
+++ b/gateway/stream-latency.c
@@ -95,7 +95,9 @@
 static double
 get_prompt_ms (const CfEngineModel *e, const CfStreamSize *size)
 {
-  return e && e->read_per_ms > 0 ? (double)size->prompt / e->read_per_ms : 0;
+  return e && e->prompt_tokens_per_ms > 0
+             ? (double)size->prompt / e->prompt_tokens_per_ms
+             : 0;
 }
 
 /* The first event takes the rest of the current pass, the processing of the
@@ -129,7 +131,7 @@
 
   if (!e || e->stride < 1)
     return 0;
-  answer = e->usual_answer;
+  answer = e->mean_answer_tokens;
   if (size->answer > 0)
     answer = MIN (answer, (double)size->answer);
   return (gint64)(cf_stream_latency_unqueued_ms (p, e, size)
@@ -173,7 +175,7 @@
   if (pass <= 0)
     return -1;
   if (answer <= 0)
-    answer = e->usual_answer;
+    answer = e->mean_answer_tokens;
   first = MAX ((double)cf_stream_latency_first_event_ms (p, e, size),
                2 * pass + get_prompt_ms (e, size));
   return (gint64)MIN (first + pass * ceil (answer / e->stride), MAX_TOTAL_MS);
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -76,7 +76,7 @@
 
   if (!is_in_grace (g))
     {
-      cf_gateway_drop_target (g, id, rev, "store");
+      cf_gateway_remove_target (g, id, rev, "store");
       return;
     }
   m = g_new (MissingEntry, 1);
@@ -130,7 +130,7 @@
   update.rev = it->rev;
   update.created = it->created;
   update.now_ms = cf_gateway_now (g);
-  cf_gateway_take_target (g, &update, "store");
+  cf_gateway_update_target (g, &update, "store");
 }
 
 static void
@@ -178,8 +178,8 @@
 
       if (get_due_ms (m) > now)
         continue;
-      cf_gateway_drop_target (g, id, m->rev,
-                              m->until_ms > now ? "lapsed" : "drained");
+      cf_gateway_remove_target (g, id, m->rev,
+                                m->until_ms > now ? "lapsed" : "drained");
       g_hash_table_iter_remove (&it);
     }
   start_timer (g);
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -152,7 +152,8 @@
     u->callbacks->on_body (u->owner, data, n);
 }
 
-static const CfHttpReaderCalls reader_callbacks = { on_head, on_body, NULL };
+static const CfHttpReaderCallbacks reader_callbacks
+    = { on_head, on_body, NULL };
 
 /* How long to keep the connection idle, by the target's Keep-Alive header. */
 static double
@@ -182,7 +183,7 @@
   const CfUpstreamCallbacks *callbacks = u->callbacks;
 
   u->idle_timeout_s = idle_timeout_s (&u->reader);
-  keep = keep && cf_http_reader_keeps (&u->reader)
+  keep = keep && cf_http_reader_can_keep_alive (&u->reader)
          && u->n_sent == u->request->len && u->target->listed
          && !u->target->record.leaving && u->idle_timeout_s > 0;
   if (keep)
