--- a/gateway/caller.c
+++ b/gateway/caller.c
@@ -307,14 +307,14 @@
     return;
   g_string_erase (c->input, 0, (gssize)MIN (used, c->input->len));
   if (c->reader.too_large)
-    refuse (c, 431, "the request headers exceed max-header-bytes");
+    refuse (c, 431, "the head is over max-header-bytes");
   else if (!is_valid)
     refuse (c, 400,
             http_errno_description (HTTP_PARSER_ERRNO (&c->reader.parser)));
   else if (c->body_too_large)
-    refuse (c, 413, "the request body exceeds max-body-bytes");
+    refuse (c, 413, "the body is over max-body-bytes");
   else if (c->g->body_bytes > c->g->body_bytes_max)
-    refuse (c, 503, "the request bodies in memory exceed their limit");
+    refuse (c, 503, "too many bytes of requests are held");
   else if (c->reader.is_complete)
     {
       ev_timer_stop (c->g->loop, &c->timer);
@@ -372,7 +372,7 @@
   CfCaller *c = w->data;
 
   if (c->reader.started && !c->lingering && !c->close_after_answer)
-    refuse (c, 408, "timed out while receiving the request");
+    refuse (c, 408, "the request did not come in in time");
   else
     disconnect (c);
 }
@@ -494,7 +494,7 @@
       if (c->x)
         cf_exchange_end_at_shutdown (c->x);
       else if (c->reader.started && !c->close_after_answer)
-        refuse (c, 503, "the gateway is stopping");
+        refuse (c, 503, "the process ends");
       close_caller (c);
     }
 }
--- a/gateway/ops.c
+++ b/gateway/ops.c
@@ -67,7 +67,7 @@
       print_metrics (g, body);
       return 200;
     }
-  g_string_assign (body, "no such page; see /metrics\n");
+  g_string_assign (body, "no such page\n");
   return 404;
 }
 
