--- a/comfrey-gateway.c
+++ b/comfrey-gateway.c
@@ -78,7 +78,7 @@
   g->policy_store_up = up;
 }
 
-static const CfStoreWatchCalls policy_calls
+static const CfStoreWatchCallbacks policy_calls
     = { policy_item, policy_snapshot, policy_fresh, policy_contact };
 
 /* The loop's own idea of the time of day may jump; durations and deadlines
@@ -130,7 +130,8 @@
   if (!cf_quarantine_has_changes (g->quarantine))
     return;
   cf_exchange_refuse_all_quarantined (g);
-  cf_peer_crashes_changed (g->quarantine, cf_gateway_now (g), &all, &held);
+  cf_peer_crashes_collect_changes (g->quarantine, cf_gateway_now (g), &all,
+                                   &held);
   cf_peer_service_notify (peers, &all);
   if (held.u.crashes->len > 0)
     cf_rank_service_notify (ranks, &held);
@@ -219,7 +220,8 @@
   ranks = cf_rank_service_new (g);
   peers = cf_peer_service_new (g);
   cf_rank_service_set_notify (ranks, notify_seeds, peers);
-  cf_peer_service_on_hold_lease (peers, cf_rank_service_take_hold_lease, ranks);
+  cf_peer_service_set_hold_lease_handler (
+      peers, cf_rank_service_take_hold_lease, ranks);
   ev_check_init (&turn_begin, on_turn_begin);
   ev_set_priority (&turn_begin, EV_MAXPRI);
   ev_check_start (g->loop, &turn_begin);
--- a/gateway/control.c
+++ b/gateway/control.c
@@ -43,7 +43,7 @@
   msgpack_unpacked_destroy (&zone);
 }
 
-static const CfPeerLinkCalls first_calls = { on_up, on_first, on_down };
+static const CfPeerLinkCallbacks first_calls = { on_up, on_first, on_down };
 
 static void
 on_accept (struct ev_loop *loop, ev_io *w, int revents)
--- a/gateway/membership.c
+++ b/gateway/membership.c
@@ -59,8 +59,8 @@
 }
 
 void
-cf_membership_hear (CfMembership *m, const char *addr, const char *data_centre,
-                    gint64 now)
+cf_membership_record_heartbeat (CfMembership *m, const char *addr,
+                                const char *data_centre, gint64 now)
 {
   Member *n = g_hash_table_lookup (m->by_addr, addr);
 
--- a/gateway/membership.h
+++ b/gateway/membership.h
@@ -19,9 +19,9 @@
 
 void cf_membership_free (CfMembership *m);
 
-/** cf_membership_hear: the gateway at @addr is there. */
-void cf_membership_hear (CfMembership *m, const char *addr,
-                         const char *data_centre, gint64 now_ms);
+/** cf_membership_record_heartbeat: the gateway at @addr is there. */
+void cf_membership_record_heartbeat (CfMembership *m, const char *addr,
+                                     const char *data_centre, gint64 now_ms);
 
 /** cf_membership_expire: drops those not heard of for @ms. */
 void cf_membership_expire (CfMembership *m, gint64 ms, gint64 now_ms);
--- a/gateway/peer-crashes.c
+++ b/gateway/peer-crashes.c
@@ -41,8 +41,8 @@
 }
 
 void
-cf_peer_crashes_changed (CfQuarantine *q, gint64 now_ms, CfPeerMsg *all,
-                         CfPeerMsg *held)
+cf_peer_crashes_collect_changes (CfQuarantine *q, gint64 now_ms, CfPeerMsg *all,
+                                 CfPeerMsg *held)
 {
   Collect c = { begin (all), begin (held), now_ms };
 
--- a/gateway/peer-crashes.h
+++ b/gateway/peer-crashes.h
@@ -4,7 +4,7 @@
 #include "quarantine.h"
 
 /**
- * cf_peer_crashes_changed:
+ * cf_peer_crashes_collect_changes:
  * The requests that changed since they were last flushed from @q.
  * @all: (out): for gateways
  * @held: (out): of these, the ones that are quarantined or were until now, for
@@ -13,8 +13,8 @@
  * What the messages point to lasts until @q changes; their arrays are the
  * caller's.
  */
-void cf_peer_crashes_changed (CfQuarantine *q, gint64 now_ms, CfPeerMsg *all,
-                              CfPeerMsg *held);
+void cf_peer_crashes_collect_changes (CfQuarantine *q, gint64 now_ms,
+                                      CfPeerMsg *all, CfPeerMsg *held);
 
 /**
  * cf_peer_crashes_send_all:
--- a/gateway/peer-frame.c
+++ b/gateway/peer-frame.c
@@ -64,7 +64,7 @@
 }
 
 gboolean
-cf_peer_frame_is_whole (const char *data, gsize n)
+cf_peer_frame_is_complete (const char *data, gsize n)
 {
   guint64 open = 1; /* values that are still to come */
   gsize at = 0;
--- a/gateway/peer-link.c
+++ b/gateway/peer-link.c
@@ -169,13 +169,13 @@
 
 static CfPeerLink *
 new_link (struct ev_loop *loop, int fd, gboolean connecting,
-          const CfPeerLinkCalls *calls, void *owner)
+          const CfPeerLinkCallbacks *calls, void *owner)
 {
   CfPeerLink *l = g_new0 (CfPeerLink, 1);
 
   l->loop = loop;
   l->connecting = connecting;
-  cf_peer_link_hand_over (l, calls, owner);
+  cf_peer_link_set_owner (l, calls, owner);
   l->in = g_string_new (NULL);
   l->out = g_string_new (NULL);
   ev_io_init (&l->io, on_io, fd, connecting ? EV_READ | EV_WRITE : EV_READ);
@@ -190,7 +190,7 @@
 
 CfPeerLink *
 cf_peer_link_connect (struct ev_loop *loop, const struct sockaddr_in *addr,
-                      const CfPeerLinkCalls *calls, void *owner)
+                      const CfPeerLinkCallbacks *calls, void *owner)
 {
   int fd = cf_socket_connect (addr);
 
@@ -198,14 +198,14 @@
 }
 
 CfPeerLink *
-cf_peer_link_accept (struct ev_loop *loop, int fd, const CfPeerLinkCalls *calls,
-                     void *owner)
+cf_peer_link_accept (struct ev_loop *loop, int fd,
+                     const CfPeerLinkCallbacks *calls, void *owner)
 {
   return new_link (loop, fd, FALSE, calls, owner);
 }
 
 void
-cf_peer_link_hand_over (CfPeerLink *l, const CfPeerLinkCalls *calls,
+cf_peer_link_set_owner (CfPeerLink *l, const CfPeerLinkCallbacks *calls,
                         void *owner)
 {
   l->calls = calls;
--- a/gateway/peer-link.h
+++ b/gateway/peer-link.h
@@ -6,7 +6,7 @@
 
 typedef struct CfPeerLink CfPeerLink;
 
-/** CfPeerLinkCalls: what the owner of a link is told. */
+/** CfPeerLinkCallbacks: what the owner of a link is told. */
 typedef struct
 {
   /** The connection is made; a link that was accepted never says so. */
@@ -15,7 +15,7 @@
   void (*frame) (void *owner, CfPeerLink *l, const char *data, gsize n);
   /** The link is lost; it is freed after this. */
   void (*down) (void *owner, CfPeerLink *l);
-} CfPeerLinkCalls;
+} CfPeerLinkCallbacks;
 
 /**
  * CfPeerLink:
@@ -30,7 +30,7 @@
   GString *in;
   GString *out;
   gsize out_sent;
-  const CfPeerLinkCalls *calls;
+  const CfPeerLinkCallbacks *calls;
   void *owner;
   gboolean connecting;
   gboolean in_read;
@@ -40,14 +40,15 @@
 /** cf_peer_link_connect: (nullable): begins to connect to @addr. */
 CfPeerLink *cf_peer_link_connect (struct ev_loop *loop,
                                   const struct sockaddr_in *addr,
-                                  const CfPeerLinkCalls *calls, void *owner);
+                                  const CfPeerLinkCallbacks *calls,
+                                  void *owner);
 
 /** cf_peer_link_accept: a link on @fd, which a peer connected to. */
 CfPeerLink *cf_peer_link_accept (struct ev_loop *loop, int fd,
-                                 const CfPeerLinkCalls *calls, void *owner);
+                                 const CfPeerLinkCallbacks *calls, void *owner);
 
-/** cf_peer_link_hand_over: @owner is told of what comes from now on. */
-void cf_peer_link_hand_over (CfPeerLink *l, const CfPeerLinkCalls *calls,
+/** cf_peer_link_set_owner: @owner is told of what comes from now on. */
+void cf_peer_link_set_owner (CfPeerLink *l, const CfPeerLinkCallbacks *calls,
                              void *owner);
 
 /**
--- a/gateway/peer-msg-unpack.c
+++ b/gateway/peer-msg-unpack.c
@@ -158,12 +158,12 @@
 take_paces (Fields *f)
 {
   Fields in = fields_of (next (f));
-  GArray *a = g_array_new (FALSE, FALSE, sizeof (CfPeerPace));
+  GArray *a = g_array_new (FALSE, FALSE, sizeof (CfPeerSlowdown));
 
   while (!in.bad && in.at < in.end)
     {
       Fields one = fields_of (next (&in));
-      CfPeerPace p;
+      CfPeerSlowdown p;
 
       p.addr = take_bytes (&one);
       p.thousandths = take_int (&one);
@@ -179,12 +179,12 @@
 take_limits (Fields *f)
 {
   Fields in = fields_of (next (f));
-  GArray *a = g_array_new (FALSE, FALSE, sizeof (CfPeerLimit));
+  GArray *a = g_array_new (FALSE, FALSE, sizeof (CfPeerRateLimit));
 
   while (!in.bad && in.at < in.end)
     {
       Fields one = fields_of (next (&in));
-      CfPeerLimit l;
+      CfPeerRateLimit l;
 
       l.id = take_bytes (&one);
       l.incarnation = take_int (&one);
@@ -248,14 +248,14 @@
       take_status (f, &m->u.rank_status.status);
       m->u.rank_status.fence_seen = take_int (f);
       m->u.rank_status.seeds_up = (guint)take_int (f);
-      m->u.rank_status.led = take_int (f);
+      m->u.rank_status.leader_fence = take_int (f);
       g_array_unref (take_array (f));
       if (!f->bad && f->at < f->end)
-        m->u.rank_status.drawn = take_array (f);
+        m->u.rank_status.expert_counts = take_array (f);
       break;
-    case CF_PEER_TICK:
-      m->u.tick.fence = take_int (f);
-      m->u.tick.read_ms = take_int (f);
+    case CF_PEER_HEARTBEAT:
+      m->u.heartbeat.fence = take_int (f);
+      m->u.heartbeat.report_interval_ms = take_int (f);
       break;
     case CF_PEER_ORDER:
       m->u.order.seq = take_int (f);
@@ -269,7 +269,7 @@
       m->u.prepare.fence = take_int (f);
       m->u.prepare.epoch = take_int (f);
       m->u.prepare.version = take_int (f);
-      m->u.prepare.base = take_int (f);
+      m->u.prepare.base_version = take_int (f);
       m->u.prepare.shape.sets = take_index (f, SETS_MAX);
       m->u.prepare.shape.experts = take_index (f, EXPERTS_MAX);
       m->u.prepare.shape.places = take_index (f, PLACES_MAX);
@@ -281,7 +281,7 @@
       m->u.order_ack.fence_seen = take_int (f);
       take_status (f, &m->u.order_ack.status);
       break;
-    case CF_PEER_WANT_LISTS:
+    case CF_PEER_REQUEST_LISTS:
       break;
     case CF_PEER_LISTS:
       m->u.lists.epoch = take_int (f);
@@ -336,7 +336,7 @@
 
   memset (m, 0, sizeof *m);
   msgpack_unpacked_init (zone);
-  if (cf_peer_frame_is_whole (data, n)
+  if (cf_peer_frame_is_complete (data, n)
       && msgpack_unpack_next (zone, data, n, NULL) == MSGPACK_UNPACK_SUCCESS)
     f = fields_of (&zone->data);
   m->kind = (CfPeerMsgKind)take_int (&f);
--- a/gateway/peer-msg.c
+++ b/gateway/peer-msg.c
@@ -77,7 +77,7 @@
   msgpack_pack_array (pk, n);
   for (guint i = 0; i < n; i++)
     {
-      const CfPeerPace *p = &g_array_index (paces, CfPeerPace, i);
+      const CfPeerSlowdown *p = &g_array_index (paces, CfPeerSlowdown, i);
 
       msgpack_pack_array (pk, 3);
       put_bytes (pk, p->addr);
@@ -94,7 +94,7 @@
   msgpack_pack_array (pk, n);
   for (guint i = 0; i < n; i++)
     {
-      const CfPeerLimit *l = &g_array_index (limits, CfPeerLimit, i);
+      const CfPeerRateLimit *l = &g_array_index (limits, CfPeerRateLimit, i);
 
       msgpack_pack_array (pk, 4);
       put_bytes (pk, l->id);
@@ -150,15 +150,15 @@
       put_status (&pk, &m->u.rank_status.status);
       put_int (&pk, m->u.rank_status.fence_seen);
       put_int (&pk, m->u.rank_status.seeds_up);
-      put_int (&pk, m->u.rank_status.led);
+      put_int (&pk, m->u.rank_status.leader_fence);
       /* Where an earlier version has what was chosen since the rank began. */
       put_array (&pk, NULL);
-      put_array (&pk, m->u.rank_status.drawn);
+      put_array (&pk, m->u.rank_status.expert_counts);
       break;
-    case CF_PEER_TICK:
+    case CF_PEER_HEARTBEAT:
       begin (&pk, m, 2);
-      put_int (&pk, m->u.tick.fence);
-      put_int (&pk, m->u.tick.read_ms);
+      put_int (&pk, m->u.heartbeat.fence);
+      put_int (&pk, m->u.heartbeat.report_interval_ms);
       break;
     case CF_PEER_ORDER:
       begin (&pk, m, 5);
@@ -174,7 +174,7 @@
       put_int (&pk, m->u.prepare.fence);
       put_int (&pk, m->u.prepare.epoch);
       put_int (&pk, m->u.prepare.version);
-      put_int (&pk, m->u.prepare.base);
+      put_int (&pk, m->u.prepare.base_version);
       put_int (&pk, m->u.prepare.shape.sets);
       put_int (&pk, m->u.prepare.shape.experts);
       put_int (&pk, m->u.prepare.shape.places);
@@ -187,7 +187,7 @@
       put_int (&pk, m->u.order_ack.fence_seen);
       put_status (&pk, &m->u.order_ack.status);
       break;
-    case CF_PEER_WANT_LISTS:
+    case CF_PEER_REQUEST_LISTS:
       begin (&pk, m, 0);
       break;
     case CF_PEER_LISTS:
@@ -251,7 +251,7 @@
   switch (m->kind)
     {
     case CF_PEER_RANK_STATUS:
-      a = &m->u.rank_status.drawn;
+      a = &m->u.rank_status.expert_counts;
       break;
     case CF_PEER_PREPARE:
       a = &m->u.prepare.rows;
@@ -278,7 +278,7 @@
 
 void
 cf_peer_msg_receive (const char *data, gsize n, const char *role,
-                     const char *name, CfPeerMsgTake take, void *owner)
+                     const char *name, CfPeerMsgHandler take, void *owner)
 {
   msgpack_unpacked zone;
   CfPeerMsg m;
--- a/gateway/peer-msg.h
+++ b/gateway/peer-msg.h
@@ -12,10 +12,10 @@
 {
   CF_PEER_AGENT_HELLO = 1,   /**< rank agent: who I am */
   CF_PEER_RANK_STATUS = 2,   /**< rank agent: my rank's state, and counts */
-  CF_PEER_TICK = 3,          /**< gateway: I live, and lead or not */
+  CF_PEER_HEARTBEAT = 3,     /**< gateway: I live, and lead or not */
   CF_PEER_ORDER = 4,         /**< gateway: give your rank this order */
   CF_PEER_ORDER_ACK = 5,     /**< rank agent: what came of it */
-  CF_PEER_WANT_LISTS = 6,    /**< gateway: which experts does it hold? */
+  CF_PEER_REQUEST_LISTS = 6, /**< gateway: which experts does it hold? */
   CF_PEER_LISTS = 7,         /**< rank agent: these */
   CF_PEER_GATEWAY_HELLO = 8, /**< gateway: where I am, and what I know */
   CF_PEER_POLICY = 9,        /**< gateway: the newest configuration I have */
@@ -26,7 +26,7 @@
 } CfPeerMsgKind;
 
 /** Units of a place on the ring of targets. */
-#define CF_PEER_RING 65536
+#define CF_PEER_RING_UNITS 65536
 
 /** CfPeerBytes: bytes within a frame that was read. */
 typedef struct
@@ -50,15 +50,16 @@
       CfRankStatus status;
       gint64 fence_seen; /**< the highest token the agent has obeyed */
       guint seeds_up;    /**< bit i: seed i was heard from lately */
-      gint64 led;        /**< token of the leader it hears; 0: it hears none */
-      GArray *drawn;     /**< (nullable): of gint64, by expert: how often it was
-                              chosen since it was last told; owned */
+      gint64
+          leader_fence; /**< token of the leader it hears; 0: it hears none */
+      GArray *expert_counts; /**< (nullable): of gint64, by expert: how often it
+                          was chosen since it was last told; owned */
     } rank_status;
     struct
     {
-      gint64 fence;   /**< of the leader; 0 if this gateway stands by */
-      gint64 read_ms; /**< how often the leader wants to be told */
-    } tick;
+      gint64 fence; /**< of the leader; 0 if this gateway stands by */
+      gint64 report_interval_ms; /**< how often the leader wants to be told */
+    } heartbeat;
     struct
     {
       gint64 seq;
@@ -72,15 +73,15 @@
       gint64 seq;
       gint64 fence;
       gint64 epoch;
-      gint64 version;     /**< told of again once its copy is whole */
-      gint64 base;        /**< version that @rows change; 0: in turn */
-      CfGroupShape shape; /**< without ranks, which the agent knows */
-      GArray *rows;       /**< as cf_group_map_rows() gives them; owned */
+      gint64 version;      /**< told of again once its copy is whole */
+      gint64 base_version; /**< version that @rows change; 0: in turn */
+      CfGroupShape shape;  /**< without ranks, which the agent knows */
+      GArray *rows;        /**< as cf_group_map_rows() gives them; owned */
     } prepare;
     struct
     {
       gint64 seq;
-      gint64 http_status; /**< 0: no answer; %CF_PEER_NO_BASE */
+      gint64 http_status; /**< 0: no answer; %CF_PEER_STATUS_UNKNOWN_BASE */
       gint64 fence_seen;  /**< the highest token the agent has obeyed */
       CfRankStatus status;
     } order_ack;
@@ -97,15 +98,15 @@
       gint64 targets_rev;
       guint fleet;  /**< gateways that the sender knows of, itself too */
       guint want;   /**< CF_PEER_WANT_ bits: what the sender lacks */
-      GArray *slow; /**< (nullable): of #CfPeerPace: slow targets that agents
-                         tell the sender of; owned */
+      GArray *slow; /**< (nullable): of #CfPeerSlowdown: slow targets that
+                       agents tell the sender of; owned */
       CfPeerBytes data_centre; /**< the sender's */
       gint64 ring_start; /**< where the receiver begins on the ring of targets,
-                              in 1 / %CF_PEER_RING; negative: not known */
-      GArray *limits;    /**< (nullable): of #CfPeerLimit: rates that targets
-                              take; owned */
-      guint members;     /**< gateways that @ring_start was worked out for; 0:
-                              not known */
+                              in 1 / %CF_PEER_RING_UNITS; negative: not known */
+      GArray *limits; /**< (nullable): of #CfPeerRateLimit: rates that targets
+                           take; owned */
+      guint members;  /**< gateways that @ring_start was worked out for; 0:
+                           not known */
     } gateway_hello;
     struct
     {
@@ -129,7 +130,7 @@
 
 /** In place of a rank's status: the agent was never told the map that the one
  * to prepare is named by; it takes one by what a group begins with. */
-#define CF_PEER_NO_BASE 1
+#define CF_PEER_STATUS_UNKNOWN_BASE 1
 
 /** Bits of a greeting's want. */
 #define CF_PEER_WANT_POLICY 1U
@@ -138,25 +139,25 @@
 /** Fractions go over the wire in thousandths. */
 #define CF_PEER_THOUSANDTHS 1000.0
 
-/** CfPeerPace: a target whose work takes longer than usual. */
+/** CfPeerSlowdown: a target whose work takes longer than usual. */
 typedef struct
 {
   CfPeerBytes addr;
   gint64 thousandths; /**< of its usual time */
   gint64 incarnation; /**< of the target that is slow; 0 if it does not say */
-} CfPeerPace;
+} CfPeerSlowdown;
 
 /** Rates go over the wire in millionths of a request a second. */
 #define CF_PEER_MILLIONTHS 1e6
 
-/** CfPeerLimit: the rate that a target takes from all gateways. */
+/** CfPeerRateLimit: the rate that a target takes from all gateways. */
 typedef struct
 {
   CfPeerBytes id;
   gint64 incarnation;
   gint64 millionths; /**< 0: it names none any more */
   gint64 age_ms;     /**< since the answer that says so came */
-} CfPeerLimit;
+} CfPeerRateLimit;
 
 /** CfPeerTarget: a target's record as the store holds it. */
 typedef struct
@@ -196,8 +197,8 @@
 CfStatus cf_peer_msg_unpack (const char *data, gsize n, msgpack_unpacked *zone,
                              CfPeerMsg *m);
 
-/** CfPeerMsgTake: takes a message, which holds until it returns. */
-typedef void (*CfPeerMsgTake) (void *owner, const CfPeerMsg *m);
+/** CfPeerMsgHandler: takes a message, which holds until it returns. */
+typedef void (*CfPeerMsgHandler) (void *owner, const CfPeerMsg *m);
 
 /**
  * cf_peer_msg_receive:
@@ -205,7 +206,7 @@
  * Has @take take the message of a frame; one that is no message is logged.
  */
 void cf_peer_msg_receive (const char *data, gsize n, const char *role,
-                          const char *name, CfPeerMsgTake take, void *owner);
+                          const char *name, CfPeerMsgHandler take, void *owner);
 
 /** cf_peer_msg_clear: frees the arrays of @m. */
 void cf_peer_msg_clear (CfPeerMsg *m);
--- a/gateway/peer-service.c
+++ b/gateway/peer-service.c
@@ -44,7 +44,7 @@
   gint64 greeted_ms;
   gint64 connected_ms;
   gint64 behind_ms; /**< since when a peer is known to be ahead; 0: none */
-  CfPeerMsgTake take_hold_lease; /**< (nullable) */
+  CfPeerMsgHandler take_hold_lease; /**< (nullable) */
   void *hold_lease_owner;
   struct sockaddr_in seeds[CF_SEEDS_MAX];
   gboolean seed_valid[CF_SEEDS_MAX];
@@ -80,7 +80,7 @@
 static GArray *
 slow_targets (const CfGateway *g)
 {
-  GArray *a = g_array_new (FALSE, FALSE, sizeof (CfPeerPace));
+  GArray *a = g_array_new (FALSE, FALSE, sizeof (CfPeerSlowdown));
   GHashTableIter it;
   gpointer v;
 
@@ -88,7 +88,7 @@
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
       const CfTarget *t = v;
-      CfPeerPace p;
+      CfPeerSlowdown p;
 
       if (CF_WITHOUT_SHARED_PACE || t->pace <= 1 || !is_told_by_agent (g, t))
         continue;
@@ -106,7 +106,7 @@
 {
   for (guint i = 0; slow && i < slow->len; i++)
     {
-      const CfPeerPace *p = &g_array_index (slow, CfPeerPace, i);
+      const CfPeerSlowdown *p = &g_array_index (slow, CfPeerSlowdown, i);
       char *addr = g_strndup (p->addr.data, p->addr.n);
       CfTarget *t = cf_target_table_at (&g->targets, addr);
 
@@ -122,7 +122,7 @@
 static GArray *
 limits_of_targets (const CfGateway *g)
 {
-  GArray *a = g_array_new (FALSE, FALSE, sizeof (CfPeerLimit));
+  GArray *a = g_array_new (FALSE, FALSE, sizeof (CfPeerRateLimit));
   GHashTableIter it;
   gpointer v;
 
@@ -130,7 +130,7 @@
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
       const CfTarget *t = v;
-      CfPeerLimit l;
+      CfPeerRateLimit l;
 
       if (!cf_rate_limit_is_announced (&t->limit, g->now_ms))
         continue;
@@ -145,7 +145,7 @@
 }
 
 static void
-take_limit (CfGateway *g, const CfPeerLimit *l, const char *peer)
+take_limit (CfGateway *g, const CfPeerRateLimit *l, const char *peer)
 {
   char *id = g_strndup (l->id.data, l->id.n);
   CfTarget *t = g_hash_table_lookup (g->targets.by_id, id);
@@ -166,7 +166,7 @@
 take_limits (CfGateway *g, const GArray *limits, const char *peer)
 {
   for (guint i = 0; limits && i < limits->len; i++)
-    take_limit (g, &g_array_index (limits, CfPeerLimit, i), peer);
+    take_limit (g, &g_array_index (limits, CfPeerRateLimit, i), peer);
 }
 
 /* The part of a greeting that is the same for all peers. */
@@ -197,7 +197,7 @@
   double start = p->addr ? cf_membership_ring_start (p->s->fleet, p->addr) : -1;
 
   m->u.gateway_hello.ring_start
-      = start < 0 ? -1 : (gint64)(start * CF_PEER_RING);
+      = start < 0 ? -1 : (gint64)(start * CF_PEER_RING_UNITS);
   m->u.gateway_hello.want = wants (p);
   cf_peer_msg_send (p->peer, m);
 }
@@ -283,8 +283,8 @@
 }
 
 void
-cf_peer_service_on_hold_lease (CfPeerService *s, CfPeerMsgTake take,
-                               void *owner)
+cf_peer_service_set_hold_lease_handler (CfPeerService *s, CfPeerMsgHandler take,
+                                        void *owner)
 {
   s->take_hold_lease = take;
   s->hold_lease_owner = owner;
@@ -306,8 +306,8 @@
   cf_gateway_set_fleet (g, MAX (n, told));
   if (n >= told)
     cf_gateway_set_place (g, cf_membership_ring_start (s->fleet, NULL), n);
-  else if (told_start >= 0 && told_start < CF_PEER_RING)
-    cf_gateway_set_place (g, (double)told_start / CF_PEER_RING,
+  else if (told_start >= 0 && told_start < CF_PEER_RING_UNITS)
+    cf_gateway_set_place (g, (double)told_start / CF_PEER_RING_UNITS,
                           members ? members : told);
 }
 
@@ -325,7 +325,7 @@
   p->heard_ms = g->now_ms;
   dc = g_strndup (m->u.gateway_hello.data_centre.data,
                   m->u.gateway_hello.data_centre.n);
-  cf_membership_hear (p->s->fleet, p->addr, dc, g->now_ms);
+  cf_membership_record_heartbeat (p->s->fleet, p->addr, dc, g->now_ms);
   g_free (dc);
   learn_fleet (p->s, m);
   take_paces (g, m->u.gateway_hello.slow);
@@ -440,7 +440,7 @@
   forget (p);
 }
 
-static const CfPeerLinkCalls link_calls = { on_up, on_frame, on_down };
+static const CfPeerLinkCallbacks link_calls = { on_up, on_frame, on_down };
 
 static Peer *
 new_peer (CfPeerService *s, int seed)
@@ -461,7 +461,7 @@
 
   p->peer = l;
   p->up = TRUE;
-  cf_peer_link_hand_over (l, &link_calls, p);
+  cf_peer_link_set_owner (l, &link_calls, p);
   take_msg (p, first);
   greet (p);
   send_crashes (p);
--- a/gateway/peer-service.h
+++ b/gateway/peer-service.h
@@ -28,9 +28,11 @@
 /** cf_peer_service_notify_seeds: sends @m to the peers that are seeds. */
 void cf_peer_service_notify_seeds (CfPeerService *s, const CfPeerMsg *m);
 
-/** cf_peer_service_on_hold_lease: has @take take each %CF_PEER_HOLD_LEASE. */
-void cf_peer_service_on_hold_lease (CfPeerService *s, CfPeerMsgTake take,
-                                    void *owner);
+/** cf_peer_service_set_hold_lease_handler: has @take take each
+ * %CF_PEER_HOLD_LEASE. */
+void cf_peer_service_set_hold_lease_handler (CfPeerService *s,
+                                             CfPeerMsgHandler take,
+                                             void *owner);
 
 /** cf_peer_service_tick: call it some times a second. */
 void cf_peer_service_tick (CfPeerService *s);
--- a/gateway/rank-agent-order.c
+++ b/gateway/rank-agent-order.c
@@ -140,7 +140,7 @@
     give (o);
   else
     {
-      o->http_status = CF_PEER_NO_BASE;
+      o->http_status = CF_PEER_STATUS_UNKNOWN_BASE;
       answer_order (o);
     }
 }
@@ -182,7 +182,7 @@
   char *body;
 
   shape.ranks = a->status.size;
-  map = cf_map_history_make (&a->maps, &shape, m->u.prepare.base,
+  map = cf_map_history_make (&a->maps, &shape, m->u.prepare.base_version,
                              m->u.prepare.rows);
   if (!map)
     return NULL;
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -22,7 +22,8 @@
 #define COPYING_MAX_MS 5000
 /** How often gateways that stand by get the status. */
 #define STANDBY_MS 1000
-/** A gateway that did not tick for so long is taken as down: three ticks. */
+/** A gateway that did not heartbeat for so long is taken as down: three ticks.
+ */
 #define HEARD_MS 1300L
 /** Between two looks for seeds without a link, while another has one... */
 #define RECONNECT_MS 500
@@ -68,7 +69,7 @@
 }
 
 static void
-tell_status (CfRankAgent *a, GArray *drawn)
+tell_status (CfRankAgent *a, GArray *expert_counts)
 {
   gint64 now = cf_now_ms ();
   CfSeed *lead = leader (a, now);
@@ -77,14 +78,14 @@
   m.u.rank_status.status = a->status;
   m.u.rank_status.fence_seen = a->fence_seen;
   m.u.rank_status.seeds_up = seeds_up (a, now);
-  m.u.rank_status.led = lead ? lead->fence : 0;
+  m.u.rank_status.leader_fence = lead ? lead->fence : 0;
   for (int i = 0; i < a->n_seeds; i++)
     {
       CfSeed *s = &a->seeds[i];
 
       if (!s->up || (lead && s != lead && now - s->told_ms < STANDBY_MS))
         continue;
-      m.u.rank_status.drawn = s == lead ? drawn : NULL;
+      m.u.rank_status.expert_counts = s == lead ? expert_counts : NULL;
       if (s == lead)
         a->told = a->status;
       s->told_ms = now;
@@ -170,7 +171,7 @@
     return READ_MS;
   if (a->awaited)
     return READ_COPYING_MS;
-  return CLAMP (lead->read_ms, READ_LEAST_MS, READ_MOST_MS);
+  return CLAMP (lead->report_interval_ms, READ_LEAST_MS, READ_MOST_MS);
 }
 
 static void
@@ -197,7 +198,7 @@
 {
   CfRankAgent *a = data;
   GArray *counts = NULL;
-  GArray *drawn = NULL;
+  GArray *expert_counts = NULL;
   gint64 incarnation = 0;
 
   if (status == 200
@@ -209,11 +210,11 @@
   if (counts && incarnation != a->status.incarnation)
     g_clear_pointer (&counts, g_array_unref);
   if (counts)
-    drawn = cf_expert_counts_since (&a->counts, counts, incarnation,
-                                    cf_now_ms ());
-  tell_status (a, drawn);
-  if (drawn)
-    g_array_unref (drawn);
+    expert_counts = cf_expert_counts_since (&a->counts, counts, incarnation,
+                                            cf_now_ms ());
+  tell_status (a, expert_counts);
+  if (expert_counts)
+    g_array_unref (expert_counts);
   reading_done (a);
 }
 
@@ -331,14 +332,14 @@
 /* A new leader's token guards the rank from here on; it waits to be told, as
  * does one that wants to be told more often from now on. */
 static void
-take_tick (CfSeed *s, gint64 fence, gint64 read_ms)
+take_tick (CfSeed *s, gint64 fence, gint64 report_interval_ms)
 {
   CfRankAgent *a = s->a;
-  gboolean sooner = fence > 0 && read_ms < s->read_ms;
+  gboolean sooner = fence > 0 && report_interval_ms < s->report_interval_ms;
 
   s->heard_ms = cf_now_ms ();
   s->fence = fence;
-  s->read_ms = read_ms;
+  s->report_interval_ms = report_interval_ms;
   if (fence <= a->fence_seen)
     {
       if (sooner && fence == a->fence_seen && !a->reading && !a->awaited)
@@ -367,8 +368,8 @@
   else
     switch (m.kind)
       {
-      case CF_PEER_TICK:
-        take_tick (s, m.u.tick.fence, m.u.tick.read_ms);
+      case CF_PEER_HEARTBEAT:
+        take_tick (s, m.u.heartbeat.fence, m.u.heartbeat.report_interval_ms);
         break;
       case CF_PEER_CRASHES:
         take_crashes (s, &m);
@@ -379,7 +380,7 @@
       case CF_PEER_PREPARE:
         cf_rank_agent_prepare (s, &m);
         break;
-      case CF_PEER_WANT_LISTS:
+      case CF_PEER_REQUEST_LISTS:
         cf_rank_call (s->a->loop, s->a->target,
                       cf_platform_rank_lists_call (s->a->set.target_addr),
                       CALL_TIMEOUT_MS, on_lists, s);
@@ -391,7 +392,7 @@
   msgpack_unpacked_destroy (&zone);
 }
 
-static const CfPeerLinkCalls link_calls = { on_up, on_frame, on_down };
+static const CfPeerLinkCallbacks link_calls = { on_up, on_frame, on_down };
 
 static gboolean
 is_alone (const CfRankAgent *a)
--- a/gateway/rank-agent.h
+++ b/gateway/rank-agent.h
@@ -17,11 +17,11 @@
   struct sockaddr_in addr;
   gboolean valid;
   CfPeerLink *link;
-  gboolean up;     /**< the link is made */
-  gint64 heard_ms; /**< when it last ticked */
-  gint64 fence;    /**< as it last ticked; 0: it stands by */
-  gint64 read_ms;  /**< how often it wants to be told, if it leads */
-  gint64 told_ms;  /**< when it last got a status */
+  gboolean up;               /**< the link is made */
+  gint64 heard_ms;           /**< when it last ticked */
+  gint64 fence;              /**< as it last ticked; 0: it stands by */
+  gint64 report_interval_ms; /**< how often it wants to be told, if it leads */
+  gint64 told_ms;            /**< when it last got a status */
 } CfSeed;
 
 /**
--- a/gateway/rank-service-lead.c
+++ b/gateway/rank-service-lead.c
@@ -62,7 +62,7 @@
     {
       const CfRankLink *a = g->agents[r];
 
-      votes += a && now - a->seen_ms < STATUS_FRESH_MS && a->led == 0
+      votes += a && now - a->seen_ms < STATUS_FRESH_MS && a->leader_fence == 0
                && (a->seeds_up & before) == 0;
     }
   return votes * 2 > g->c.shape.ranks;
--- a/gateway/rank-service-order.c
+++ b/gateway/rank-service-order.c
@@ -167,7 +167,7 @@
   forget_prepared (p);
   p->version = o->version;
   p->fence = o->fence;
-  p->base = version_in_use (&g->c);
+  p->base_version = version_in_use (&g->c);
   return p;
 }
 
@@ -238,14 +238,14 @@
 send_prepare (CfLedGroup *g, CfRankLink *a, const CfRankOrder *o)
 {
   const CfPreparedOrder *p = prepared_order (g, o);
-  gboolean in_whole = a->lacks_base || p->base == 0;
+  gboolean in_whole = a->lacks_base || p->base_version == 0;
   CfPeerMsg m = { .kind = CF_PEER_PREPARE };
 
   m.u.prepare.seq = g->s->seq;
   m.u.prepare.fence = o->fence;
   m.u.prepare.epoch = o->epoch;
   m.u.prepare.version = o->version;
-  m.u.prepare.base = in_whole ? 0 : p->base;
+  m.u.prepare.base_version = in_whole ? 0 : p->base_version;
   m.u.prepare.shape = o->map->shape;
   m.u.prepare.rows = (GArray *)rows_of (g, o, in_whole);
   cf_peer_msg_send (a->peer, &m);
--- a/gateway/rank-service-parts.h
+++ b/gateway/rank-service-parts.h
@@ -24,8 +24,8 @@
   char *target_addr;
   CfLedGroup *group; /**< %NULL until its first status */
   int rank;
-  guint seeds_up; /**< as its last status says */
-  gint64 led;     /**< token of the leader that the agent hears; 0: none */
+  guint seeds_up;      /**< as its last status says */
+  gint64 leader_fence; /**< token of the leader that the agent hears; 0: none */
   gint64 seen_ms;
   gboolean lacks_base; /**< it was never told the map that is in use */
   gint64 broken_ms;    /**< since when its group makes no passes; 0: it does */
@@ -37,10 +37,10 @@
 {
   gint64 version; /**< 0: none */
   gint64 fence;
-  gint64 base;      /**< version in use, which @rows change */
-  GArray *rows;     /**< (nullable) */
-  GArray *in_whole; /**< (nullable): against experts in turn */
-  char *json;       /**< (nullable): as a rank takes it */
+  gint64 base_version; /**< version in use, which @rows change */
+  GArray *rows;        /**< (nullable) */
+  GArray *in_whole;    /**< (nullable): against experts in turn */
+  char *json;          /**< (nullable): as a rank takes it */
 } CfPreparedOrder;
 
 /** CfRankGuard: the token that a rank itself has taken, not its agent. */
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-/** The coordinator's tick while a change is under way, and otherwise. */
+/** The coordinator's heartbeat while a change is under way, and otherwise. */
 #define BUSY_TICK_S 0.02
 #define IDLE_TICK_S 0.1
 /** Between two parts of a longer work, in which callers are served. */
@@ -38,7 +38,7 @@
 on_want_lists (void *data, int rank)
 {
   CfLedGroup *g = data;
-  CfPeerMsg m = { .kind = CF_PEER_WANT_LISTS };
+  CfPeerMsg m = { .kind = CF_PEER_REQUEST_LISTS };
 
   if (g->agents[rank])
     cf_peer_msg_send (g->agents[rank]->peer, &m);
@@ -194,7 +194,7 @@
 }
 
 static gint64
-read_ms (const CfRankLink *a)
+report_interval_ms (const CfRankLink *a)
 {
   int stride;
 
@@ -222,12 +222,12 @@
 static void
 tell_agent (CfRankLink *a)
 {
-  CfPeerMsg m = { .kind = CF_PEER_TICK };
+  CfPeerMsg m = { .kind = CF_PEER_HEARTBEAT };
 
   if (a->s->g->stopping && !may_hold_pass (a->group))
     return;
-  m.u.tick.fence = a->group ? a->group->c.fence : 0;
-  m.u.tick.read_ms = read_ms (a);
+  m.u.heartbeat.fence = a->group ? a->group->c.fence : 0;
+  m.u.heartbeat.report_interval_ms = report_interval_ms (a);
   cf_peer_msg_send (a->peer, &m);
 }
 
@@ -269,7 +269,7 @@
   gboolean busy = FALSE;
   gboolean more = FALSE;
   gint64 now = cf_gateway_now (s->g);
-  gboolean tick = now - s->ticked_ms >= TICK_MS;
+  gboolean heartbeat = now - s->ticked_ms >= TICK_MS;
   GHashTableIter it;
   gpointer v;
 
@@ -280,7 +280,7 @@
 
       if (s->seed >= 0)
         cf_led_group_decide_lead (g);
-      tick |= has_news_for_agents (g);
+      heartbeat |= has_news_for_agents (g);
       expire_orders (g);
       if (g->leads)
         ask_silent_ranks (g);
@@ -291,7 +291,7 @@
     }
   ev_timer_set (t, 0, more ? MORE_TICK_S : busy ? BUSY_TICK_S : IDLE_TICK_S);
   ev_timer_again (loop, t);
-  if (tick)
+  if (heartbeat)
     {
       s->ticked_ms = now;
       tell_agents (s);
@@ -331,7 +331,7 @@
 take_status (CfRankLink *a, const CfPeerMsg *m)
 {
   const CfRankStatus *st = &m->u.rank_status.status;
-  const GArray *drawn = m->u.rank_status.drawn;
+  const GArray *expert_counts = m->u.rank_status.expert_counts;
   gint64 now = cf_gateway_now (a->s->g);
 
   join_group (a, st);
@@ -342,7 +342,7 @@
   a->seen_ms = now;
   cf_order_watch_heard (&a->group->orders[a->rank]);
   a->seeds_up = m->u.rank_status.seeds_up;
-  a->led = m->u.rank_status.led;
+  a->leader_fence = m->u.rank_status.leader_fence;
   /* A version holds its leader's token, so it tells of leaders whose
    * orders the agent has forgotten. */
   a->group->fence_seen
@@ -353,9 +353,10 @@
       = MAX (a->group->fence_seen, cf_map_version_fence (st->prepared));
   cf_map_coordinator_status (&a->group->c, st, m->u.rank_status.fence_seen,
                              now);
-  if (drawn && drawn->len)
-    cf_map_coordinator_drawn (
-        &a->group->c, (const gint64 *)(gpointer)drawn->data, drawn->len);
+  if (expert_counts && expert_counts->len)
+    cf_map_coordinator_drawn (&a->group->c,
+                              (const gint64 *)(gpointer)expert_counts->data,
+                              expert_counts->len);
   cf_map_coordinator_tick (&a->group->c, now);
 }
 
@@ -367,7 +368,7 @@
 
   if (!g || !cf_order_watch_answered (&g->orders[a->rank], m->u.order_ack.seq))
     return;
-  a->lacks_base = m->u.order_ack.http_status == CF_PEER_NO_BASE;
+  a->lacks_base = m->u.order_ack.http_status == CF_PEER_STATUS_UNKNOWN_BASE;
   if (m->u.order_ack.status.group[0])
     cf_map_coordinator_status (&g->c, &m->u.order_ack.status,
                                m->u.order_ack.fence_seen, now);
@@ -440,7 +441,7 @@
   g_free (a);
 }
 
-static const CfPeerLinkCalls link_calls = { on_up, on_frame, on_down };
+static const CfPeerLinkCallbacks link_calls = { on_up, on_frame, on_down };
 
 void
 cf_rank_service_notify (CfRankService *s, const CfPeerMsg *m)
@@ -458,7 +459,7 @@
 
   a->s = s;
   a->peer = l;
-  cf_peer_link_hand_over (l, &link_calls, a);
+  cf_peer_link_set_owner (l, &link_calls, a);
   TAILQ_INSERT_TAIL (&s->agents, a, link);
   take_msg (a, first);
   tell_agent (a);
--- a/gateway/rank-service.h
+++ b/gateway/rank-service.h
@@ -24,7 +24,7 @@
 void cf_rank_service_set_notify (CfRankService *s, CfRankServiceNotify notify,
                                  void *data);
 
-/** cf_rank_service_take_hold_lease: a #CfPeerMsgTake for what another seed
+/** cf_rank_service_take_hold_lease: a #CfPeerMsgHandler for what another seed
  * says of a pass that it holds; @owner is the #CfRankService. */
 void cf_rank_service_take_hold_lease (void *owner, const CfPeerMsg *m);
 
--- a/gateway/store-watch.c
+++ b/gateway/store-watch.c
@@ -45,7 +45,7 @@
 }
 
 static void
-set_contact (CfStoreWatch *w, CfStoreContact now, const char *why)
+set_contact (CfStoreWatch *w, CfStoreReachability now, const char *why)
 {
   gboolean up = now == CF_STORE_UP;
 
@@ -66,7 +66,7 @@
   gint64 spread = g_random_int_range (0, 50);
 
   disconnect (w);
-  w->state = CF_WATCH_PAUSED;
+  w->state = CF_WATCH_BACKOFF;
   w->g->stats.store_errors++;
   set_contact (w, CF_STORE_DOWN, why);
   w->pause_ms = CLAMP (w->pause_ms * 2, PAUSE_FIRST_MS, PAUSE_LAST_MS);
@@ -122,7 +122,8 @@
 static void
 ask_in_batches (CfStoreWatch *w)
 {
-  gint64 pause = cf_watch_batcher_pause_ms (&w->batcher, cf_gateway_now (w->g));
+  gint64 pause
+      = cf_watch_batcher_next_delay_ms (&w->batcher, cf_gateway_now (w->g));
 
   if (pause == 0)
     {
@@ -325,7 +326,7 @@
 {
   CfStoreWatch *w = t->data;
 
-  if (w->state == CF_WATCH_PAUSED || w->state == CF_WATCH_BATCHING)
+  if (w->state == CF_WATCH_BACKOFF || w->state == CF_WATCH_BATCHING)
     begin_call (w);
   else
     failed (w, "no answer in time");
@@ -333,7 +334,7 @@
 
 void
 cf_store_watch_start (CfStoreWatch *w, CfGateway *g, const char *prefix,
-                      const CfStoreWatchCalls *calls)
+                      const CfStoreWatchCallbacks *calls)
 {
   memset (w, 0, sizeof *w);
   w->g = g;
--- a/gateway/store-watch.h
+++ b/gateway/store-watch.h
@@ -8,24 +8,24 @@
 /** CfWatchState: what a watch is doing. */
 typedef enum
 {
-  CF_WATCH_PAUSED, /**< waits before it tries again */
+  CF_WATCH_BACKOFF, /**< waits before it tries again */
   CF_WATCH_CONNECTING,
   CF_WATCH_RANGE,    /**< reads all keys, page by page */
   CF_WATCH_CHANGES,  /**< waits for changes */
   CF_WATCH_BATCHING, /**< had events; more may join them before it asks */
 } CfWatchState;
 
-/** CfStoreContact: whether the store answers this watch. */
+/** CfStoreReachability: whether the store answers this watch. */
 typedef enum
 {
   CF_STORE_UNKNOWN, /**< neither an answer nor a failure yet */
   CF_STORE_UP,
   CF_STORE_DOWN,
-} CfStoreContact;
+} CfStoreReachability;
 
 typedef struct CfStoreWatch CfStoreWatch;
 
-/** CfStoreWatchCalls: what the owner of a watch is told. */
+/** CfStoreWatchCallbacks: what the owner of a watch is told. */
 typedef struct
 {
   /** A key was written, or removed if it has no value. */
@@ -36,7 +36,7 @@
   void (*fresh) (CfGateway *g, gint64 as_of);
   /** The store stopped or began to answer. */
   void (*contact) (CfGateway *g, gboolean up);
-} CfStoreWatchCalls;
+} CfStoreWatchCallbacks;
 
 /**
  * CfStoreWatch:
@@ -48,7 +48,7 @@
 {
   CfGateway *g;
   const char *prefix;
-  const CfStoreWatchCalls *calls;
+  const CfStoreWatchCallbacks *calls;
   CfWatchState state;
   ev_io io;
   ev_timer timer;
@@ -61,7 +61,7 @@
   gint64 as_of;       /**< changes are wanted after this revision */
   gint64 range_as_of; /**< of the first page: pages are no snapshot */
   gboolean has_all;   /**< a range has been read since the last 410 */
-  CfStoreContact contact;
+  CfStoreReachability contact;
   gint64 wait_ms; /**< how long the store waits for a change */
   CfWatchBatcher batcher;
   gint64 pause_ms; /**< before the next try */
@@ -72,6 +72,6 @@
  * @prefix: not copied
  */
 void cf_store_watch_start (CfStoreWatch *w, CfGateway *g, const char *prefix,
-                           const CfStoreWatchCalls *calls);
+                           const CfStoreWatchCallbacks *calls);
 
 void cf_store_watch_stop (CfStoreWatch *w);
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -193,7 +193,7 @@
   start_timer (g);
 }
 
-static const CfStoreWatchCalls feed_calls
+static const CfStoreWatchCallbacks feed_calls
     = { on_item, on_snapshot, on_fresh, on_contact };
 
 void
--- a/gateway/watch-batcher.c
+++ b/gateway/watch-batcher.c
@@ -8,7 +8,7 @@
 #define BURST 4
 
 gint64
-cf_watch_batcher_pause_ms (CfWatchBatcher *g, gint64 now)
+cf_watch_batcher_next_delay_ms (CfWatchBatcher *g, gint64 now)
 {
   gint64 pause;
 
--- a/gateway/watch-batcher.h
+++ b/gateway/watch-batcher.h
@@ -14,8 +14,8 @@
 } CfWatchBatcher;
 
 /**
- * cf_watch_batcher_pause_ms:
+ * cf_watch_batcher_next_delay_ms:
  * Events came, and the next poll is about to be made.
  * Returns: delay before it, at most the interval between two polls.
  */
-gint64 cf_watch_batcher_pause_ms (CfWatchBatcher *g, gint64 now_ms);
+gint64 cf_watch_batcher_next_delay_ms (CfWatchBatcher *g, gint64 now_ms);
--- a/t/t-decode-fuzz.c
+++ b/t/t-decode-fuzz.c
@@ -278,8 +278,9 @@
     {
     case CF_PEER_RANK_STATUS:
       g_strlcpy (m->u.rank_status.status.group, "g", 2);
-      m->u.rank_status.drawn = g_array_new (FALSE, FALSE, sizeof (gint64));
-      g_array_append_val (m->u.rank_status.drawn, number);
+      m->u.rank_status.expert_counts
+          = g_array_new (FALSE, FALSE, sizeof (gint64));
+      g_array_append_val (m->u.rank_status.expert_counts, number);
       break;
     case CF_PEER_PREPARE:
       m->u.prepare.shape
@@ -294,16 +295,16 @@
       break;
     case CF_PEER_GATEWAY_HELLO:
       {
-        CfPeerPace p = { some, 3000, 9 };
-        CfPeerLimit l = { some, 9, 1100000, 40 };
+        CfPeerSlowdown p = { some, 3000, 9 };
+        CfPeerRateLimit l = { some, 9, 1100000, 40 };
 
         m->u.gateway_hello.data_centre = some;
         m->u.gateway_hello.ring_start = 7;
         m->u.gateway_hello.slow
-            = g_array_new (FALSE, FALSE, sizeof (CfPeerPace));
+            = g_array_new (FALSE, FALSE, sizeof (CfPeerSlowdown));
         g_array_append_val (m->u.gateway_hello.slow, p);
         m->u.gateway_hello.limits
-            = g_array_new (FALSE, FALSE, sizeof (CfPeerLimit));
+            = g_array_new (FALSE, FALSE, sizeof (CfPeerRateLimit));
         g_array_append_val (m->u.gateway_hello.limits, l);
       }
       break;
@@ -340,7 +341,8 @@
   CfGroupMap *map;
 
   shape.ranks = 4;
-  map = cf_map_history_make (&h, &shape, m->u.prepare.base, m->u.prepare.rows);
+  map = cf_map_history_make (&h, &shape, m->u.prepare.base_version,
+                             m->u.prepare.rows);
   for (gint64 i = 0; map && i < (gint64)shape.sets * shape.ranks * shape.places;
        i++)
     ck_assert (map->held[i] >= -1 && map->held[i] < MAX (shape.experts, 1));
--- a/t/t-fleet.c
+++ b/t/t-fleet.c
@@ -173,7 +173,8 @@
 }
 END_TEST
 
-/* Also after its start on the ring went over the wire, in 1 / CF_PEER_RING. */
+/* Also after its start on the ring went over the wire, in 1 /
+ * CF_PEER_RING_UNITS. */
 START_TEST (each_gateway_has_a_place_of_its_own)
 {
   const guint fleets[] = { 1, 2, 3, 12, 35, 340 };
@@ -183,11 +184,11 @@
     for (guint i = 0; i < fleets[f]; i++)
       {
         double start = (double)i / fleets[f];
-        gint64 wire = (gint64)(start * CF_PEER_RING);
+        gint64 wire = (gint64)(start * CF_PEER_RING_UNITS);
 
         cf_gateway_set_place (&g, start, fleets[f]);
         ck_assert_uint_eq (g.place.index, i);
-        cf_gateway_set_place (&g, (double)wire / CF_PEER_RING, fleets[f]);
+        cf_gateway_set_place (&g, (double)wire / CF_PEER_RING_UNITS, fleets[f]);
         ck_assert_uint_eq (g.place.index, i);
         ck_assert_uint_eq (g.place.n, fleets[f]);
       }
--- a/t/t-membership.c
+++ b/t/t-membership.c
@@ -13,7 +13,7 @@
   g_autofree char *addr = g_strdup_printf ("10.%d.0.%d:1", c, i);
   g_autofree char *dc = g_strdup_printf ("dc%d", c);
 
-  cf_membership_hear (m, addr, dc, now_ms);
+  cf_membership_record_heartbeat (m, addr, dc, now_ms);
 }
 
 static CfMembership *
--- a/t/t-peer-msg.c
+++ b/t/t-peer-msg.c
@@ -45,15 +45,16 @@
   m.u.rank_status.status.rank = 3;
   m.u.rank_status.status.held = 1LL << 40;
   m.u.rank_status.seeds_up = 5;
-  m.u.rank_status.led = 24;
-  m.u.rank_status.drawn = g_array_new (FALSE, FALSE, sizeof (gint64));
-  g_array_append_val (m.u.rank_status.drawn, n);
+  m.u.rank_status.leader_fence = 24;
+  m.u.rank_status.expert_counts = g_array_new (FALSE, FALSE, sizeof (gint64));
+  g_array_append_val (m.u.rank_status.expert_counts, n);
   there_and_back (&m, &o, &zone, &buf);
   ck_assert_str_eq (o.u.rank_status.status.group, "g0");
   ck_assert_int_eq (o.u.rank_status.status.held, 1LL << 40);
   ck_assert_uint_eq (o.u.rank_status.seeds_up, 5);
-  ck_assert_int_eq (o.u.rank_status.led, 24);
-  ck_assert_int_eq (g_array_index (o.u.rank_status.drawn, gint64, 0), 77);
+  ck_assert_int_eq (o.u.rank_status.leader_fence, 24);
+  ck_assert_int_eq (g_array_index (o.u.rank_status.expert_counts, gint64, 0),
+                    77);
   release (&o, &zone, &buf);
   cf_peer_msg_clear (&m);
 }
@@ -63,8 +64,8 @@
 {
   CfPeerMsg m = { .kind = CF_PEER_GATEWAY_HELLO };
   CfPeerTarget t = { bytes ("i-1"), bytes ("{}"), 12, 7 };
-  CfPeerPace slow = { bytes ("1.2.3.9:1"), 12000, 1783022913149 };
-  CfPeerLimit limit = { bytes ("i-2"), 1783022913149, 1100000, 40 };
+  CfPeerSlowdown slow = { bytes ("1.2.3.9:1"), 12000, 1783022913149 };
+  CfPeerRateLimit limit = { bytes ("i-2"), 1783022913149, 1100000, 40 };
   CfPeerMsg o;
   msgpack_unpacked zone;
   msgpack_sbuffer buf;
@@ -73,30 +74,32 @@
   m.u.gateway_hello.policy_rev = 9;
   m.u.gateway_hello.want = CF_PEER_WANT_TARGETS;
   m.u.gateway_hello.data_centre = bytes ("dc2");
-  m.u.gateway_hello.ring_start = CF_PEER_RING / 2;
+  m.u.gateway_hello.ring_start = CF_PEER_RING_UNITS / 2;
   m.u.gateway_hello.members = 4;
-  m.u.gateway_hello.slow = g_array_new (FALSE, FALSE, sizeof (CfPeerPace));
+  m.u.gateway_hello.slow = g_array_new (FALSE, FALSE, sizeof (CfPeerSlowdown));
   g_array_append_val (m.u.gateway_hello.slow, slow);
-  m.u.gateway_hello.limits = g_array_new (FALSE, FALSE, sizeof (CfPeerLimit));
+  m.u.gateway_hello.limits
+      = g_array_new (FALSE, FALSE, sizeof (CfPeerRateLimit));
   g_array_append_val (m.u.gateway_hello.limits, limit);
   there_and_back (&m, &o, &zone, &buf);
   ck_assert_uint_eq (o.u.gateway_hello.want, CF_PEER_WANT_TARGETS);
   ck_assert_int_eq (o.u.gateway_hello.policy_rev, 9);
   ck_assert_mem_eq (o.u.gateway_hello.data_centre.data, "dc2", 3);
-  ck_assert_int_eq (o.u.gateway_hello.ring_start, CF_PEER_RING / 2);
+  ck_assert_int_eq (o.u.gateway_hello.ring_start, CF_PEER_RING_UNITS / 2);
   ck_assert_uint_eq (o.u.gateway_hello.slow->len, 1);
   ck_assert_int_eq (
-      g_array_index (o.u.gateway_hello.slow, CfPeerPace, 0).thousandths, 12000);
+      g_array_index (o.u.gateway_hello.slow, CfPeerSlowdown, 0).thousandths,
+      12000);
   ck_assert_int_eq (
-      g_array_index (o.u.gateway_hello.slow, CfPeerPace, 0).incarnation,
+      g_array_index (o.u.gateway_hello.slow, CfPeerSlowdown, 0).incarnation,
       1783022913149);
   ck_assert_uint_eq (o.u.gateway_hello.members, 4);
   ck_assert_uint_eq (o.u.gateway_hello.limits->len, 1);
   ck_assert_int_eq (
-      g_array_index (o.u.gateway_hello.limits, CfPeerLimit, 0).millionths,
+      g_array_index (o.u.gateway_hello.limits, CfPeerRateLimit, 0).millionths,
       1100000);
   ck_assert_int_eq (
-      g_array_index (o.u.gateway_hello.limits, CfPeerLimit, 0).age_ms, 40);
+      g_array_index (o.u.gateway_hello.limits, CfPeerRateLimit, 0).age_ms, 40);
   cf_peer_msg_clear (&m);
   release (&o, &zone, &buf);
   m.kind = CF_PEER_TARGETS;
@@ -147,12 +150,12 @@
 
   g_strlcpy (m.u.rank_status.status.group, "group-1",
              sizeof m.u.rank_status.status.group);
-  m.u.rank_status.drawn = g_array_new (FALSE, FALSE, sizeof (gint64));
+  m.u.rank_status.expert_counts = g_array_new (FALSE, FALSE, sizeof (gint64));
   for (gint64 i = 0; i < LARGE_EXPERTS; i++)
     {
-      gint64 drawn = i % 60;
+      gint64 expert_counts = i % 60;
 
-      g_array_append_val (m.u.rank_status.drawn, drawn);
+      g_array_append_val (m.u.rank_status.expert_counts, expert_counts);
     }
   msgpack_sbuffer_init (&buf);
   cf_peer_msg_pack (&m, &buf);
@@ -172,14 +175,14 @@
 
   m.u.prepare.epoch = 3;
   m.u.prepare.version = G_GINT64_CONSTANT (178179074);
-  m.u.prepare.base = 5;
+  m.u.prepare.base_version = 5;
   m.u.prepare.shape = (CfGroupShape){ .sets = 10, .experts = 384, .places = 3 };
   m.u.prepare.rows = g_array_new (FALSE, FALSE, sizeof (gint64));
   g_array_append_vals (m.u.prepare.rows, row, G_N_ELEMENTS (row));
   there_and_back (&m, &o, &zone, &buf);
   ck_assert_int_eq (o.u.prepare.epoch, 3);
   ck_assert_int_eq (o.u.prepare.version, 178179074);
-  ck_assert_int_eq (o.u.prepare.base, 5);
+  ck_assert_int_eq (o.u.prepare.base_version, 5);
   ck_assert_int_eq (o.u.prepare.shape.experts, 384);
   ck_assert_uint_eq (o.u.prepare.rows->len, G_N_ELEMENTS (row));
   ck_assert_int_eq (g_array_index (o.u.prepare.rows, gint64, 2), -1);
@@ -288,7 +291,7 @@
   };
 
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
-    ck_assert_msg (cf_peer_frame_is_whole (cases[i].bytes, cases[i].n)
+    ck_assert_msg (cf_peer_frame_is_complete (cases[i].bytes, cases[i].n)
                        == cases[i].whole,
                    "case %" G_GSIZE_FORMAT, i);
 }
--- a/t/t-quarantine.c
+++ b/t/t-quarantine.c
@@ -287,7 +287,7 @@
 
       add (q, &d, "i-9/1", 1 + i);
     }
-  cf_peer_crashes_changed (q, 2000, &all, &held);
+  cf_peer_crashes_collect_changes (q, 2000, &all, &held);
   ck_assert_uint_eq (all.u.crashes->len, CF_QUARANTINE_MAX);
   for (guint i = 0; i < all.u.crashes->len; i++)
     ck_assert_uint_eq (g_array_index (all.u.crashes, CfPeerCrash, i).n, 1);
@@ -325,7 +325,7 @@
   CfPeerMsg held;
   guint n;
 
-  cf_peer_crashes_changed (from, now_ms, &all, &held);
+  cf_peer_crashes_collect_changes (from, now_ms, &all, &held);
   n = all.u.crashes->len;
   cf_peer_crashes_merge (to, &all, NULL, now_ms);
   cf_peer_msg_clear (&all);
--- a/t/t-watch-batcher.c
+++ b/t/t-watch-batcher.c
@@ -7,8 +7,8 @@
   CfWatchBatcher g = { 0 };
 
   for (int i = 0; i < 4; i++)
-    ck_assert_int_eq (cf_watch_batcher_pause_ms (&g, 10000 + i), 0);
-  ck_assert_int_gt (cf_watch_batcher_pause_ms (&g, 10004), 0);
+    ck_assert_int_eq (cf_watch_batcher_next_delay_ms (&g, 10000 + i), 0);
+  ck_assert_int_gt (cf_watch_batcher_next_delay_ms (&g, 10004), 0);
 }
 END_TEST
 
@@ -22,7 +22,7 @@
 
   while (now < 11000)
     {
-      gint64 pause = cf_watch_batcher_pause_ms (&g, now);
+      gint64 pause = cf_watch_batcher_next_delay_ms (&g, now);
 
       ck_assert_int_le (pause, 500);
       now += pause + 20;
@@ -31,7 +31,7 @@
   ck_assert_int_ge (calls, 20);
   ck_assert_int_le (calls, 25);
   /* After a quiet while it is at once again. */
-  ck_assert_int_eq (cf_watch_batcher_pause_ms (&g, now + 3000), 0);
+  ck_assert_int_eq (cf_watch_batcher_next_delay_ms (&g, now + 3000), 0);
 }
 END_TEST
 
