--- a/gateway/membership.c
+++ b/gateway/membership.c
@@ -6,16 +6,16 @@
 {
   char *addr;
   char *data_centre;
-  gint64 heard_ms;
-  double key; /* order on the ring */
-  double start;
+  gint64 last_heartbeat_ms;
+  double sort_key; /* orders the members on the ring */
+  double ring_start;
 } Member;
 
 struct CfMembership
 {
   GHashTable *by_addr; /* addr -> #Member, this gateway included */
   const Member *self;
-  gboolean is_placed; /* each member's @start is up to date */
+  gboolean ring_starts_valid; /* each member's @ring_start is up to date */
 };
 
 static void
@@ -36,7 +36,7 @@
   n->addr = g_strdup (addr);
   n->data_centre = g_strdup (data_centre ? data_centre : "");
   g_hash_table_replace (m->by_addr, n->addr, n);
-  m->is_placed = FALSE;
+  m->ring_starts_valid = FALSE;
   return n;
 }
 
@@ -68,11 +68,11 @@
     return;
   if (!n || strcmp (n->data_centre, data_centre ? data_centre : "") != 0)
     n = add_member (m, addr, data_centre);
-  n->heard_ms = now;
+  n->last_heartbeat_ms = now;
 }
 
 void
-cf_membership_expire (CfMembership *m, gint64 ms, gint64 now)
+cf_membership_expire (CfMembership *m, gint64 timeout_ms, gint64 now)
 {
   GHashTableIter it;
   gpointer v;
@@ -82,10 +82,10 @@
     {
       const Member *n = v;
 
-      if (n == m->self || now - n->heard_ms <= ms)
+      if (n == m->self || now - n->last_heartbeat_ms <= timeout_ms)
         continue;
       g_hash_table_iter_remove (&it);
-      m->is_placed = FALSE;
+      m->ring_starts_valid = FALSE;
     }
 }
 
@@ -96,7 +96,7 @@
 }
 
 static gint
-compare_place (gconstpointer a, gconstpointer b)
+compare_members (gconstpointer a, gconstpointer b)
 {
   const Member *x = *(Member *const *)a;
   const Member *y = *(Member *const *)b;
@@ -106,19 +106,20 @@
 }
 
 static gint
-compare_key (gconstpointer a, gconstpointer b)
+compare_sort_keys (gconstpointer a, gconstpointer b)
 {
   const Member *x = *(Member *const *)a;
   const Member *y = *(Member *const *)b;
 
-  if (x->key != y->key)
-    return x->key < y->key ? -1 : 1;
-  return compare_place (a, b);
+  if (x->sort_key != y->sort_key)
+    return x->sort_key < y->sort_key ? -1 : 1;
+  return compare_members (a, b);
 }
 
-/* How many of @a from @at on share a data centre. */
+/* Counts the consecutive members of @a, from index @at on, that share a data
+ * centre. */
 static guint
-count_same_place (const GPtrArray *a, guint at)
+count_same_data_centre (const GPtrArray *a, guint at)
 {
   const Member *first = a->pdata[at];
   guint n = 0;
@@ -129,26 +130,27 @@
   return n;
 }
 
-/* Each data centre's members are spread over the whole ring; centres are
- * shifted against one another. */
+/* Spreads the members of each data centre evenly over the whole ring, and
+ * offsets the data centres against one another so that their members
+ * interleave.  @a is sorted by data centre. */
 static void
-set_keys (GPtrArray *a)
+set_sort_keys (GPtrArray *a)
 {
-  guint centre = 0;
+  guint centre_index = 0;
 
-  for (guint at = 0; at < a->len; centre++)
+  for (guint at = 0; at < a->len; centre_index++)
     {
-      guint n = count_same_place (a, at);
+      guint n = count_same_data_centre (a, at);
 
       for (guint i = 0; i < n; i++)
-        ((Member *)a->pdata[at + i])->key
-            = (i + (double)centre / a->len) / (double)n;
+        ((Member *)a->pdata[at + i])->sort_key
+            = (i + (double)centre_index / a->len) / (double)n;
       at += n;
     }
 }
 
 static void
-place (CfMembership *m)
+assign_ring_starts (CfMembership *m)
 {
   GPtrArray *a = g_ptr_array_new ();
   GHashTableIter it;
@@ -157,13 +159,13 @@
   g_hash_table_iter_init (&it, m->by_addr);
   while (g_hash_table_iter_next (&it, NULL, &v))
     g_ptr_array_add (a, v);
-  g_ptr_array_sort (a, compare_place);
-  set_keys (a);
-  g_ptr_array_sort (a, compare_key);
+  g_ptr_array_sort (a, compare_members);
+  set_sort_keys (a);
+  g_ptr_array_sort (a, compare_sort_keys);
   for (guint i = 0; i < a->len; i++)
-    ((Member *)a->pdata[i])->start = (double)i / a->len;
+    ((Member *)a->pdata[i])->ring_start = (double)i / a->len;
   g_ptr_array_free (a, TRUE);
-  m->is_placed = TRUE;
+  m->ring_starts_valid = TRUE;
 }
 
 double
@@ -173,7 +175,7 @@
 
   if (!n)
     return -1;
-  if (!m->is_placed)
-    place (m);
-  return n->start;
+  if (!m->ring_starts_valid)
+    assign_ring_starts (m);
+  return n->ring_start;
 }
--- a/gateway/peer-crashes.c
+++ b/gateway/peer-crashes.c
@@ -4,18 +4,18 @@
 
 #include <string.h>
 
-/** Collect: messages that are being filled. */
+/** CollectContext: the messages that append_record() fills. */
 typedef struct
 {
-  GArray *all;  /* of #CfPeerCrash */
-  GArray *held; /* of #CfPeerCrash */
+  GArray *all;         /* of #CfPeerCrash */
+  GArray *quarantined; /* of #CfPeerCrash */
   gint64 now_ms;
-} Collect;
+} CollectContext;
 
 static void
-append (void *data, const CfCrashRecord *r)
+append_record (void *data, const CfCrashRecord *r)
 {
-  Collect *c = data;
+  CollectContext *c = data;
   CfPeerCrash p = { .digest = r->digest, .n = r->n };
 
   p.age_ms = r->n ? c->now_ms - r->seen_ms : 0;
@@ -28,11 +28,11 @@
     }
   g_array_append_val (c->all, p);
   if (cf_quarantine_holds (r))
-    g_array_append_val (c->held, p);
+    g_array_append_val (c->quarantined, p);
 }
 
 static GArray *
-begin (CfPeerMsg *m)
+init_crashes_msg (CfPeerMsg *m)
 {
   memset (m, 0, sizeof *m);
   m->kind = CF_PEER_CRASHES;
@@ -42,31 +42,33 @@
 
 void
 cf_peer_crashes_collect_changes (CfQuarantine *q, gint64 now_ms, CfPeerMsg *all,
-                                 CfPeerMsg *held)
+                                 CfPeerMsg *quarantined)
 {
-  Collect c = { begin (all), begin (held), now_ms };
+  CollectContext c
+      = { init_crashes_msg (all), init_crashes_msg (quarantined), now_ms };
 
-  cf_quarantine_flush (q, append, &c);
+  cf_quarantine_flush (q, append_record, &c);
 }
 
 void
-cf_peer_crashes_send_all (CfQuarantine *q, CfPeerLink *l, gboolean held_only,
-                          gint64 now_ms)
+cf_peer_crashes_send_all (CfQuarantine *q, CfPeerLink *l,
+                          gboolean quarantined_only, gint64 now_ms)
 {
   CfPeerMsg all;
-  CfPeerMsg held;
-  Collect c = { begin (&all), begin (&held), now_ms };
+  CfPeerMsg quarantined;
+  CollectContext c
+      = { init_crashes_msg (&all), init_crashes_msg (&quarantined), now_ms };
 
-  cf_quarantine_foreach (q, append, &c);
-  if ((held_only ? c.held : c.all)->len > 0)
-    cf_peer_msg_send (l, held_only ? &held : &all);
+  cf_quarantine_foreach (q, append_record, &c);
+  if ((quarantined_only ? c.quarantined : c.all)->len > 0)
+    cf_peer_msg_send (l, quarantined_only ? &quarantined : &all);
   cf_peer_msg_clear (&all);
-  cf_peer_msg_clear (&held);
+  cf_peer_msg_clear (&quarantined);
 }
 
-/* An age may be anything that a peer writes. */
+/* Clamps the age, because a peer can send any value. */
 static gint64
-time_of (gint64 age_ms, gint64 now_ms)
+age_to_time_ms (gint64 age_ms, gint64 now_ms)
 {
   return now_ms - CLAMP (age_ms, 0, CF_QUARANTINE_LIMIT_MS);
 }
@@ -83,8 +85,8 @@
 }
 
 static void
-merge_one (CfQuarantine *q, const CfPeerCrash *p, const char *peer,
-           gint64 now_ms)
+merge_record (CfQuarantine *q, const CfPeerCrash *p, const char *peer,
+              gint64 now_ms)
 {
   CfCrash crashes[CF_QUARANTINE_CRASHES];
 
@@ -98,11 +100,11 @@
       CfPeerBytes target = p->crashes[i].target;
 
       crashes[i].target = g_strndup (target.data, target.n);
-      crashes[i].sent_ms = time_of (p->crashes[i].sent_age_ms, now_ms);
-      crashes[i].lost_ms = time_of (p->crashes[i].lost_age_ms, now_ms);
+      crashes[i].sent_ms = age_to_time_ms (p->crashes[i].sent_age_ms, now_ms);
+      crashes[i].lost_ms = age_to_time_ms (p->crashes[i].lost_age_ms, now_ms);
     }
   if (cf_quarantine_merge (q, &p->digest, crashes, p->n,
-                           time_of (p->age_ms, now_ms)))
+                           age_to_time_ms (p->age_ms, now_ms)))
     log_quarantined (p, peer);
   for (guint i = 0; i < p->n; i++)
     g_free (crashes[i].target);
@@ -113,5 +115,6 @@
                        gint64 now_ms)
 {
   for (guint i = 0; i < m->u.crashes->len; i++)
-    merge_one (q, &g_array_index (m->u.crashes, CfPeerCrash, i), peer, now_ms);
+    merge_record (q, &g_array_index (m->u.crashes, CfPeerCrash, i), peer,
+                  now_ms);
 }
--- a/gateway/peer-crashes.h
+++ b/gateway/peer-crashes.h
@@ -5,29 +5,31 @@
 
 /**
  * cf_peer_crashes_collect_changes:
- * The requests that changed since they were last flushed from @q.
- * @all: (out): for gateways
- * @held: (out): of these, the ones that are quarantined or were until now, for
- *   rank agents
+ * Flushes from @q the records that changed since the last flush into messages.
+ * @all: (out): all of them, for gateways
+ * @quarantined: (out): those of requests that are quarantined, or were until
+ * they were cleared, for rank agents
  *
- * What the messages point to lasts until @q changes; their arrays are the
- * caller's.
+ * The messages point into @q and are valid until it changes.  Free their arrays
+ * with cf_peer_msg_clear().
  */
 void cf_peer_crashes_collect_changes (CfQuarantine *q, gint64 now_ms,
-                                      CfPeerMsg *all, CfPeerMsg *held);
+                                      CfPeerMsg *all, CfPeerMsg *quarantined);
 
 /**
  * cf_peer_crashes_send_all:
- * Sends what @q remembers to a process that may have missed it, if anything.
- * @held_only: only the requests that are quarantined
+ * Sends the records of @q, if there are any, to a process that may have missed
+ * them.
+ * @quarantined_only: send only the records of requests that are quarantined, or
+ * were until they were cleared
  */
 void cf_peer_crashes_send_all (CfQuarantine *q, CfPeerLink *l,
-                               gboolean held_only, gint64 now_ms);
+                               gboolean quarantined_only, gint64 now_ms);
 
 /**
  * cf_peer_crashes_merge:
  * Merges a peer's records into @q.
- * @peer: (nullable): its name, for the log
+ * @peer: (nullable): name of the peer, for the log
  */
 void cf_peer_crashes_merge (CfQuarantine *q, const CfPeerMsg *m,
                             const char *peer, gint64 now_ms);
--- a/gateway/peer-frame.c
+++ b/gateway/peer-frame.c
@@ -1,6 +1,6 @@
 #include "peer-frame.h"
 
-/* The first byte of a value, as msgpack defines it. */
+/* First bytes of values in msgpack.  Each starts a range of types. */
 #define FIXMAP 0x80
 #define FIXARRAY 0x90
 #define FIXSTR 0xa0
@@ -14,82 +14,83 @@
 #define MAP16 0xde
 #define NEGATIVE_FIXINT 0xe0
 
-/** Head: what a value's first bytes say of it. */
+/** Header: what the first bytes of a value say about its size. */
 typedef struct
 {
-  guint length_bytes; /* that follow and hold @parts or @bytes */
-  gboolean is_parts;  /* the length counts values, not bytes */
-  guint per_part;     /* values for each of them: two of a map */
-  guint64 length;
-  guint64 more; /* bytes besides */
-} Head;
+  guint length_size;        /* bytes of the length field that follows */
+  gboolean is_container;    /* an array or a map */
+  guint values_per_element; /* two in a map */
+  guint64 length;           /* elements of a container, else bytes */
+  guint64 skip_bytes;       /* bytes to skip besides @length */
+} Header;
 
-/* Bytes of a number: 0xca float32, float64, uint 8 to 64, int 8 to 64. */
+/* Returns the size of a number in bytes.  The types from 0xca on are float32,
+ * float64, uint 8 to 64 and int 8 to 64. */
 static guint
-number_bytes (guchar b)
+number_size (guchar b)
 {
   static const guchar sizes[] = { 4, 8, 1, 2, 4, 8, 1, 2, 4, 8 };
 
   return sizes[b - FLOAT32];
 }
 
-static Head
-read_head (guchar b)
+static Header
+parse_header (guchar b)
 {
-  Head h = { 0, FALSE, 1, 0, 0 };
+  Header h = { 0, FALSE, 1, 0, 0 };
 
   if (b < FIXMAP || b >= NEGATIVE_FIXINT)
     return h;
   if (b < FIXARRAY)
-    h = (Head){ 0, TRUE, 2, b & 0x0f, 0 };
+    h = (Header){ 0, TRUE, 2, b & 0x0f, 0 };
   else if (b < FIXSTR)
-    h = (Head){ 0, TRUE, 1, b & 0x0f, 0 };
+    h = (Header){ 0, TRUE, 1, b & 0x0f, 0 };
   else if (b < NIL)
     h.length = b & 0x1f;
   else if (b < BIN8)
     return h;
   else if (b < EXT8)
-    h.length_bytes = 1U << (b - BIN8);
+    h.length_size = 1U << (b - BIN8);
   else if (b < FLOAT32)
-    h = (Head){ 1U << (b - EXT8), FALSE, 1, 0, 1 };
+    h = (Header){ 1U << (b - EXT8), FALSE, 1, 0, 1 };
   else if (b < FIXEXT1)
-    h.more = number_bytes (b);
+    h.skip_bytes = number_size (b);
   else if (b < STR8)
-    h.more = 1 + (1U << (b - FIXEXT1));
+    h.skip_bytes = 1 + (1U << (b - FIXEXT1));
   else if (b < ARRAY16)
-    h.length_bytes = 1U << (b - STR8);
+    h.length_size = 1U << (b - STR8);
   else
-    h = (Head){ b & 1 ? 4 : 2, TRUE, b < MAP16 ? 1 : 2, 0, 0 };
+    h = (Header){ b & 1 ? 4 : 2, TRUE, b < MAP16 ? 1 : 2, 0, 0 };
   return h;
 }
 
 gboolean
 cf_peer_frame_is_complete (const char *data, gsize n)
 {
-  guint64 open = 1; /* values that are still to come */
-  gsize at = 0;
+  guint64 n_pending = 1; /* values that are still expected */
+  gsize pos = 0;
 
-  while (open > 0)
+  while (n_pending > 0)
     {
-      Head h;
+      Header h;
 
-      if (at >= n)
+      if (pos >= n)
         return FALSE;
-      h = read_head ((guchar)data[at++]);
-      if (h.length_bytes > n - at)
+      h = parse_header ((guchar)data[pos++]);
+      if (h.length_size > n - pos)
         return FALSE;
-      for (guint i = 0; i < h.length_bytes; i++)
-        h.length = h.length << 8 | (guchar)data[at++];
-      open--;
-      if (h.is_parts)
-        open += h.length * h.per_part;
+      for (guint i = 0; i < h.length_size; i++)
+        h.length = h.length << 8 | (guchar)data[pos++];
+      n_pending--;
+      if (h.is_container)
+        n_pending += h.length * h.values_per_element;
       else
-        h.more += h.length;
-      if (h.more > n - at)
+        h.skip_bytes += h.length;
+      if (h.skip_bytes > n - pos)
         return FALSE;
-      at += h.more;
-      /* Each value takes a byte at least. */
-      if (open > n - at)
+      pos += h.skip_bytes;
+      /* Each value takes at least one byte. */
+      if (n_pending > n - pos)
         return FALSE;
     }
   return TRUE;
--- a/gateway/peer-link.h
+++ b/gateway/peer-link.h
@@ -6,57 +6,61 @@
 
 typedef struct CfPeerLink CfPeerLink;
 
-/** CfPeerLinkCallbacks: what the owner of a link is told. */
+/** CfPeerLinkCallbacks: events reported to the owner of a link. */
 typedef struct
 {
-  /** The connection is made; a link that was accepted never says so. */
+  /** The connection is established.  Not called for an accepted link. */
   void (*up) (void *owner, CfPeerLink *l);
-  /** A whole frame, which lasts only for this call. */
+  /** A complete frame was received; @data is valid only during the call. */
   void (*frame) (void *owner, CfPeerLink *l, const char *data, gsize n);
-  /** The link is lost; it is freed after this. */
+  /** The link is lost, and is freed after this call. */
   void (*down) (void *owner, CfPeerLink *l);
 } CfPeerLinkCallbacks;
 
 /**
  * CfPeerLink:
- * A connection between two of our processes that carries frames: a length
- * of four bytes, then that many bytes of msgpack.
+ * A connection between two gateways, or a gateway and a rank agent, that
+ * carries frames: a length of four bytes in big-endian order, then that many
+ * bytes of msgpack.
  */
 struct CfPeerLink
 {
   struct ev_loop *loop;
   ev_io io;
-  ev_timer timer; /**< limits connecting */
-  GString *in;
-  GString *out;
-  gsize out_sent;
-  const CfPeerLinkCallbacks *calls;
+  ev_timer connect_timer; /**< limits the time of a connection attempt */
+  GString *input;
+  GString *output;
+  gsize output_sent; /**< bytes of @output that have been sent */
+  const CfPeerLinkCallbacks *callbacks;
   void *owner;
   gboolean connecting;
-  gboolean in_read;
-  gboolean dead;
+  gboolean in_io_handler; /**< on_io() runs, and frees the link if it is
+                             closed meanwhile */
+  gboolean closed;
 };
 
-/** cf_peer_link_connect: (nullable): begins to connect to @addr. */
+/** cf_peer_link_connect: (nullable): starts to connect to @addr. */
 CfPeerLink *cf_peer_link_connect (struct ev_loop *loop,
                                   const struct sockaddr_in *addr,
-                                  const CfPeerLinkCallbacks *calls,
+                                  const CfPeerLinkCallbacks *callbacks,
                                   void *owner);
 
-/** cf_peer_link_accept: a link on @fd, which a peer connected to. */
+/** cf_peer_link_accept: creates a link on @fd, a connection accepted from a
+ * peer. */
 CfPeerLink *cf_peer_link_accept (struct ev_loop *loop, int fd,
-                                 const CfPeerLinkCallbacks *calls, void *owner);
+                                 const CfPeerLinkCallbacks *callbacks,
+                                 void *owner);
 
-/** cf_peer_link_set_owner: @owner is told of what comes from now on. */
-void cf_peer_link_set_owner (CfPeerLink *l, const CfPeerLinkCallbacks *calls,
-                             void *owner);
+/** cf_peer_link_set_owner: reports all further events to @owner. */
+void cf_peer_link_set_owner (CfPeerLink *l,
+                             const CfPeerLinkCallbacks *callbacks, void *owner);
 
 /**
  * cf_peer_link_send:
- * Sends a frame; a peer that does not read, so that too much waits, loses
- * the link.
+ * Sends a frame.  The link is dropped if the peer reads so slowly that too much
+ * output is queued.
  */
 void cf_peer_link_send (CfPeerLink *l, const char *data, gsize n);
 
-/** cf_peer_link_close: closes it without telling the owner. */
+/** cf_peer_link_close: closes the link without calling down(). */
 void cf_peer_link_close (CfPeerLink *l);
--- a/gateway/peer-msg.c
+++ b/gateway/peer-msg.c
@@ -4,8 +4,6 @@
 
 #include <string.h>
 
-/* Packing */
-
 static void
 put_int (msgpack_packer *pk, gint64 v)
 {
@@ -70,14 +68,14 @@
 }
 
 static void
-put_paces (msgpack_packer *pk, const GArray *paces)
+put_slowdowns (msgpack_packer *pk, const GArray *slowdowns)
 {
-  guint n = paces ? paces->len : 0;
+  guint n = slowdowns ? slowdowns->len : 0;
 
   msgpack_pack_array (pk, n);
   for (guint i = 0; i < n; i++)
     {
-      const CfPeerSlowdown *p = &g_array_index (paces, CfPeerSlowdown, i);
+      const CfPeerSlowdown *p = &g_array_index (slowdowns, CfPeerSlowdown, i);
 
       msgpack_pack_array (pk, 3);
       put_bytes (pk, p->addr);
@@ -87,14 +85,15 @@
 }
 
 static void
-put_limits (msgpack_packer *pk, const GArray *limits)
+put_rate_limits (msgpack_packer *pk, const GArray *rate_limits)
 {
-  guint n = limits ? limits->len : 0;
+  guint n = rate_limits ? rate_limits->len : 0;
 
   msgpack_pack_array (pk, n);
   for (guint i = 0; i < n; i++)
     {
-      const CfPeerRateLimit *l = &g_array_index (limits, CfPeerRateLimit, i);
+      const CfPeerRateLimit *l
+          = &g_array_index (rate_limits, CfPeerRateLimit, i);
 
       msgpack_pack_array (pk, 4);
       put_bytes (pk, l->id);
@@ -127,7 +126,7 @@
 }
 
 static void
-begin (msgpack_packer *pk, const CfPeerMsg *m, size_t fields)
+put_header (msgpack_packer *pk, const CfPeerMsg *m, size_t fields)
 {
   msgpack_pack_array (pk, fields + 1);
   put_int (pk, m->kind);
@@ -142,26 +141,26 @@
   switch (m->kind)
     {
     case CF_PEER_AGENT_HELLO:
-      begin (&pk, m, 1);
+      put_header (&pk, m, 1);
       put_bytes (&pk, m->u.agent_hello.target_addr);
       break;
     case CF_PEER_RANK_STATUS:
-      begin (&pk, m, 6);
+      put_header (&pk, m, 6);
       put_status (&pk, &m->u.rank_status.status);
       put_int (&pk, m->u.rank_status.fence_seen);
       put_int (&pk, m->u.rank_status.seeds_up);
       put_int (&pk, m->u.rank_status.leader_fence);
-      /* Where an earlier version has what was chosen since the rank began. */
+      /* Empty: earlier versions send the counts since the rank's start here. */
       put_array (&pk, NULL);
       put_array (&pk, m->u.rank_status.expert_counts);
       break;
     case CF_PEER_HEARTBEAT:
-      begin (&pk, m, 2);
+      put_header (&pk, m, 2);
       put_int (&pk, m->u.heartbeat.fence);
       put_int (&pk, m->u.heartbeat.report_interval_ms);
       break;
     case CF_PEER_ORDER:
-      begin (&pk, m, 5);
+      put_header (&pk, m, 5);
       put_int (&pk, m->u.order.seq);
       put_int (&pk, m->u.order.fence);
       put_int (&pk, m->u.order.order);
@@ -169,7 +168,7 @@
       put_bytes (&pk, m->u.order.body);
       break;
     case CF_PEER_PREPARE:
-      begin (&pk, m, 9);
+      put_header (&pk, m, 9);
       put_int (&pk, m->u.prepare.seq);
       put_int (&pk, m->u.prepare.fence);
       put_int (&pk, m->u.prepare.epoch);
@@ -181,50 +180,50 @@
       put_array (&pk, m->u.prepare.rows);
       break;
     case CF_PEER_ORDER_ACK:
-      begin (&pk, m, 4);
+      put_header (&pk, m, 4);
       put_int (&pk, m->u.order_ack.seq);
       put_int (&pk, m->u.order_ack.http_status);
       put_int (&pk, m->u.order_ack.fence_seen);
       put_status (&pk, &m->u.order_ack.status);
       break;
     case CF_PEER_REQUEST_LISTS:
-      begin (&pk, m, 0);
+      put_header (&pk, m, 0);
       break;
     case CF_PEER_LISTS:
-      begin (&pk, m, 3);
+      put_header (&pk, m, 3);
       put_int (&pk, m->u.lists.epoch);
       put_int (&pk, m->u.lists.version);
       put_array (&pk, m->u.lists.experts);
       break;
     case CF_PEER_GATEWAY_HELLO:
-      begin (&pk, m, 10);
+      put_header (&pk, m, 10);
       put_bytes (&pk, m->u.gateway_hello.addr);
       put_int (&pk, m->u.gateway_hello.policy_rev);
       put_int (&pk, m->u.gateway_hello.targets_rev);
-      put_int (&pk, m->u.gateway_hello.fleet);
+      put_int (&pk, m->u.gateway_hello.fleet_size);
       put_int (&pk, m->u.gateway_hello.want);
-      put_paces (&pk, m->u.gateway_hello.slow);
+      put_slowdowns (&pk, m->u.gateway_hello.slowdowns);
       put_bytes (&pk, m->u.gateway_hello.data_centre);
       put_int (&pk, m->u.gateway_hello.ring_start);
-      put_limits (&pk, m->u.gateway_hello.limits);
-      put_int (&pk, m->u.gateway_hello.members);
+      put_rate_limits (&pk, m->u.gateway_hello.rate_limits);
+      put_int (&pk, m->u.gateway_hello.n_ring_members);
       break;
     case CF_PEER_POLICY:
-      begin (&pk, m, 2);
+      put_header (&pk, m, 2);
       put_int (&pk, m->u.policy.rev);
       put_bytes (&pk, m->u.policy.json);
       break;
     case CF_PEER_TARGETS:
-      begin (&pk, m, 2);
+      put_header (&pk, m, 2);
       put_int (&pk, m->u.targets.as_of);
       put_targets (&pk, m->u.targets.items);
       break;
     case CF_PEER_CRASHES:
-      begin (&pk, m, 1);
+      put_header (&pk, m, 1);
       put_crashes (&pk, m->u.crashes);
       break;
     case CF_PEER_HOLD_LEASE:
-      begin (&pk, m, 3);
+      put_header (&pk, m, 3);
       put_bytes (&pk, m->u.hold_lease.group);
       put_int (&pk, m->u.hold_lease.fence);
       put_int (&pk, m->u.hold_lease.held);
@@ -260,8 +259,8 @@
       a = &m->u.lists.experts;
       break;
     case CF_PEER_GATEWAY_HELLO:
-      a = &m->u.gateway_hello.slow;
-      g_clear_pointer (&m->u.gateway_hello.limits, g_array_unref);
+      a = &m->u.gateway_hello.slowdowns;
+      g_clear_pointer (&m->u.gateway_hello.rate_limits, g_array_unref);
       break;
     case CF_PEER_TARGETS:
       a = &m->u.targets.items;
@@ -278,7 +277,7 @@
 
 void
 cf_peer_msg_receive (const char *data, gsize n, const char *role,
-                     const char *name, CfPeerMsgHandler take, void *owner)
+                     const char *name, CfPeerMsgHandler handler, void *owner)
 {
   msgpack_unpacked zone;
   CfPeerMsg m;
@@ -287,7 +286,7 @@
     cf_log (LOG_WARNING, CF_EV_PEER, "%s=%s outcome=bad error=\"%s\"", role,
             name ? name : "-", cf_last_error ());
   else
-    take (owner, &m);
+    handler (owner, &m);
   cf_peer_msg_clear (&m);
   msgpack_unpacked_destroy (&zone);
 }
--- a/gateway/peer-msg.h
+++ b/gateway/peer-msg.h
@@ -7,35 +7,36 @@
 
 #include <msgpack.h>
 
-/** CfPeerMsgKind: the tag of a #CfPeerMsg; the numbers go over the wire. */
+/** CfPeerMsgKind: the type of a #CfPeerMsg; values are sent on the wire. */
 typedef enum
 {
-  CF_PEER_AGENT_HELLO = 1,   /**< rank agent: who I am */
-  CF_PEER_RANK_STATUS = 2,   /**< rank agent: my rank's state, and counts */
-  CF_PEER_HEARTBEAT = 3,     /**< gateway: I live, and lead or not */
-  CF_PEER_ORDER = 4,         /**< gateway: give your rank this order */
-  CF_PEER_ORDER_ACK = 5,     /**< rank agent: what came of it */
-  CF_PEER_REQUEST_LISTS = 6, /**< gateway: which experts does it hold? */
-  CF_PEER_LISTS = 7,         /**< rank agent: these */
-  CF_PEER_GATEWAY_HELLO = 8, /**< gateway: where I am, and what I know */
-  CF_PEER_POLICY = 9,        /**< gateway: the newest configuration I have */
-  CF_PEER_TARGETS = 10,      /**< gateway: the targets as I know them */
-  CF_PEER_PREPARE = 11,      /**< gateway: have your rank prepare this map */
+  CF_PEER_AGENT_HELLO = 1,   /**< rank agent: identifies itself */
+  CF_PEER_RANK_STATUS = 2,   /**< rank agent: state and counts of its rank */
+  CF_PEER_HEARTBEAT = 3,     /**< gateway: is alive, and leads or not */
+  CF_PEER_ORDER = 4,         /**< gateway: an order for the agent's rank */
+  CF_PEER_ORDER_ACK = 5,     /**< rank agent: the outcome of an order */
+  CF_PEER_REQUEST_LISTS = 6, /**< gateway: asks which experts the rank holds */
+  CF_PEER_LISTS = 7,         /**< rank agent: the experts its rank holds */
+  CF_PEER_GATEWAY_HELLO = 8, /**< gateway: its address and revisions */
+  CF_PEER_POLICY = 9,        /**< gateway: its newest configuration */
+  CF_PEER_TARGETS = 10,      /**< gateway: its list of targets */
+  CF_PEER_PREPARE = 11,      /**< gateway: an order to prepare an expert map */
   CF_PEER_CRASHES = 12,      /**< requests during which targets crashed */
-  CF_PEER_HOLD_LEASE = 13,   /**< gateway: I hold a pass of a group I lead */
+  CF_PEER_HOLD_LEASE = 13,   /**< leading gateway: it holds a pass of a group */
 } CfPeerMsgKind;
 
-/** Units of a place on the ring of targets. */
+/** Positions on the ring of targets are sent in units of 1 / this. */
 #define CF_PEER_RING_UNITS 65536
 
-/** CfPeerBytes: bytes within a frame that was read. */
+/** CfPeerBytes: bytes that a message does not own; in a received message they
+ * lie within its frame. */
 typedef struct
 {
   const char *data;
   gsize n;
 } CfPeerBytes;
 
-/** CfPeerMsg: a message between two of our processes. */
+/** CfPeerMsg: a message between two gateways, or a gateway and a rank agent. */
 typedef struct
 {
   CfPeerMsgKind kind;
@@ -48,17 +49,17 @@
     struct
     {
       CfRankStatus status;
-      gint64 fence_seen; /**< the highest token the agent has obeyed */
-      guint seeds_up;    /**< bit i: seed i was heard from lately */
-      gint64
-          leader_fence; /**< token of the leader it hears; 0: it hears none */
+      gint64 fence_seen;   /**< highest fencing token the agent has accepted */
+      guint seeds_up;      /**< bit i: seed i was heard from recently */
+      gint64 leader_fence; /**< fencing token of the leader that the agent
+                                   hears from; 0: none */
       GArray *expert_counts; /**< (nullable): of gint64, by expert: how often it
-                          was chosen since it was last told; owned */
+                                was chosen since the previous report; owned */
     } rank_status;
     struct
     {
-      gint64 fence; /**< of the leader; 0 if this gateway stands by */
-      gint64 report_interval_ms; /**< how often the leader wants to be told */
+      gint64 fence; /**< the sender's fencing token; 0 if it does not lead */
+      gint64 report_interval_ms; /**< at which the leader wants reports */
     } heartbeat;
     struct
     {
@@ -73,40 +74,45 @@
       gint64 seq;
       gint64 fence;
       gint64 epoch;
-      gint64 version;      /**< told of again once its copy is whole */
-      gint64 base_version; /**< version that @rows change; 0: in turn */
-      CfGroupShape shape;  /**< without ranks, which the agent knows */
-      GArray *rows;        /**< as cf_group_map_rows() gives them; owned */
+      gint64 version; /**< reported as prepared once its copy is complete */
+      gint64 base_version; /**< version that @rows change; 0: the map that
+                                assigns experts to ranks round-robin */
+      CfGroupShape shape;  /**< without the number of ranks, which is not sent:
+                                the agent knows it */
+      GArray *rows;        /**< as returned by cf_group_map_rows(); owned */
     } prepare;
     struct
     {
       gint64 seq;
-      gint64 http_status; /**< 0: no answer; %CF_PEER_STATUS_UNKNOWN_BASE */
-      gint64 fence_seen;  /**< the highest token the agent has obeyed */
+      gint64 http_status; /**< the rank's; 0: no answer; or
+                               %CF_PEER_STATUS_UNKNOWN_BASE */
+      gint64 fence_seen;  /**< highest fencing token the agent has accepted */
       CfRankStatus status;
     } order_ack;
     struct
     {
       gint64 epoch;
       gint64 version;  /**< of the map in use */
-      GArray *experts; /**< of gint64, sets ended by -1; owned */
+      GArray *experts; /**< of gint64: the experts of each set, followed by -1;
+                            owned */
     } lists;
     struct
     {
-      CfPeerBytes addr; /**< where the gateway takes links */
+      CfPeerBytes addr; /**< where the sender accepts links */
       gint64 policy_rev;
       gint64 targets_rev;
-      guint fleet;  /**< gateways that the sender knows of, itself too */
-      guint want;   /**< CF_PEER_WANT_ bits: what the sender lacks */
-      GArray *slow; /**< (nullable): of #CfPeerSlowdown: slow targets that
-                       agents tell the sender of; owned */
+      guint fleet_size; /**< gateways known to the sender, including itself */
+      guint want; /**< CF_PEER_WANT_ bits: what the receiver should send */
+      GArray *slowdowns; /**< (nullable): of #CfPeerSlowdown: slow targets that
+                               agents reported to the sender; owned */
       CfPeerBytes data_centre; /**< the sender's */
-      gint64 ring_start; /**< where the receiver begins on the ring of targets,
-                              in 1 / %CF_PEER_RING_UNITS; negative: not known */
-      GArray *limits; /**< (nullable): of #CfPeerRateLimit: rates that targets
-                           take; owned */
-      guint members;  /**< gateways that @ring_start was worked out for; 0:
-                           not known */
+      gint64 ring_start;    /**< where the receiver should start on the ring of
+                                 targets, in 1 / %CF_PEER_RING_UNITS; negative:
+                                 unknown */
+      GArray *rate_limits;  /**< (nullable): of #CfPeerRateLimit: limits that
+                               targets announced; owned */
+      guint n_ring_members; /**< gateways that @ring_start was computed for; 0:
+                                unknown */
     } gateway_hello;
     struct
     {
@@ -115,65 +121,66 @@
     } policy;
     struct
     {
-      gint64 as_of;  /**< the store's revision of the whole list */
+      gint64 as_of;  /**< the store's revision that the list is current for */
       GArray *items; /**< of #CfPeerTarget, owned */
     } targets;
     GArray *crashes; /**< of #CfPeerCrash, owned */
     struct
     {
       CfPeerBytes group;
-      gint64 fence;  /**< of the leader */
+      gint64 fence;  /**< fencing token of the leader */
       gboolean held; /**< %FALSE: the hold has ended */
     } hold_lease;
   } u;
 } CfPeerMsg;
 
-/** In place of a rank's status: the agent was never told the map that the one
- * to prepare is named by; it takes one by what a group begins with. */
+/** Sent as @http_status if the agent does not have the map of @base_version.
+ * It accepts rows that change the initial map, with @base_version 0. */
 #define CF_PEER_STATUS_UNKNOWN_BASE 1
 
-/** Bits of a greeting's want. */
+/** Bits of @want in a gateway's hello. */
 #define CF_PEER_WANT_POLICY 1U
 #define CF_PEER_WANT_TARGETS 2U
 
-/** Fractions go over the wire in thousandths. */
+/** Fractions are sent in thousandths. */
 #define CF_PEER_THOUSANDTHS 1000.0
 
-/** CfPeerSlowdown: a target whose work takes longer than usual. */
+/** CfPeerSlowdown: a target that takes longer than usual for its work. */
 typedef struct
 {
   CfPeerBytes addr;
-  gint64 thousandths; /**< of its usual time */
-  gint64 incarnation; /**< of the target that is slow; 0 if it does not say */
+  gint64 thousandths; /**< of the usual time */
+  gint64 incarnation; /**< of the target; 0: unknown */
 } CfPeerSlowdown;
 
-/** Rates go over the wire in millionths of a request a second. */
+/** Rates are sent in millionths of a request per second. */
 #define CF_PEER_MILLIONTHS 1e6
 
-/** CfPeerRateLimit: the rate that a target takes from all gateways. */
+/** CfPeerRateLimit: the rate that a target accepts from all gateways together.
+ */
 typedef struct
 {
   CfPeerBytes id;
   gint64 incarnation;
-  gint64 millionths; /**< 0: it names none any more */
-  gint64 age_ms;     /**< since the answer that says so came */
+  gint64 millionths; /**< 0: the target no longer announces a limit */
+  gint64 age_ms;     /**< since the answer that announced it was received */
 } CfPeerRateLimit;
 
-/** CfPeerTarget: a target's record as the store holds it. */
+/** CfPeerTarget: a target's record as it is in the store. */
 typedef struct
 {
   CfPeerBytes id;
   CfPeerBytes json;
-  gint64 rev;
-  gint64 created; /**< 0 if the peer does not say */
+  gint64 rev;     /**< the store's revision of the record */
+  gint64 created; /**< revision that first wrote its key; 0: unknown */
 } CfPeerTarget;
 
 /** CfPeerCrash: a request during which targets crashed. */
 typedef struct
 {
   CfRequestDigest digest;
-  gint64 age_ms; /**< since its last crash or attempt */
-  guint n;       /**< number of @crashes; 0: it was answered since */
+  gint64 age_ms; /**< since the last crash or attempt */
+  guint n;       /**< number of @crashes; 0: the request has been answered */
   struct
   {
     CfPeerBytes target; /**< the incarnation that crashed */
@@ -182,7 +189,7 @@
   } crashes[CF_QUARANTINE_CRASHES];
 } CfPeerCrash;
 
-/** cf_peer_msg_pack: appends the frame of @m to @out. */
+/** cf_peer_msg_pack: appends the encoded @m to @out. */
 void cf_peer_msg_pack (const CfPeerMsg *m, msgpack_sbuffer *out);
 
 /** cf_peer_msg_send: sends @m over @l. */
@@ -190,23 +197,26 @@
 
 /**
  * cf_peer_msg_unpack:
+ * Decodes the frame @data into @m.
  * @zone: (out): holds what @m points to; free it with
- * msgpack_unpacked_destroy() Returns: %CF_ERR_PROTO if the frame is no message;
- * @zone is to be freed all the same.
+ *   msgpack_unpacked_destroy(), also after a failure
+ * Returns: %CF_ERR_PROTO if the frame is no valid message.
  */
 CfStatus cf_peer_msg_unpack (const char *data, gsize n, msgpack_unpacked *zone,
                              CfPeerMsg *m);
 
-/** CfPeerMsgHandler: takes a message, which holds until it returns. */
+/** CfPeerMsgHandler: handles a message, which is valid until it returns. */
 typedef void (*CfPeerMsgHandler) (void *owner, const CfPeerMsg *m);
 
 /**
  * cf_peer_msg_receive:
- * @role: what the sender is, and @name: (nullable): which one; for the log
- * Has @take take the message of a frame; one that is no message is logged.
+ * Decodes a frame and passes the message to @handler; logs an invalid frame.
+ * @role: kind of sender, used as the key of @name in the log
+ * @name: (nullable): name of the sender
  */
 void cf_peer_msg_receive (const char *data, gsize n, const char *role,
-                          const char *name, CfPeerMsgHandler take, void *owner);
+                          const char *name, CfPeerMsgHandler handler,
+                          void *owner);
 
-/** cf_peer_msg_clear: frees the arrays of @m. */
+/** cf_peer_msg_clear: frees the arrays that @m owns. */
 void cf_peer_msg_clear (CfPeerMsg *m);
--- a/gateway/peer-service.c
+++ b/gateway/peer-service.c
@@ -10,75 +10,80 @@
 #include <math.h>
 #include <string.h>
 
-/** How often peers greet: a gateway without the store is at most this and
- * one exchange behind them. */
-#define GREET_MS 1000L
-/** A gateway that knows no configuration at all is refusing callers. */
-#define GREET_EMPTY_MS 100
-#define RECONNECT_MS 1000
-/** The store's own news are given so long to arrive before a peer is asked. */
-#define STORE_FIRST_MS 400
-/** Peers not heard of for so long no longer count as part of the fleet. */
-#define FORGET_MS 10000
-/** An agent tells its rank's pace once a second, or more often. */
-#define PACE_SEEN_MS 2500
+/** Interval between hellos.  A gateway that cannot reach the store is behind
+ * its peers by at most this and one round trip. */
+#define HELLO_INTERVAL_MS 1000L
+/** Interval while this gateway has no configuration and so refuses callers. */
+#define HELLO_NO_CONFIG_INTERVAL_MS 100
+#define RECONNECT_INTERVAL_MS 1000
+/** Time for a new configuration to arrive from the store before a peer is asked
+ * for it. */
+#define STORE_GRACE_MS 400
+/** Peers not heard from for this long no longer count as part of the fleet. */
+#define MEMBER_TIMEOUT_MS 10000
+/** How long an agent's report of a slowdown is current.  Agents send one every
+ * second or more often. */
+#define SLOWDOWN_FRESH_MS 2500
+
 /** Peer: a link to another gateway. */
 typedef struct Peer
 {
-  TAILQ_ENTRY (Peer) link;
+  TAILQ_ENTRY (Peer) entry;
   CfPeerService *s;
-  CfPeerLink *peer;
-  int seed; /**< which seed it was made to; -1: it came to us */
+  CfPeerLink *link;
+  int seed; /**< index of the seed it connects to; -1: accepted */
   gboolean up;
-  char *addr; /**< where it takes links; %NULL until it greeted */
+  char *addr; /**< where it accepts links; %NULL before its hello */
   gint64 policy_rev;
   gint64 targets_rev;
-  gint64 heard_ms;
+  gint64 last_heard_ms;
 } Peer;
 
 struct CfPeerService
 {
   CfGateway *g;
   TAILQ_HEAD (, Peer) peers;
-  CfMembership *fleet;
-  gint64 greeted_ms;
-  gint64 connected_ms;
-  gint64 behind_ms; /**< since when a peer is known to be ahead; 0: none */
-  CfPeerMsgHandler take_hold_lease; /**< (nullable) */
+  CfMembership *membership;
+  gint64 hello_sent_ms;
+  gint64 connect_attempt_ms;
+  gint64 behind_since_ms; /**< when a peer was first seen to have a newer
+                             configuration; 0: none has */
+  CfPeerMsgHandler hold_lease_handler; /**< (nullable) */
   void *hold_lease_owner;
   struct sockaddr_in seeds[CF_SEEDS_MAX];
   gboolean seed_valid[CF_SEEDS_MAX];
 };
 
-/* What this gateway has to ask a peer for, since the store is of no help:
- * it cannot be reached, or its news are overdue. */
+/* Returns the CF_PEER_WANT_ bits of what this gateway has to get from a peer,
+ * because the store cannot be reached or its update is overdue. */
 static guint
-wants (const Peer *p)
+compute_wanted (const Peer *p)
 {
   const CfGateway *g = p->s->g;
-  gboolean overdue
-      = p->s->behind_ms && g->now_ms - p->s->behind_ms >= STORE_FIRST_MS;
-  guint want = 0;
+  gboolean overdue = p->s->behind_since_ms
+                     && g->now_ms - p->s->behind_since_ms >= STORE_GRACE_MS;
+  guint wanted = 0;
 
   if (p->policy_rev > g->policy_rev
       && (!g->policy || !g->policy_store_up || overdue))
-    want |= CF_PEER_WANT_POLICY;
+    wanted |= CF_PEER_WANT_POLICY;
   if (p->targets_rev > g->targets_rev
       && (!g->targets_store_up || g->targets_rev == 0))
-    want |= CF_PEER_WANT_TARGETS;
-  return want;
+    wanted |= CF_PEER_WANT_TARGETS;
+  return wanted;
 }
 
-/* Whether an agent told this gateway itself of the pace of @t lately. */
+/* Whether an agent recently reported the slowdown of @t to this gateway. */
 static gboolean
-is_told_by_agent (const CfGateway *g, const CfTarget *t)
+has_fresh_agent_report (const CfGateway *g, const CfTarget *t)
 {
-  return t->pace_seen_ms != 0 && g->now_ms - t->pace_seen_ms <= PACE_SEEN_MS;
+  return t->pace_seen_ms != 0
+         && g->now_ms - t->pace_seen_ms <= SLOWDOWN_FRESH_MS;
 }
 
-/* The slow targets that agents told this gateway of lately. */
+/* Collects the slow targets that agents recently reported to this gateway. */
 static GArray *
-slow_targets (const CfGateway *g)
+collect_slowdowns (const CfGateway *g)
 {
   GArray *a = g_array_new (FALSE, FALSE, sizeof (CfPeerSlowdown));
   GHashTableIter it;
@@ -90,7 +95,8 @@
       const CfTarget *t = v;
       CfPeerSlowdown p;
 
-      if (CF_WITHOUT_SHARED_PACE || t->pace <= 1 || !is_told_by_agent (g, t))
+      if (CF_WITHOUT_SHARED_PACE || t->pace <= 1
+          || !has_fresh_agent_report (g, t))
         continue;
       p.addr.data = t->record.addr;
       p.addr.n = strlen (t->record.addr);
@@ -102,16 +108,16 @@
 }
 
 static void
-take_paces (CfGateway *g, const GArray *slow)
+take_slowdowns (CfGateway *g, const GArray *slowdowns)
 {
-  for (guint i = 0; slow && i < slow->len; i++)
+  for (guint i = 0; slowdowns && i < slowdowns->len; i++)
     {
-      const CfPeerSlowdown *p = &g_array_index (slow, CfPeerSlowdown, i);
+      const CfPeerSlowdown *p = &g_array_index (slowdowns, CfPeerSlowdown, i);
       char *addr = g_strndup (p->addr.data, p->addr.n);
       CfTarget *t = cf_target_table_at (&g->targets, addr);
 
-      /* What an agent tells this gateway itself goes before. */
-      if (t && !is_told_by_agent (g, t)
+      /* A report from an agent to this gateway takes precedence. */
+      if (t && !has_fresh_agent_report (g, t)
           && !cf_target_is_former (t, p->incarnation))
         cf_gateway_take_pace (
             g, t, (double)p->thousandths / CF_PEER_THOUSANDTHS, "peer");
@@ -120,7 +126,7 @@
 }
 
 static GArray *
-limits_of_targets (const CfGateway *g)
+collect_rate_limits (const CfGateway *g)
 {
   GArray *a = g_array_new (FALSE, FALSE, sizeof (CfPeerRateLimit));
   GHashTableIter it;
@@ -145,7 +151,7 @@
 }
 
 static void
-take_limit (CfGateway *g, const CfPeerRateLimit *l, const char *peer)
+take_rate_limit (CfGateway *g, const CfPeerRateLimit *l, const char *peer)
 {
   char *id = g_strndup (l->id.data, l->id.n);
   CfTarget *t = g_hash_table_lookup (g->targets.by_id, id);
@@ -163,15 +169,15 @@
 }
 
 static void
-take_limits (CfGateway *g, const GArray *limits, const char *peer)
+take_rate_limits (CfGateway *g, const GArray *rate_limits, const char *peer)
 {
-  for (guint i = 0; limits && i < limits->len; i++)
-    take_limit (g, &g_array_index (limits, CfPeerRateLimit, i), peer);
+  for (guint i = 0; rate_limits && i < rate_limits->len; i++)
+    take_rate_limit (g, &g_array_index (rate_limits, CfPeerRateLimit, i), peer);
 }
 
-/* The part of a greeting that is the same for all peers. */
+/* Fills the part of a hello that is the same for all peers. */
 static void
-fill_greeting (const CfPeerService *s, CfPeerMsg *m)
+fill_hello (const CfPeerService *s, CfPeerMsg *m)
 {
   const CfGateway *g = s->g;
   const char *addr = g->set.control_addr ? g->set.control_addr : "";
@@ -185,30 +191,31 @@
   m->u.gateway_hello.addr.n = strlen (addr);
   m->u.gateway_hello.policy_rev = g->policy_rev;
   m->u.gateway_hello.targets_rev = g->targets_rev;
-  m->u.gateway_hello.fleet = g->fleet_size;
-  m->u.gateway_hello.slow = slow_targets (g);
-  m->u.gateway_hello.limits = limits_of_targets (g);
-  m->u.gateway_hello.members = cf_membership_size (s->fleet);
+  m->u.gateway_hello.fleet_size = g->fleet_size;
+  m->u.gateway_hello.slowdowns = collect_slowdowns (g);
+  m->u.gateway_hello.rate_limits = collect_rate_limits (g);
+  m->u.gateway_hello.n_ring_members = cf_membership_size (s->membership);
 }
 
 static void
-send_greeting (const Peer *p, CfPeerMsg *m)
+send_filled_hello (const Peer *p, CfPeerMsg *m)
 {
-  double start = p->addr ? cf_membership_ring_start (p->s->fleet, p->addr) : -1;
+  double ring_start
+      = p->addr ? cf_membership_ring_start (p->s->membership, p->addr) : -1;
 
   m->u.gateway_hello.ring_start
-      = start < 0 ? -1 : (gint64)(start * CF_PEER_RING_UNITS);
-  m->u.gateway_hello.want = wants (p);
-  cf_peer_msg_send (p->peer, m);
+      = ring_start < 0 ? -1 : (gint64)(ring_start * CF_PEER_RING_UNITS);
+  m->u.gateway_hello.want = compute_wanted (p);
+  cf_peer_msg_send (p->link, m);
 }
 
 static void
-greet (const Peer *p)
+send_hello (const Peer *p)
 {
   CfPeerMsg m;
 
-  fill_greeting (p->s, &m);
-  send_greeting (p, &m);
+  fill_hello (p->s, &m);
+  send_filled_hello (p, &m);
   cf_peer_msg_clear (&m);
 }
 
@@ -222,7 +229,7 @@
     return;
   m.u.policy.rev = g->policy_rev;
   m.u.policy.json.data = g_bytes_get_data (g->policy_json, &m.u.policy.json.n);
-  cf_peer_msg_send (p->peer, &m);
+  cf_peer_msg_send (p->link, &m);
 }
 
 static void
@@ -239,27 +246,28 @@
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
       const CfTarget *t = v;
-      CfPeerTarget one;
-
-      one.id.data = t->record.id;
-      one.id.n = strlen (t->record.id);
-      one.json.data = t->json;
-      one.json.n = strlen (t->json);
-      one.rev = t->rev;
-      one.created = t->created;
-      g_array_append_val (m.u.targets.items, one);
+      CfPeerTarget item;
+
+      item.id.data = t->record.id;
+      item.id.n = strlen (t->record.id);
+      item.json.data = t->json;
+      item.json.n = strlen (t->json);
+      item.rev = t->rev;
+      item.created = t->created;
+      g_array_append_val (m.u.targets.items, item);
     }
-  cf_peer_msg_send (p->peer, &m);
+  cf_peer_msg_send (p->link, &m);
   cf_peer_msg_clear (&m);
 }
 
-/* A gateway that started, or was cut off, has missed it. */
+/* Sends all crash records: a peer that has just started, or could not be
+ * reached, has missed them. */
 static void
 send_crashes (const Peer *p)
 {
   CfGateway *g = p->s->g;
 
-  cf_peer_crashes_send_all (g->quarantine, p->peer, FALSE, g->now_ms);
+  cf_peer_crashes_send_all (g->quarantine, p->link, FALSE, g->now_ms);
 }
 
 void
@@ -267,9 +275,9 @@
 {
   Peer *p;
 
-  TAILQ_FOREACH (p, &s->peers, link)
+  TAILQ_FOREACH (p, &s->peers, entry)
   if (p->up)
-    cf_peer_msg_send (p->peer, m);
+    cf_peer_msg_send (p->link, m);
 }
 
 void
@@ -277,38 +285,38 @@
 {
   Peer *p;
 
-  TAILQ_FOREACH (p, &s->peers, link)
+  TAILQ_FOREACH (p, &s->peers, entry)
   if (p->up && p->seed >= 0)
-    cf_peer_msg_send (p->peer, m);
+    cf_peer_msg_send (p->link, m);
 }
 
 void
-cf_peer_service_set_hold_lease_handler (CfPeerService *s, CfPeerMsgHandler take,
-                                        void *owner)
+cf_peer_service_set_hold_lease_handler (CfPeerService *s,
+                                        CfPeerMsgHandler handler, void *owner)
 {
-  s->take_hold_lease = take;
+  s->hold_lease_handler = handler;
   s->hold_lease_owner = owner;
 }
 
-/* A peer may know more of the fleet than this gateway hears itself; then its
- * word on the place on the ring holds, too. */
+/* A peer may know of more gateways than this one hears from.  The ring start
+ * that the peer computed for this gateway is then used as well. */
 static void
-learn_fleet (CfPeerService *s, const CfPeerMsg *m)
+update_fleet (CfPeerService *s, const CfPeerMsg *m)
 {
   CfGateway *g = s->g;
-  guint told = m->u.gateway_hello.fleet;
-  guint members = m->u.gateway_hello.members;
-  gint64 told_start = m->u.gateway_hello.ring_start;
+  guint peer_fleet_size = m->u.gateway_hello.fleet_size;
+  guint n_ring_members = m->u.gateway_hello.n_ring_members;
+  gint64 peer_ring_start = m->u.gateway_hello.ring_start;
   guint n;
 
-  cf_membership_expire (s->fleet, FORGET_MS, g->now_ms);
-  n = cf_membership_size (s->fleet);
-  cf_gateway_set_fleet (g, MAX (n, told));
-  if (n >= told)
-    cf_gateway_set_place (g, cf_membership_ring_start (s->fleet, NULL), n);
-  else if (told_start >= 0 && told_start < CF_PEER_RING_UNITS)
-    cf_gateway_set_place (g, (double)told_start / CF_PEER_RING_UNITS,
-                          members ? members : told);
+  cf_membership_expire (s->membership, MEMBER_TIMEOUT_MS, g->now_ms);
+  n = cf_membership_size (s->membership);
+  cf_gateway_set_fleet (g, MAX (n, peer_fleet_size));
+  if (n >= peer_fleet_size)
+    cf_gateway_set_place (g, cf_membership_ring_start (s->membership, NULL), n);
+  else if (peer_ring_start >= 0 && peer_ring_start < CF_PEER_RING_UNITS)
+    cf_gateway_set_place (g, (double)peer_ring_start / CF_PEER_RING_UNITS,
+                          n_ring_members ? n_ring_members : peer_fleet_size);
 }
 
 static void
@@ -322,51 +330,52 @@
   p->addr = g_strndup (m->u.gateway_hello.addr.data, m->u.gateway_hello.addr.n);
   p->policy_rev = m->u.gateway_hello.policy_rev;
   p->targets_rev = m->u.gateway_hello.targets_rev;
-  p->heard_ms = g->now_ms;
+  p->last_heard_ms = g->now_ms;
   dc = g_strndup (m->u.gateway_hello.data_centre.data,
                   m->u.gateway_hello.data_centre.n);
-  cf_membership_record_heartbeat (p->s->fleet, p->addr, dc, g->now_ms);
+  cf_membership_record_heartbeat (p->s->membership, p->addr, dc, g->now_ms);
   g_free (dc);
-  learn_fleet (p->s, m);
-  take_paces (g, m->u.gateway_hello.slow);
-  take_limits (g, m->u.gateway_hello.limits, p->addr);
+  update_fleet (p->s, m);
+  take_slowdowns (g, m->u.gateway_hello.slowdowns);
+  take_rate_limits (g, m->u.gateway_hello.rate_limits, p->addr);
   if (m->u.gateway_hello.want & CF_PEER_WANT_POLICY)
     send_policy (p);
   if (m->u.gateway_hello.want & CF_PEER_WANT_TARGETS)
     send_targets (p);
   ahead = p->policy_rev > g->policy_rev;
-  if (ahead && !p->s->behind_ms)
-    p->s->behind_ms = g->now_ms;
+  if (ahead && !p->s->behind_since_ms)
+    p->s->behind_since_ms = g->now_ms;
   else if (!ahead)
-    p->s->behind_ms = 0;
-  if (wants (p))
-    greet (p);
+    p->s->behind_since_ms = 0;
+  if (compute_wanted (p))
+    send_hello (p);
 }
 
-/* A peer's whole list: what it does not name is gone, if it is newer. */
+/* Takes a peer's complete list of targets, if it is newer: targets that are not
+ * in it are removed. */
 static void
 take_targets (Peer *p, const CfPeerMsg *m)
 {
   CfGateway *g = p->s->g;
   const GArray *items = m->u.targets.items;
-  GHashTable *seen;
+  GHashTable *ids;
 
   if (m->u.targets.as_of <= g->targets_rev)
     return;
-  seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  ids = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < items->len; i++)
     {
       const CfPeerTarget *t = &g_array_index (items, CfPeerTarget, i);
       char *id = g_strndup (t->id.data, t->id.n);
 
-      CfTargetNews news
+      CfTargetNews update
           = { id, t->json.data, t->json.n, t->rev, t->created, g->now_ms };
 
-      cf_gateway_take_target (g, &news, "peer");
-      g_hash_table_add (seen, id);
+      cf_gateway_take_target (g, &update, "peer");
+      g_hash_table_add (ids, id);
     }
-  cf_gateway_keep_targets (g, seen, m->u.targets.as_of, "peer");
-  g_hash_table_destroy (seen);
+  cf_gateway_keep_targets (g, ids, m->u.targets.as_of, "peer");
+  g_hash_table_destroy (ids);
   cf_log (LOG_NOTICE, CF_EV_PEER,
           "peer=%s outcome=taught targets=%u as_of=%" G_GINT64_FORMAT,
           p->addr ? p->addr : "-", items->len, m->u.targets.as_of);
@@ -393,8 +402,8 @@
       cf_peer_crashes_merge (p->s->g->quarantine, m, p->addr, p->s->g->now_ms);
       break;
     case CF_PEER_HOLD_LEASE:
-      if (p->s->take_hold_lease)
-        p->s->take_hold_lease (p->s->hold_lease_owner, m);
+      if (p->s->hold_lease_handler)
+        p->s->hold_lease_handler (p->s->hold_lease_owner, m);
       break;
     default:
       break;
@@ -415,16 +424,16 @@
   Peer *p = owner;
 
   p->up = TRUE;
-  p->heard_ms = p->s->g->now_ms;
+  p->last_heard_ms = p->s->g->now_ms;
   cf_log (LOG_NOTICE, CF_EV_PEER, "seed=%d outcome=up", p->seed);
-  greet (p);
+  send_hello (p);
   send_crashes (p);
 }
 
 static void
-forget (Peer *p)
+remove_peer (Peer *p)
 {
-  TAILQ_REMOVE (&p->s->peers, p, link);
+  TAILQ_REMOVE (&p->s->peers, p, entry);
   g_free (p->addr);
   g_free (p);
 }
@@ -437,10 +446,10 @@
   if (p->up)
     cf_log (LOG_NOTICE, CF_EV_PEER, "peer=%s outcome=down",
             p->addr ? p->addr : "-");
-  forget (p);
+  remove_peer (p);
 }
 
-static const CfPeerLinkCallbacks link_calls = { on_up, on_frame, on_down };
+static const CfPeerLinkCallbacks link_callbacks = { on_up, on_frame, on_down };
 
 static Peer *
 new_peer (CfPeerService *s, int seed)
@@ -449,8 +458,8 @@
 
   p->s = s;
   p->seed = seed;
-  p->heard_ms = s->g->now_ms;
-  TAILQ_INSERT_TAIL (&s->peers, p, link);
+  p->last_heard_ms = s->g->now_ms;
+  TAILQ_INSERT_TAIL (&s->peers, p, entry);
   return p;
 }
 
@@ -459,20 +468,20 @@
 {
   Peer *p = new_peer (s, -1);
 
-  p->peer = l;
+  p->link = l;
   p->up = TRUE;
-  cf_peer_link_set_owner (l, &link_calls, p);
+  cf_peer_link_set_owner (l, &link_callbacks, p);
   take_msg (p, first);
-  greet (p);
+  send_hello (p);
   send_crashes (p);
 }
 
 static gboolean
-has_seed (const CfPeerService *s, int seed)
+has_seed_link (const CfPeerService *s, int seed)
 {
   Peer *p;
 
-  TAILQ_FOREACH (p, &s->peers, link)
+  TAILQ_FOREACH (p, &s->peers, entry)
   if (p->seed == seed)
     return TRUE;
   return FALSE;
@@ -485,31 +494,33 @@
     {
       Peer *p;
 
-      if (!s->seed_valid[i] || has_seed (s, i))
+      if (!s->seed_valid[i] || has_seed_link (s, i))
         continue;
       p = new_peer (s, i);
-      p->peer = cf_peer_link_connect (s->g->loop, &s->seeds[i], &link_calls, p);
-      if (!p->peer)
-        forget (p);
+      p->link
+          = cf_peer_link_connect (s->g->loop, &s->seeds[i], &link_callbacks, p);
+      if (!p->link)
+        remove_peer (p);
     }
 }
 
-/* Links that went silent without a reset are made anew. */
+/* Closes links that went silent without a reset; connect_seeds() reconnects
+ * those to seeds. */
 static void
-drop_silent (CfPeerService *s)
+drop_silent_peers (CfPeerService *s)
 {
   Peer *p = TAILQ_FIRST (&s->peers);
 
   while (p)
     {
-      Peer *next = TAILQ_NEXT (p, link);
+      Peer *next = TAILQ_NEXT (p, entry);
 
-      if (p->up && s->g->now_ms - p->heard_ms > 3 * GREET_MS)
+      if (p->up && s->g->now_ms - p->last_heard_ms > 3 * HELLO_INTERVAL_MS)
         {
           cf_log (LOG_NOTICE, CF_EV_PEER, "peer=%s outcome=silent",
                   p->addr ? p->addr : "-");
-          cf_peer_link_close (p->peer);
-          forget (p);
+          cf_peer_link_close (p->link);
+          remove_peer (p);
         }
       p = next;
     }
@@ -519,27 +530,29 @@
 cf_peer_service_tick (CfPeerService *s)
 {
   gint64 now = s->g->now_ms;
-  gint64 every = s->g->policy ? GREET_MS : GREET_EMPTY_MS;
+  gint64 interval_ms
+      = s->g->policy ? HELLO_INTERVAL_MS : HELLO_NO_CONFIG_INTERVAL_MS;
   CfPeerMsg m;
   Peer *p;
 
-  if (now - s->connected_ms >= RECONNECT_MS || s->connected_ms == 0)
+  if (now - s->connect_attempt_ms >= RECONNECT_INTERVAL_MS
+      || s->connect_attempt_ms == 0)
     {
-      s->connected_ms = now;
-      drop_silent (s);
+      s->connect_attempt_ms = now;
+      drop_silent_peers (s);
       connect_seeds (s);
       cf_quarantine_expire (s->g->quarantine, now);
     }
-  /* A change of a target's rate is announced at once. */
-  if (now - s->greeted_ms < every && !s->g->limits_changed)
+  /* A change of a target's rate limit is sent at once. */
+  if (now - s->hello_sent_ms < interval_ms && !s->g->limits_changed)
     return;
-  s->greeted_ms = now;
+  s->hello_sent_ms = now;
   s->g->limits_changed = FALSE;
   cf_gateway_forget_paces (s->g);
-  fill_greeting (s, &m);
-  TAILQ_FOREACH (p, &s->peers, link)
+  fill_hello (s, &m);
+  TAILQ_FOREACH (p, &s->peers, entry)
   if (p->up)
-    send_greeting (p, &m);
+    send_filled_hello (p, &m);
   cf_peer_msg_clear (&m);
 }
 
@@ -547,14 +560,14 @@
 cf_peer_service_new (CfGateway *g)
 {
   CfPeerService *s = g_new0 (CfPeerService, 1);
-  const char *own = g->set.control_addr;
+  const char *own_addr = g->set.control_addr;
 
   s->g = g;
   TAILQ_INIT (&s->peers);
-  s->fleet = cf_membership_new (own, g->set.data_centre);
+  s->membership = cf_membership_new (own_addr, g->set.data_centre);
   for (int i = 0; i < CF_SEEDS_MAX && g->set.seed_addrs[i]; i++)
     s->seed_valid[i]
-        = g_strcmp0 (g->set.seed_addrs[i], own) != 0
+        = g_strcmp0 (g->set.seed_addrs[i], own_addr) != 0
           && cf_socket_parse (g->set.seed_addrs[i], &s->seeds[i]) == CF_OK;
   return s;
 }
--- a/gateway/peer-service.h
+++ b/gateway/peer-service.h
@@ -5,34 +5,37 @@
 #include "peer-msg.h"
 
 /**
- * What gateways tell one another.  The store is the first source of the
+ * CfPeerService:
+ * Exchanges state between gateways.  The store is the primary source of the
  * configuration and the list of targets; a gateway that cannot reach it, or
- * has just started, learns both from a peer.  Store revisions say whose
- * knowledge is newer.
+ * has just started, gets both from a peer.  Store revisions tell whose state
+ * is newer.
  *
- * Each gateway keeps a link to every seed and greets its peers once a
- * second with the revisions it knows; one that is behind and cannot help
- * itself asks for what it lacks in its own greeting.
+ * Each gateway keeps a link to every seed and sends a hello to its peers once
+ * a second with its revisions.  A gateway that is behind, and cannot get the
+ * newer state from the store, asks for it in its own hello.
  */
 typedef struct CfPeerService CfPeerService;
 
 CfPeerService *cf_peer_service_new (CfGateway *g);
 
-/** cf_peer_service_adopt: @l is a peer's, and @first its first message. */
+/** cf_peer_service_adopt: takes over the accepted link @l, on which a peer sent
+ * the message @first. */
 void cf_peer_service_adopt (CfPeerService *s, CfPeerLink *l,
                             const CfPeerMsg *first);
 
 /** cf_peer_service_notify: sends @m to all peers. */
 void cf_peer_service_notify (CfPeerService *s, const CfPeerMsg *m);
 
-/** cf_peer_service_notify_seeds: sends @m to the peers that are seeds. */
+/** cf_peer_service_notify_seeds: sends @m to the seeds. */
 void cf_peer_service_notify_seeds (CfPeerService *s, const CfPeerMsg *m);
 
-/** cf_peer_service_set_hold_lease_handler: has @take take each
- * %CF_PEER_HOLD_LEASE. */
+/** cf_peer_service_set_hold_lease_handler: sets the handler of
+ * %CF_PEER_HOLD_LEASE messages. */
 void cf_peer_service_set_hold_lease_handler (CfPeerService *s,
-                                             CfPeerMsgHandler take,
+                                             CfPeerMsgHandler handler,
                                              void *owner);
 
-/** cf_peer_service_tick: call it some times a second. */
+/** cf_peer_service_tick: runs periodic work; to be called several times a
+ * second. */
 void cf_peer_service_tick (CfPeerService *s);
--- a/gateway/store-watch.c
+++ b/gateway/store-watch.c
@@ -8,23 +8,24 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/** A connect or an answer that takes longer is taken as lost.  The store
- * answers in ms; slow days multiply that by up to a hundred. */
-#define ANSWER_TIMEOUT_MS 1000
-/** Pauses after a failure double from the first to the last, so that a
- * store that is down is asked about once a second. */
-#define PAUSE_FIRST_MS 100
-#define PAUSE_LAST_MS 800
-/** How long a watch waits for a change: a call a second from each gateway
- * would use up the rates of the store at some hundred gateways.  That a
- * connection went silent is found by its keep-alive, in about 3 s. */
-#define WAIT_MS 5000
+/** Time limit of a connection attempt and of a response.  The store usually
+ * responds within a few ms, and is up to a hundred times slower at times. */
+#define RESPONSE_TIMEOUT_MS 1000
+/** The backoff after a failure doubles from the minimum to the maximum, so that
+ * a store that is down gets about one call a second. */
+#define BACKOFF_MIN_MS 100
+#define BACKOFF_MAX_MS 800
+/** How long the store may wait for a change before it responds.  One call a
+ * second from each gateway would exhaust the store's rate limits at a few
+ * hundred gateways.  TCP keep-alive detects a silent connection in about 3 s.
+ */
+#define LONG_POLL_MS 5000
 #define READ_SIZE 16384
-#define HEAD_MAX 16384
-/** Answers are pages of about a megabyte, base64 included. */
-#define BODY_MAX 8388608
+#define HEAD_MAX_BYTES 16384
+/** Limit of a response body.  Pages are about a megabyte, including base64. */
+#define BODY_MAX_BYTES 8388608
 
-static void begin_call (CfStoreWatch *w);
+static void start_call (CfStoreWatch *w);
 
 static void
 set_timer (CfStoreWatch *w, gint64 ms)
@@ -45,43 +46,43 @@
 }
 
 static void
-set_contact (CfStoreWatch *w, CfStoreReachability now, const char *why)
+set_reachability (CfStoreWatch *w, CfStoreReachability reachability,
+                  const char *reason)
 {
-  gboolean up = now == CF_STORE_UP;
+  gboolean up = reachability == CF_STORE_UP;
 
-  if (w->contact == now)
+  if (w->reachability == reachability)
     return;
-  w->contact = now;
+  w->reachability = reachability;
   cf_log (up ? LOG_NOTICE : LOG_WARNING,
           up ? CF_EV_STORE_BACK : CF_EV_STORE_LOST,
           "prefix=%s as_of=%" G_GINT64_FORMAT " reason=\"%s\"", w->prefix,
-          w->as_of, why);
-  w->calls->contact (w->g, up);
+          w->as_of, reason);
+  w->callbacks->reachability_changed (w->g, up);
 }
 
-/* The call failed: drop the connection and try again after a pause. */
+/* Ends a failed call: closes the connection and retries after the backoff. */
 static void
-failed (CfStoreWatch *w, const char *why)
+fail_call (CfStoreWatch *w, const char *reason)
 {
-  gint64 spread = g_random_int_range (0, 50);
+  gint64 jitter_ms = g_random_int_range (0, 50);
 
   disconnect (w);
   w->state = CF_WATCH_BACKOFF;
   w->g->stats.store_errors++;
-  set_contact (w, CF_STORE_DOWN, why);
-  w->pause_ms = CLAMP (w->pause_ms * 2, PAUSE_FIRST_MS, PAUSE_LAST_MS);
-  set_timer (w, w->pause_ms + spread);
+  set_reachability (w, CF_STORE_DOWN, reason);
+  w->backoff_ms = CLAMP (w->backoff_ms * 2, BACKOFF_MIN_MS, BACKOFF_MAX_MS);
+  set_timer (w, w->backoff_ms + jitter_ms);
 }
 
 static void
-begin_range (CfStoreWatch *w)
+reset_range (CfStoreWatch *w)
 {
-  g_hash_table_remove_all (w->seen);
+  g_hash_table_remove_all (w->seen_keys);
   g_clear_pointer (&w->page_after, g_free);
-  w->has_all = FALSE;
+  w->has_snapshot = FALSE;
 }
 
-/* A page of the range came in. */
 static void
 take_page (CfStoreWatch *w, const CfStoreReply *r)
 {
@@ -91,8 +92,8 @@
     {
       const CfStoreItem *it = r->items->pdata[i];
 
-      g_hash_table_add (w->seen, g_strdup (it->key));
-      w->calls->item (w->g, it);
+      g_hash_table_add (w->seen_keys, g_strdup (it->key));
+      w->callbacks->item (w->g, it);
     }
   if (r->more && r->items->len > 0)
     {
@@ -103,74 +104,75 @@
       return;
     }
   w->as_of = w->range_as_of;
-  w->has_all = TRUE;
-  w->calls->snapshot (w->g, w->seen, w->as_of);
-  begin_range (w);
-  w->has_all = TRUE;
+  w->has_snapshot = TRUE;
+  w->callbacks->snapshot (w->g, w->seen_keys, w->as_of);
+  reset_range (w);
+  w->has_snapshot = TRUE;
 }
 
 static void
 take_changes (CfStoreWatch *w, const CfStoreReply *r)
 {
   for (guint i = 0; i < r->items->len; i++)
-    w->calls->item (w->g, r->items->pdata[i]);
+    w->callbacks->item (w->g, r->items->pdata[i]);
   w->as_of = MAX (w->as_of, r->as_of);
-  w->calls->fresh (w->g, w->as_of);
+  w->callbacks->confirmed (w->g, w->as_of);
 }
 
-/* News came: more may have to come together before they are asked for. */
+/* Makes the next poll after events were received, with a delay if events are
+ * frequent, so that several are batched. */
 static void
-ask_in_batches (CfStoreWatch *w)
+schedule_poll (CfStoreWatch *w)
 {
-  gint64 pause
+  gint64 delay_ms
       = cf_watch_batcher_next_delay_ms (&w->batcher, cf_gateway_now (w->g));
 
-  if (pause == 0)
+  if (delay_ms == 0)
     {
-      begin_call (w);
+      start_call (w);
       return;
     }
   w->state = CF_WATCH_BATCHING;
-  set_timer (w, pause);
+  set_timer (w, delay_ms);
 }
 
 static void
-take_answer (CfStoreWatch *w)
+handle_reply (CfStoreWatch *w)
 {
   CfStoreReply r;
-  gboolean news;
+  gboolean has_events;
 
   if (cf_platform_store_parse (w->body->str, w->body->len, &r) != CF_OK)
     {
-      failed (w, cf_last_error ());
+      fail_call (w, cf_last_error ());
       return;
     }
-  set_contact (w, CF_STORE_UP, "answered");
-  w->pause_ms = 0;
+  set_reachability (w, CF_STORE_UP, "answered");
+  w->backoff_ms = 0;
   if (w->state == CF_WATCH_RANGE)
     take_page (w, &r);
   else
     take_changes (w, &r);
-  news = r.items->len > 0;
+  has_events = r.items->len > 0;
   cf_store_reply_clear (&r);
-  if (news && w->has_all)
-    ask_in_batches (w);
+  if (has_events && w->has_snapshot)
+    schedule_poll (w);
   else
-    begin_call (w);
+    start_call (w);
 }
 
 static void
-on_whole (CfStoreWatch *w)
+on_response (CfStoreWatch *w)
 {
   int status = (int)w->reader.parser.status_code;
-  gboolean keep = cf_http_reader_keeps (&w->reader);
+  gboolean keep_alive = cf_http_reader_keeps (&w->reader);
 
   cf_http_reader_next (&w->reader);
-  if (!keep)
+  if (!keep_alive)
     disconnect (w);
   if (status == HTTP_STATUS_OK)
     {
-      take_answer (w);
+      handle_reply (w);
     }
   else if (status == HTTP_STATUS_GONE)
     {
@@ -178,12 +180,13 @@
               "prefix=%s as_of=%" G_GINT64_FORMAT
               " outcome=history-gone action=read-all",
               w->prefix, w->as_of);
-      begin_range (w);
-      begin_call (w);
+      reset_range (w);
+      start_call (w);
     }
   else
-    failed (w,
-            status == HTTP_STATUS_TOO_MANY_REQUESTS ? "rate limit" : "refused");
+    fail_call (w, status == HTTP_STATUS_TOO_MANY_REQUESTS
+                      ? "rate limit exceeded"
+                      : "refused");
 }
 
 static void
@@ -191,14 +194,14 @@
 {
   CfStoreWatch *w = owner;
 
-  if (w->body->len + n <= BODY_MAX)
+  if (w->body->len + n <= BODY_MAX_BYTES)
     g_string_append_len (w->body, data, (gssize)n);
 }
 
-static const CfHttpReaderCalls reader_calls = { NULL, on_body, NULL };
+static const CfHttpReaderCalls reader_callbacks = { NULL, on_body, NULL };
 
 static void
-read_some (CfStoreWatch *w)
+read_input (CfStoreWatch *w)
 {
   char buf[READ_SIZE];
   ssize_t n = recv (w->io.fd, buf, sizeof buf, 0);
@@ -207,72 +210,74 @@
 
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
     return;
-  /* No call is open: the next is made on a new connection. */
+  /* No call is in progress, so the store has closed the connection or sent
+   * unexpected data.  The next call opens a new connection. */
   if (w->state == CF_WATCH_BATCHING)
     disconnect (w);
   else if (n <= 0)
-    failed (w, n == 0 ? "closed" : strerror (errno));
+    fail_call (w, n == 0 ? "closed" : strerror (errno));
   else if (!cf_http_reader_feed (&w->reader, buf, (gsize)n, &used))
-    failed (w, "not an HTTP answer");
+    fail_call (w, "malformed HTTP response");
   else if (w->reader.is_complete)
     {
       before = cf_gateway_enter (w->g, CF_TURN_STORE);
-      on_whole (w);
+      on_response (w);
       cf_gateway_enter (w->g, before);
     }
 }
 
 static void
-write_some (CfStoreWatch *w)
+write_output (CfStoreWatch *w)
 {
-  ssize_t n = send (w->io.fd, w->out->str + w->out_sent,
-                    w->out->len - w->out_sent, MSG_NOSIGNAL);
+  ssize_t n = send (w->io.fd, w->output->str + w->output_sent,
+                    w->output->len - w->output_sent, MSG_NOSIGNAL);
 
   if (n < 0 && errno != EAGAIN && errno != EINTR)
     {
-      failed (w, strerror (errno));
+      fail_call (w, strerror (errno));
       return;
     }
   if (n > 0)
-    w->out_sent += (gsize)n;
+    w->output_sent += (gsize)n;
   ev_io_stop (w->g->loop, &w->io);
   ev_io_set (&w->io, w->io.fd,
-             w->out_sent < w->out->len ? EV_READ | EV_WRITE : EV_READ);
+             w->output_sent < w->output->len ? EV_READ | EV_WRITE : EV_READ);
   ev_io_start (w->g->loop, &w->io);
 }
 
-/* A store that did not answer last is asked for an answer at once: when it
- * is back must be known then, not when its next news come. */
+/* A store that is not known to be up is asked to respond at once, so that its
+ * return is noticed then and not only at the next change. */
 static gint64
-watch_wait_ms (const CfStoreWatch *w)
+current_long_poll_ms (const CfStoreWatch *w)
 {
-  return w->contact == CF_STORE_UP ? w->wait_ms : 0;
+  return w->reachability == CF_STORE_UP ? w->long_poll_ms : 0;
 }
 
-/* Sends the next call on the connection, which is there. */
+/* Sends the next call on the established connection. */
 static void
 send_call (CfStoreWatch *w)
 {
   const char *addr = w->g->set.store_addr;
-  char *req;
+  char *request;
 
-  w->state = w->has_all ? CF_WATCH_CHANGES : CF_WATCH_RANGE;
-  if (w->has_all)
-    req = cf_platform_store_watch (addr, w->prefix, w->as_of,
-                                   watch_wait_ms (w));
+  w->state = w->has_snapshot ? CF_WATCH_CHANGES : CF_WATCH_RANGE;
+  if (w->has_snapshot)
+    request = cf_platform_store_watch (addr, w->prefix, w->as_of,
+                                       current_long_poll_ms (w));
   else
-    req = cf_platform_store_range (addr, w->prefix, w->page_after);
-  g_string_assign (w->out, req);
-  g_free (req);
-  w->out_sent = 0;
+    request = cf_platform_store_range (addr, w->prefix, w->page_after);
+  g_string_assign (w->output, request);
+  g_free (request);
+  w->output_sent = 0;
   g_string_truncate (w->body, 0);
   w->g->stats.store_calls++;
-  set_timer (w, ANSWER_TIMEOUT_MS + (w->has_all ? watch_wait_ms (w) : 0));
-  write_some (w);
+  set_timer (w, RESPONSE_TIMEOUT_MS
+                    + (w->has_snapshot ? current_long_poll_ms (w) : 0));
+  write_output (w);
 }
 
 static void
-begin_call (CfStoreWatch *w)
+start_call (CfStoreWatch *w)
 {
   struct sockaddr_in sa;
   int fd;
@@ -284,21 +289,22 @@
     }
   if (cf_socket_parse (w->g->set.store_addr, &sa) != CF_OK)
     {
-      failed (w, cf_last_error ());
+      fail_call (w, cf_last_error ());
       return;
     }
   fd = cf_socket_connect (&sa);
   if (fd < 0)
     {
-      failed (w, strerror (errno));
+      fail_call (w, strerror (errno));
       return;
     }
   cf_http_reader_clear (&w->reader);
-  cf_http_reader_init (&w->reader, HTTP_RESPONSE, &reader_calls, w, HEAD_MAX);
+  cf_http_reader_init (&w->reader, HTTP_RESPONSE, &reader_callbacks, w,
+                       HEAD_MAX_BYTES);
   w->state = CF_WATCH_CONNECTING;
   ev_io_set (&w->io, fd, EV_WRITE);
   ev_io_start (w->g->loop, &w->io);
-  set_timer (w, ANSWER_TIMEOUT_MS);
+  set_timer (w, RESPONSE_TIMEOUT_MS);
 }
 
 static void
@@ -311,14 +317,14 @@
     {
       err = cf_socket_error (io->fd);
       if (err)
-        failed (w, strerror (err));
+        fail_call (w, strerror (err));
       else
         send_call (w);
     }
   else if (revents & EV_READ)
-    read_some (w);
+    read_input (w);
   else if (revents & EV_WRITE)
-    write_some (w);
+    write_output (w);
 }
 
 static void
@@ -327,29 +333,30 @@
   CfStoreWatch *w = t->data;
 
   if (w->state == CF_WATCH_BACKOFF || w->state == CF_WATCH_BATCHING)
-    begin_call (w);
+    start_call (w);
   else
-    failed (w, "no answer in time");
+    fail_call (w, "no response before timeout");
 }
 
 void
 cf_store_watch_start (CfStoreWatch *w, CfGateway *g, const char *prefix,
-                      const CfStoreWatchCallbacks *calls)
+                      const CfStoreWatchCallbacks *callbacks)
 {
   memset (w, 0, sizeof *w);
   w->g = g;
   w->prefix = prefix;
-  w->calls = calls;
-  w->wait_ms = WAIT_MS;
-  w->out = g_string_new (NULL);
+  w->callbacks = callbacks;
+  w->long_poll_ms = LONG_POLL_MS;
+  w->output = g_string_new (NULL);
   w->body = g_string_new (NULL);
-  w->seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  cf_http_reader_init (&w->reader, HTTP_RESPONSE, &reader_calls, w, HEAD_MAX);
+  w->seen_keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  cf_http_reader_init (&w->reader, HTTP_RESPONSE, &reader_callbacks, w,
+                       HEAD_MAX_BYTES);
   ev_io_init (&w->io, on_io, -1, 0);
   w->io.data = w;
   ev_timer_init (&w->timer, on_timer, 0, 0);
   w->timer.data = w;
-  begin_call (w);
+  start_call (w);
 }
 
 void
@@ -358,8 +365,8 @@
   disconnect (w);
   ev_timer_stop (w->g->loop, &w->timer);
   cf_http_reader_clear (&w->reader);
-  g_string_free (w->out, TRUE);
+  g_string_free (w->output, TRUE);
   g_string_free (w->body, TRUE);
-  g_hash_table_destroy (w->seen);
+  g_hash_table_destroy (w->seen_keys);
   g_free (w->page_after);
 }
--- a/gateway/store-watch.h
+++ b/gateway/store-watch.h
@@ -5,73 +5,78 @@
 #include "http-reader.h"
 #include "platform/platform-store.h"
 
-/** CfWatchState: what a watch is doing. */
+/** CfWatchState: the state of a watch. */
 typedef enum
 {
-  CF_WATCH_BACKOFF, /**< waits before it tries again */
+  CF_WATCH_BACKOFF, /**< waits after a failure before it retries */
   CF_WATCH_CONNECTING,
   CF_WATCH_RANGE,    /**< reads all keys, page by page */
-  CF_WATCH_CHANGES,  /**< waits for changes */
-  CF_WATCH_BATCHING, /**< had events; more may join them before it asks */
+  CF_WATCH_CHANGES,  /**< long-polls for changes */
+  CF_WATCH_BATCHING, /**< got events; delays the next poll so that more can
+                        arrive */
 } CfWatchState;
 
 /** CfStoreReachability: whether the store answers this watch. */
 typedef enum
 {
-  CF_STORE_UNKNOWN, /**< neither an answer nor a failure yet */
+  CF_STORE_UNKNOWN, /**< no answer and no failure yet */
   CF_STORE_UP,
   CF_STORE_DOWN,
 } CfStoreReachability;
 
 typedef struct CfStoreWatch CfStoreWatch;
 
-/** CfStoreWatchCallbacks: what the owner of a watch is told. */
+/** CfStoreWatchCallbacks: events reported to the owner of a watch. */
 typedef struct
 {
-  /** A key was written, or removed if it has no value. */
+  /** A key was read or written; or removed, if it has no value. */
   void (*item) (CfGateway *g, const CfStoreItem *it);
-  /** All keys have been read: those not in @seen are gone. */
-  void (*snapshot) (CfGateway *g, GHashTable *seen, gint64 as_of);
-  /** The store confirmed what is known, as of its revision @as_of. */
-  void (*fresh) (CfGateway *g, gint64 as_of);
-  /** The store stopped or began to answer. */
-  void (*contact) (CfGateway *g, gboolean up);
+  /** All keys have been read as of revision @as_of; keys not in @seen_keys no
+   * longer exist. */
+  void (*snapshot) (CfGateway *g, GHashTable *seen_keys, gint64 as_of);
+  /** The store confirmed that the known state is current as of revision
+   * @as_of. */
+  void (*confirmed) (CfGateway *g, gint64 as_of);
+  /** The store started or stopped answering. */
+  void (*reachability_changed) (CfGateway *g, gboolean up);
 } CfStoreWatchCallbacks;
 
 /**
  * CfStoreWatch:
- * Follows the keys under a prefix of the metadata store: reads all, then
- * asks for changes from there, over one kept connection.  When the store
- * has forgotten the history it reads all again.
+ * Watches the keys under a prefix of the metadata store: reads all keys, then
+ * long-polls for changes after that revision, over one persistent connection.
+ * If the store no longer has the history after that revision, reads all keys
+ * again.
  */
 struct CfStoreWatch
 {
   CfGateway *g;
   const char *prefix;
-  const CfStoreWatchCallbacks *calls;
+  const CfStoreWatchCallbacks *callbacks;
   CfWatchState state;
   ev_io io;
   ev_timer timer;
   CfHttpReader reader;
-  GString *out;
-  gsize out_sent;
+  GString *output;
+  gsize output_sent;
   GString *body;
-  GHashTable *seen;   /**< keys of the range in progress */
-  char *page_after;   /**< last key of the page before; %NULL for the first */
-  gint64 as_of;       /**< changes are wanted after this revision */
-  gint64 range_as_of; /**< of the first page: pages are no snapshot */
-  gboolean has_all;   /**< a range has been read since the last 410 */
-  CfStoreReachability contact;
-  gint64 wait_ms; /**< how long the store waits for a change */
+  GHashTable *seen_keys; /**< keys read so far by the range in progress */
+  char *page_after;   /**< last key of the previous page; %NULL for the first */
+  gint64 as_of;       /**< changes are requested after this revision */
+  gint64 range_as_of; /**< revision of the first page.  Later pages may be
+                         newer, so changes are requested from this one on. */
+  gboolean has_snapshot; /**< a range is complete since the last 410 Gone */
+  CfStoreReachability reachability;
+  gint64 long_poll_ms; /**< how long the store may wait for a change */
   CfWatchBatcher batcher;
-  gint64 pause_ms; /**< before the next try */
+  gint64 backoff_ms; /**< delay before the next retry */
 };
 
 /**
  * cf_store_watch_start:
- * @prefix: not copied
+ * @prefix: of the keys to watch; not copied
  */
 void cf_store_watch_start (CfStoreWatch *w, CfGateway *g, const char *prefix,
-                           const CfStoreWatchCallbacks *calls);
+                           const CfStoreWatchCallbacks *callbacks);
 
 void cf_store_watch_stop (CfStoreWatch *w);
--- a/gateway/watch-batcher.c
+++ b/gateway/watch-batcher.c
@@ -1,18 +1,20 @@
 #include "watch-batcher.h"
 
-/** Interval of polls while events keep coming; a target that leaves is known so
- * much later at most. */
-#define INTERVAL_MS 500
-/** Polls made at once after a time without events: both of two targets that
- * start again together are known at once. */
-#define BURST 4
+/** Interval between polls while events keep coming.  A target that leaves
+ * is noticed at most this much later. */
+#define POLL_INTERVAL_MS 500
+/** Polls without delay after a time without events.  Two targets that restart
+ * together are thus both noticed without delay. */
+#define MAX_BURST 4
 
 gint64
-cf_watch_batcher_next_delay_ms (CfWatchBatcher *g, gint64 now)
+cf_watch_batcher_next_delay_ms (CfWatchBatcher *b, gint64 now)
 {
-  gint64 pause;
+  gint64 delay;
 
-  g->spent_until_ms = MAX (g->spent_until_ms, now) + INTERVAL_MS;
-  pause = g->spent_until_ms - now - (gint64)BURST * INTERVAL_MS;
-  return MAX (pause, 0);
+  b->theoretical_arrival_ms
+      = MAX (b->theoretical_arrival_ms, now) + POLL_INTERVAL_MS;
+  delay
+      = b->theoretical_arrival_ms - now - (gint64)MAX_BURST * POLL_INTERVAL_MS;
+  return MAX (delay, 0);
 }
--- a/gateway/watch-batcher.h
+++ b/gateway/watch-batcher.h
@@ -4,18 +4,21 @@
 
 /**
  * CfWatchBatcher:
- * Batches watch polls: polls at once while events are rare, at most every 500
- * ms while they keep coming, as at a start, where each entry would cost a call
- * of every gateway.
+ * Limits the rate of watch polls.  While events are rare the next poll is made
+ * at once.  While events keep coming, polls are 500 ms apart, so that each
+ * returns several events: when many targets start, every entry would otherwise
+ * cost a call from every gateway.
  */
 typedef struct
 {
-  gint64 spent_until_ms; /**< polls made at once are paid for until then */
+  /** When the next poll is due, as in the generic cell rate algorithm. */
+  gint64 theoretical_arrival_ms;
 } CfWatchBatcher;
 
 /**
  * cf_watch_batcher_next_delay_ms:
- * Events came, and the next poll is about to be made.
- * Returns: delay before it, at most the interval between two polls.
+ * Schedules the next poll after a poll that returned events.
+ * Returns: delay before the next poll in ms, at most the interval of
+ *   500 ms.
  */
-gint64 cf_watch_batcher_next_delay_ms (CfWatchBatcher *g, gint64 now_ms);
+gint64 cf_watch_batcher_next_delay_ms (CfWatchBatcher *b, gint64 now_ms);
--- a/t/t-decode-fuzz.c
+++ b/t/t-decode-fuzz.c
@@ -1,9 +1,10 @@
 /*
- * Every decoder of what others write, fed with spoiled documents: valid
- * ones with bytes changed, cut, doubled or replaced by awkward values, and
- * random bytes.  Built with the sanitizers of addresses and of undefined
- * behaviour.  The oracle: no crash, no leak, and what is taken is whole: a
- * document either passes every check of its type or leaves nothing behind.
+ * Fuzzes every decoder of input from other processes.  The input is a valid
+ * document in which bytes are changed, cut, duplicated or replaced by edge
+ * values, or random bytes.  Built with the address and undefined behaviour
+ * sanitizers.  The decoders must not crash or leak, and must accept a document
+ * as a whole or not at all: it either passes every check of its type, or the
+ * output stays empty.
  */
 #include "gateway/map-history.h"
 #include "gateway/peer-msg.h"
@@ -19,46 +20,46 @@
 #define SEED 20
 #define BYTES_MAX 4096
 
-static GRand *rnd;
-
-static const char *const awkward[] = { "null",
-                                       "-1",
-                                       "0",
-                                       "1e400",
-                                       "1e30",
-                                       "18446744073709551616",
-                                       "9223372036854775807",
-                                       "\"\"",
-                                       "[]",
-                                       "{}",
-                                       "true",
-                                       "\"\\u0000\"",
-                                       "\"\\ud800\"",
-                                       "[[[[[[1]]]]]]",
-                                       ",",
-                                       "}",
-                                       "\xff",
-                                       "\"x\":1," };
-
-static const char target[]
+static GRand *rng;
+
+static const char *const edge_values[] = { "null",
+                                           "-1",
+                                           "0",
+                                           "1e400",
+                                           "1e30",
+                                           "18446744073709551616",
+                                           "9223372036854775807",
+                                           "\"\"",
+                                           "[]",
+                                           "{}",
+                                           "true",
+                                           "\"\\u0000\"",
+                                           "\"\\ud800\"",
+                                           "[[[[[[1]]]]]]",
+                                           ",",
+                                           "}",
+                                           "\xff",
+                                           "\"x\":1," };
+
+static const char valid_target[]
     = "{\"service\":\"s\",\"addr\":\"1.2.3.4:5\",\"zone\":\"dc\",\"version\":"
       "\"v1\",\"slots\":12,\"state\":\"ready\",\"cold-left-ms\":0,\"seq\":4,"
       "\"stage\":\"both\",\"models\":[{\"name\":\"m\"}],"
       "\"born\":1783022913149}";
 
-static const char report[]
+static const char valid_report[]
     = "{\"running\":3,\"waiting\":1,\"group\":{\"name\":\"g\",\"epoch\":2,"
       "\"rank\":1,\"state\":\"open\"},\"size\":16,\"step\":9,\"map\":4,"
       "\"prepared\":{\"version\":5},\"armed\":null,\"held\":11,\"pace\":1.5,"
       "\"born\":1783022913149}";
 
-static const char counts[]
+static const char valid_counts[]
     = "{\"step\":1,\"epoch\":2,\"counts\":[1,2,3,4],\"born\":1783022913149}";
 
-static const char lists[]
+static const char valid_lists[]
     = "{\"map\":{\"version\":4,\"experts\":[[0,2],[1]]},\"prepared\":{}}";
 
-static const char config[]
+static const char valid_config[]
     = "{\"version\":7,\"routes\":[{\"name\":\"a\",\"host\":\"h.example\","
       "\"prefix\":\"/x/\",\"kind\":\"streaming\",\"resumable\":true,"
       "\"timeout-ms\":8000,\"aim-ms\":500,\"priority\":1,\"split\":["
@@ -68,22 +69,22 @@
       "\"limits\":{\"max-header-bytes\":100},\"tenants\":[{\"name\":\"t\","
       "\"api-keys\":[\"k1\"],\"priority\":0}]}";
 
-static const char store[]
+static const char valid_store_reply[]
     = "{\"events\":[{\"key\":\"servers/i-1\",\"value\":\"e30=\",\"rev\":5,"
       "\"create-revision\":5},{\"key\":\"servers/i-2\",\"rev\":6,"
       "\"removed\":true}],\"as-of\":6,\"has-more\":true}";
 
 static gsize
-below (gsize n)
+random_below (gsize n)
 {
-  return n ? (gsize)g_rand_int_range (rnd, 0, (gint32)n) : 0;
+  return n ? (gsize)g_rand_int_range (rng, 0, (gint32)n) : 0;
 }
 
-/* Puts an awkward value where a value of the document stands. */
+/* Replaces a random value of a JSON document by an edge value. */
 static void
 replace_value (GString *s)
 {
-  gsize at = below (s->len);
+  gsize at = random_below (s->len);
   gsize end;
 
   while (at < s->len && s->str[at] != ':')
@@ -93,31 +94,32 @@
   for (end = ++at; end < s->len && !strchr (",}]", s->str[end]);)
     end++;
   g_string_erase (s, (gssize)at, (gssize)(end - at));
-  g_string_insert (s, (gssize)at, awkward[below (G_N_ELEMENTS (awkward))]);
+  g_string_insert (s, (gssize)at,
+                   edge_values[random_below (G_N_ELEMENTS (edge_values))]);
 }
 
 static void
-change_once (GString *s)
+mutate (GString *s)
 {
-  gsize at = below (s->len);
+  gsize at = random_below (s->len);
 
-  switch (below (5))
+  switch (random_below (5))
     {
     case 0:
       if (s->len)
-        s->str[at] = (char)g_rand_int (rnd);
+        s->str[at] = (char)g_rand_int (rng);
       break;
     case 1:
       g_string_truncate (s, at);
       break;
     case 2:
-      g_string_erase (s, (gssize)at, (gssize)below (s->len - at + 1));
+      g_string_erase (s, (gssize)at, (gssize)random_below (s->len - at + 1));
       break;
     case 3:
       {
-        g_autofree char *part = g_strndup (s->str + at, below (40));
+        g_autofree char *part = g_strndup (s->str + at, random_below (40));
 
-        g_string_insert (s, (gssize)below (s->len + 1), part);
+        g_string_insert (s, (gssize)random_below (s->len + 1), part);
       }
       break;
     default:
@@ -126,31 +128,31 @@
     }
 }
 
-/* The @i th spoiled form of @good; the first is as it is. */
+/* Returns the @i-th corrupted form of @valid; the first is unchanged. */
 static GString *
-spoil (const char *good, gsize n, int i)
+corrupt (const char *valid, gsize n, int i)
 {
-  GString *s = g_string_new_len (good, (gssize)n);
-  gsize changes = i == 0 ? 0 : 1 + below (4);
+  GString *s = g_string_new_len (valid, (gssize)n);
+  gsize changes = i == 0 ? 0 : 1 + random_below (4);
 
   if (i % 16 == 15)
     {
-      g_string_set_size (s, below (BYTES_MAX));
+      g_string_set_size (s, random_below (BYTES_MAX));
       for (gsize b = 0; b < s->len; b++)
-        s->str[b] = (char)g_rand_int (rnd);
+        s->str[b] = (char)g_rand_int (rng);
     }
   for (gsize c = 0; c < changes; c++)
-    change_once (s);
+    mutate (s);
   return s;
 }
 
-START_TEST (targets)
+START_TEST (target_records)
 {
-  guint n_taken = 0;
+  guint n_accepted = 0;
 
   for (int i = 0; i < ROUNDS; i++)
     {
-      GString *s = spoil (target, strlen (target), i);
+      GString *s = corrupt (valid_target, strlen (valid_target), i);
       CfTargetRecord r;
 
       if (cf_platform_target_parse ("i-1", s->str, s->len, &r) == CF_OK)
@@ -158,22 +160,22 @@
           ck_assert (r.id && *r.service && *r.addr && *r.data_centre);
           ck_assert (r.slots > 0 && r.slots <= 100000);
           ck_assert (r.warmup_ms >= 0 && r.incarnation >= 0);
-          n_taken++;
+          n_accepted++;
         }
       else
         ck_assert (!r.id && !r.service && !r.addr && !r.data_centre);
       cf_target_record_clear (&r);
       g_string_free (s, TRUE);
     }
-  ck_assert_uint_gt (n_taken, 0);
+  ck_assert_uint_gt (n_accepted, 0);
 }
 END_TEST
 
-START_TEST (reports)
+START_TEST (rank_reports)
 {
   for (int i = 0; i < ROUNDS; i++)
     {
-      GString *s = spoil (report, strlen (report), i);
+      GString *s = corrupt (valid_report, strlen (valid_report), i);
       CfRankStatus r;
 
       if (cf_platform_rank_status (s->str, s->len, &r) == CF_OK)
@@ -190,12 +192,12 @@
 }
 END_TEST
 
-START_TEST (counts_and_lists)
+START_TEST (counts_and_expert_lists)
 {
   for (int i = 0; i < ROUNDS; i++)
     {
-      GString *c = spoil (counts, strlen (counts), i);
-      GString *l = spoil (lists, strlen (lists), i);
+      GString *c = corrupt (valid_counts, strlen (valid_counts), i);
+      GString *l = corrupt (valid_lists, strlen (valid_lists), i);
       GArray *a = NULL;
       gint64 n;
 
@@ -222,7 +224,7 @@
 {
   for (int i = 0; i < ROUNDS; i++)
     {
-      GString *s = spoil (config, strlen (config), i);
+      GString *s = corrupt (valid_config, strlen (valid_config), i);
       CfPolicy *p;
 
       if (cf_platform_policy_parse (s->str, s->len, &p) == CF_OK)
@@ -241,11 +243,11 @@
 }
 END_TEST
 
-START_TEST (stores)
+START_TEST (store_replies)
 {
   for (int i = 0; i < ROUNDS; i++)
     {
-      GString *s = spoil (store, strlen (store), i);
+      GString *s = corrupt (valid_store_reply, strlen (valid_store_reply), i);
       CfStoreReply r;
 
       if (cf_platform_store_parse (s->str, s->len, &r) == CF_OK)
@@ -265,11 +267,11 @@
 }
 END_TEST
 
-/* One message of each kind that holds an array. */
+/* Fills a message of @kind, with one or more elements in each array. */
 static void
-fill (CfPeerMsg *m, int kind)
+fill_msg (CfPeerMsg *m, int kind)
 {
-  static const CfPeerBytes some = { "i-1", 3 };
+  static const CfPeerBytes bytes = { "i-1", 3 };
   gint64 number = 7;
 
   memset (m, 0, sizeof *m);
@@ -295,22 +297,22 @@
       break;
     case CF_PEER_GATEWAY_HELLO:
       {
-        CfPeerSlowdown p = { some, 3000, 9 };
-        CfPeerRateLimit l = { some, 9, 1100000, 40 };
+        CfPeerSlowdown p = { bytes, 3000, 9 };
+        CfPeerRateLimit l = { bytes, 9, 1100000, 40 };
 
-        m->u.gateway_hello.data_centre = some;
+        m->u.gateway_hello.data_centre = bytes;
         m->u.gateway_hello.ring_start = 7;
-        m->u.gateway_hello.slow
+        m->u.gateway_hello.slowdowns
             = g_array_new (FALSE, FALSE, sizeof (CfPeerSlowdown));
-        g_array_append_val (m->u.gateway_hello.slow, p);
-        m->u.gateway_hello.limits
+        g_array_append_val (m->u.gateway_hello.slowdowns, p);
+        m->u.gateway_hello.rate_limits
             = g_array_new (FALSE, FALSE, sizeof (CfPeerRateLimit));
-        g_array_append_val (m->u.gateway_hello.limits, l);
+        g_array_append_val (m->u.gateway_hello.rate_limits, l);
       }
       break;
     case CF_PEER_TARGETS:
       {
-        CfPeerTarget t = { some, some, 4, 3 };
+        CfPeerTarget t = { bytes, bytes, 4, 3 };
 
         m->u.targets.items = g_array_new (FALSE, FALSE, sizeof (CfPeerTarget));
         g_array_append_val (m->u.targets.items, t);
@@ -320,8 +322,8 @@
       {
         CfPeerCrash c = { .age_ms = 5, .n = 2 };
 
-        c.crashes[0].target = some;
-        c.crashes[1].target = some;
+        c.crashes[0].target = bytes;
+        c.crashes[1].target = bytes;
 
         m->u.crashes = g_array_new (FALSE, FALSE, sizeof (CfPeerCrash));
         g_array_append_val (m->u.crashes, c);
@@ -332,9 +334,10 @@
     }
 }
 
-/* What an agent makes of an order to prepare: a map of its shape, or none. */
+/* Builds the map of an order to prepare, as an agent does.  The result must fit
+ * the shape of the map. */
 static void
-make_map (const CfPeerMsg *m)
+build_map (const CfPeerMsg *m)
 {
   CfMapHistory h = { 0 };
   CfGroupShape shape = m->u.prepare.shape;
@@ -349,7 +352,7 @@
   cf_group_map_free (map);
 }
 
-START_TEST (peers)
+START_TEST (peer_messages)
 {
   for (int i = 0; i < ROUNDS; i++)
     {
@@ -358,11 +361,11 @@
       CfPeerMsg m;
       GString *s;
 
-      fill (&m, CF_PEER_AGENT_HELLO + i % CF_PEER_CRASHES);
+      fill_msg (&m, CF_PEER_AGENT_HELLO + i % CF_PEER_CRASHES);
       msgpack_sbuffer_init (&buf);
       cf_peer_msg_pack (&m, &buf);
       cf_peer_msg_clear (&m);
-      s = spoil (buf.data, buf.size, i / CF_PEER_CRASHES);
+      s = corrupt (buf.data, buf.size, i / CF_PEER_CRASHES);
       msgpack_sbuffer_destroy (&buf);
       if (cf_peer_msg_unpack (s->str, s->len, &zone, &m) != CF_OK)
         m.kind = 0;
@@ -370,7 +373,7 @@
         ck_assert (m.u.rank_status.status.rank >= 0
                    && m.u.rank_status.status.size <= CF_RANKS_MAX);
       if (m.kind == CF_PEER_PREPARE)
-        make_map (&m);
+        build_map (&m);
       cf_peer_msg_clear (&m);
       msgpack_unpacked_destroy (&zone);
       g_string_free (s, TRUE);
@@ -381,13 +384,13 @@
 static void
 setup (void)
 {
-  rnd = g_rand_new_with_seed (SEED);
+  rng = g_rand_new_with_seed (SEED);
 }
 
 static void
 teardown (void)
 {
-  g_rand_free (rnd);
+  g_rand_free (rng);
 }
 
 int
@@ -398,12 +401,12 @@
 
   tcase_set_timeout (t, 60);
   tcase_add_checked_fixture (t, setup, teardown);
-  tcase_add_test (t, targets);
-  tcase_add_test (t, reports);
-  tcase_add_test (t, counts_and_lists);
+  tcase_add_test (t, target_records);
+  tcase_add_test (t, rank_reports);
+  tcase_add_test (t, counts_and_expert_lists);
   tcase_add_test (t, configurations);
-  tcase_add_test (t, stores);
-  tcase_add_test (t, peers);
+  tcase_add_test (t, store_replies);
+  tcase_add_test (t, peer_messages);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-peer-msg.c
+++ b/t/t-peer-msg.c
@@ -1,4 +1,4 @@
-/* Messages between our processes: each kind both ways, and bad frames. */
+/* Peer messages: packing and unpacking of each kind, and malformed frames. */
 #include "gateway/peer-frame.h"
 #include "gateway/peer-msg.h"
 #include "harness.h"
@@ -14,8 +14,8 @@
 }
 
 static void
-there_and_back (const CfPeerMsg *m, CfPeerMsg *out, msgpack_unpacked *zone,
-                msgpack_sbuffer *buf)
+pack_and_unpack (const CfPeerMsg *m, CfPeerMsg *out, msgpack_unpacked *zone,
+                 msgpack_sbuffer *buf)
 {
   msgpack_sbuffer_init (buf);
   cf_peer_msg_pack (m, buf);
@@ -25,14 +25,14 @@
 }
 
 static void
-release (CfPeerMsg *m, msgpack_unpacked *zone, msgpack_sbuffer *buf)
+free_all (CfPeerMsg *m, msgpack_unpacked *zone, msgpack_sbuffer *buf)
 {
   cf_peer_msg_clear (m);
   msgpack_unpacked_destroy (zone);
   msgpack_sbuffer_destroy (buf);
 }
 
-START_TEST (status_and_counts)
+START_TEST (rank_status_round_trip)
 {
   CfPeerMsg m = { .kind = CF_PEER_RANK_STATUS };
   CfPeerMsg o;
@@ -48,24 +48,24 @@
   m.u.rank_status.leader_fence = 24;
   m.u.rank_status.expert_counts = g_array_new (FALSE, FALSE, sizeof (gint64));
   g_array_append_val (m.u.rank_status.expert_counts, n);
-  there_and_back (&m, &o, &zone, &buf);
+  pack_and_unpack (&m, &o, &zone, &buf);
   ck_assert_str_eq (o.u.rank_status.status.group, "g0");
   ck_assert_int_eq (o.u.rank_status.status.held, 1LL << 40);
   ck_assert_uint_eq (o.u.rank_status.seeds_up, 5);
   ck_assert_int_eq (o.u.rank_status.leader_fence, 24);
   ck_assert_int_eq (g_array_index (o.u.rank_status.expert_counts, gint64, 0),
                     77);
-  release (&o, &zone, &buf);
+  free_all (&o, &zone, &buf);
   cf_peer_msg_clear (&m);
 }
 END_TEST
 
-START_TEST (greeting_policy_targets)
+START_TEST (gateway_hello_and_targets_round_trip)
 {
   CfPeerMsg m = { .kind = CF_PEER_GATEWAY_HELLO };
   CfPeerTarget t = { bytes ("i-1"), bytes ("{}"), 12, 7 };
-  CfPeerSlowdown slow = { bytes ("1.2.3.9:1"), 12000, 1783022913149 };
-  CfPeerRateLimit limit = { bytes ("i-2"), 1783022913149, 1100000, 40 };
+  CfPeerSlowdown slowdown = { bytes ("1.2.3.9:1"), 12000, 1783022913149 };
+  CfPeerRateLimit rate_limit = { bytes ("i-2"), 1783022913149, 1100000, 40 };
   CfPeerMsg o;
   msgpack_unpacked zone;
   msgpack_sbuffer buf;
@@ -75,38 +75,43 @@
   m.u.gateway_hello.want = CF_PEER_WANT_TARGETS;
   m.u.gateway_hello.data_centre = bytes ("dc2");
   m.u.gateway_hello.ring_start = CF_PEER_RING_UNITS / 2;
-  m.u.gateway_hello.members = 4;
-  m.u.gateway_hello.slow = g_array_new (FALSE, FALSE, sizeof (CfPeerSlowdown));
-  g_array_append_val (m.u.gateway_hello.slow, slow);
-  m.u.gateway_hello.limits
+  m.u.gateway_hello.n_ring_members = 4;
+  m.u.gateway_hello.slowdowns
+      = g_array_new (FALSE, FALSE, sizeof (CfPeerSlowdown));
+  g_array_append_val (m.u.gateway_hello.slowdowns, slowdown);
+  m.u.gateway_hello.rate_limits
       = g_array_new (FALSE, FALSE, sizeof (CfPeerRateLimit));
-  g_array_append_val (m.u.gateway_hello.limits, limit);
-  there_and_back (&m, &o, &zone, &buf);
+  g_array_append_val (m.u.gateway_hello.rate_limits, rate_limit);
+  pack_and_unpack (&m, &o, &zone, &buf);
   ck_assert_uint_eq (o.u.gateway_hello.want, CF_PEER_WANT_TARGETS);
   ck_assert_int_eq (o.u.gateway_hello.policy_rev, 9);
   ck_assert_mem_eq (o.u.gateway_hello.data_centre.data, "dc2", 3);
   ck_assert_int_eq (o.u.gateway_hello.ring_start, CF_PEER_RING_UNITS / 2);
-  ck_assert_uint_eq (o.u.gateway_hello.slow->len, 1);
+  ck_assert_uint_eq (o.u.gateway_hello.slowdowns->len, 1);
   ck_assert_int_eq (
-      g_array_index (o.u.gateway_hello.slow, CfPeerSlowdown, 0).thousandths,
+      g_array_index (o.u.gateway_hello.slowdowns, CfPeerSlowdown, 0)
+          .thousandths,
       12000);
   ck_assert_int_eq (
-      g_array_index (o.u.gateway_hello.slow, CfPeerSlowdown, 0).incarnation,
+      g_array_index (o.u.gateway_hello.slowdowns, CfPeerSlowdown, 0)
+          .incarnation,
       1783022913149);
-  ck_assert_uint_eq (o.u.gateway_hello.members, 4);
-  ck_assert_uint_eq (o.u.gateway_hello.limits->len, 1);
+  ck_assert_uint_eq (o.u.gateway_hello.n_ring_members, 4);
+  ck_assert_uint_eq (o.u.gateway_hello.rate_limits->len, 1);
   ck_assert_int_eq (
-      g_array_index (o.u.gateway_hello.limits, CfPeerRateLimit, 0).millionths,
+      g_array_index (o.u.gateway_hello.rate_limits, CfPeerRateLimit, 0)
+          .millionths,
       1100000);
   ck_assert_int_eq (
-      g_array_index (o.u.gateway_hello.limits, CfPeerRateLimit, 0).age_ms, 40);
+      g_array_index (o.u.gateway_hello.rate_limits, CfPeerRateLimit, 0).age_ms,
+      40);
   cf_peer_msg_clear (&m);
-  release (&o, &zone, &buf);
+  free_all (&o, &zone, &buf);
   m.kind = CF_PEER_TARGETS;
   m.u.targets.as_of = 12;
   m.u.targets.items = g_array_new (FALSE, FALSE, sizeof (CfPeerTarget));
   g_array_append_val (m.u.targets.items, t);
-  there_and_back (&m, &o, &zone, &buf);
+  pack_and_unpack (&m, &o, &zone, &buf);
   ck_assert_uint_eq (o.u.targets.items->len, 1);
   ck_assert_int_eq (
       memcmp (g_array_index (o.u.targets.items, CfPeerTarget, 0).id.data, "i-1",
@@ -114,12 +119,12 @@
       0);
   ck_assert_int_eq (g_array_index (o.u.targets.items, CfPeerTarget, 0).created,
                     7);
-  release (&o, &zone, &buf);
+  free_all (&o, &zone, &buf);
   cf_peer_msg_clear (&m);
 }
 END_TEST
 
-START_TEST (order_and_answer)
+START_TEST (order_round_trip)
 {
   CfPeerMsg m = { .kind = CF_PEER_ORDER };
   CfPeerMsg o;
@@ -129,21 +134,22 @@
   m.u.order.seq = 4;
   m.u.order.order = CF_ORDER_HOLD;
   m.u.order.body = bytes ("{\"op\":1}");
-  there_and_back (&m, &o, &zone, &buf);
+  pack_and_unpack (&m, &o, &zone, &buf);
   ck_assert_int_eq (o.u.order.order, CF_ORDER_HOLD);
   ck_assert_uint_eq (o.u.order.body.n, 8);
-  release (&o, &zone, &buf);
+  free_all (&o, &zone, &buf);
 }
 END_TEST
 
-/** Experts of all sets of a large group, and what a report of what a rank drew
- * of them may take beside a byte each. */
-#define LARGE_EXPERTS 3840
-#define REPORT_BYTES 256
+/** Number of experts in all sets of a large group, and bytes that a status
+ * report may take besides one for each expert. */
+#define LARGE_GROUP_EXPERTS 3840
+#define STATUS_OVERHEAD_BYTES 256
 
-/* In a group of 192 ranks reports of counts were most of the bytes between
- * data centres: each number grew over the day to three to five bytes. */
-START_TEST (what_a_rank_drew_takes_a_byte_an_expert)
+/* Guards against reports of total counts: in a group of 192 ranks they were
+ * most of the traffic between data centres, since each number grew to three to
+ * five bytes over the day. */
+START_TEST (expert_counts_take_one_byte_per_expert)
 {
   CfPeerMsg m = { .kind = CF_PEER_RANK_STATUS };
   msgpack_sbuffer buf;
@@ -151,23 +157,23 @@
   g_strlcpy (m.u.rank_status.status.group, "group-1",
              sizeof m.u.rank_status.status.group);
   m.u.rank_status.expert_counts = g_array_new (FALSE, FALSE, sizeof (gint64));
-  for (gint64 i = 0; i < LARGE_EXPERTS; i++)
+  for (gint64 i = 0; i < LARGE_GROUP_EXPERTS; i++)
     {
-      gint64 expert_counts = i % 60;
+      gint64 count = i % 60;
 
-      g_array_append_val (m.u.rank_status.expert_counts, expert_counts);
+      g_array_append_val (m.u.rank_status.expert_counts, count);
     }
   msgpack_sbuffer_init (&buf);
   cf_peer_msg_pack (&m, &buf);
-  ck_assert_uint_le (buf.size, LARGE_EXPERTS + REPORT_BYTES);
+  ck_assert_uint_le (buf.size, LARGE_GROUP_EXPERTS + STATUS_OVERHEAD_BYTES);
   msgpack_sbuffer_destroy (&buf);
   cf_peer_msg_clear (&m);
 }
 END_TEST
 
-START_TEST (a_map_to_prepare)
+START_TEST (prepare_order_round_trip)
 {
-  const gint64 row[] = { 1919, 383, -1, 7 };
+  const gint64 rows[] = { 1919, 383, -1, 7 };
   CfPeerMsg m = { .kind = CF_PEER_PREPARE };
   CfPeerMsg o;
   msgpack_unpacked zone;
@@ -178,20 +184,20 @@
   m.u.prepare.base_version = 5;
   m.u.prepare.shape = (CfGroupShape){ .sets = 10, .experts = 384, .places = 3 };
   m.u.prepare.rows = g_array_new (FALSE, FALSE, sizeof (gint64));
-  g_array_append_vals (m.u.prepare.rows, row, G_N_ELEMENTS (row));
-  there_and_back (&m, &o, &zone, &buf);
+  g_array_append_vals (m.u.prepare.rows, rows, G_N_ELEMENTS (rows));
+  pack_and_unpack (&m, &o, &zone, &buf);
   ck_assert_int_eq (o.u.prepare.epoch, 3);
   ck_assert_int_eq (o.u.prepare.version, 178179074);
   ck_assert_int_eq (o.u.prepare.base_version, 5);
   ck_assert_int_eq (o.u.prepare.shape.experts, 384);
-  ck_assert_uint_eq (o.u.prepare.rows->len, G_N_ELEMENTS (row));
+  ck_assert_uint_eq (o.u.prepare.rows->len, G_N_ELEMENTS (rows));
   ck_assert_int_eq (g_array_index (o.u.prepare.rows, gint64, 2), -1);
-  release (&o, &zone, &buf);
+  free_all (&o, &zone, &buf);
   cf_peer_msg_clear (&m);
 }
 END_TEST
 
-START_TEST (requests_that_crash_targets)
+START_TEST (crashes_round_trip)
 {
   CfPeerMsg m = { .kind = CF_PEER_CRASHES };
   CfPeerMsg o;
@@ -207,7 +213,7 @@
   in[1].digest = cf_request_digest ("o", "/b", "body", 4);
   m.u.crashes = g_array_new (FALSE, FALSE, sizeof (CfPeerCrash));
   g_array_append_vals (m.u.crashes, in, 2);
-  there_and_back (&m, &o, &zone, &buf);
+  pack_and_unpack (&m, &o, &zone, &buf);
   ck_assert_uint_eq (o.u.crashes->len, 2);
   out = (const CfPeerCrash *)(void *)o.u.crashes->data;
   ck_assert (cf_request_digest_equal (&out[0].digest, &in[0].digest));
@@ -219,12 +225,12 @@
   ck_assert_int_eq (out[0].crashes[0].lost_age_ms, 80);
   ck_assert (cf_request_digest_equal (&out[1].digest, &in[1].digest));
   ck_assert_uint_eq (out[1].n, 0);
-  release (&o, &zone, &buf);
+  free_all (&o, &zone, &buf);
   cf_peer_msg_clear (&m);
 }
 END_TEST
 
-START_TEST (the_lease_of_a_hold)
+START_TEST (hold_lease_round_trip)
 {
   CfPeerMsg m = { .kind = CF_PEER_HOLD_LEASE };
   CfPeerMsg o;
@@ -234,48 +240,49 @@
   m.u.hold_lease.group = bytes ("g0");
   m.u.hold_lease.fence = 26;
   m.u.hold_lease.held = TRUE;
-  there_and_back (&m, &o, &zone, &buf);
+  pack_and_unpack (&m, &o, &zone, &buf);
   ck_assert_uint_eq (o.u.hold_lease.group.n, 2);
   ck_assert_int_eq (o.u.hold_lease.fence, 26);
   ck_assert (o.u.hold_lease.held);
-  release (&o, &zone, &buf);
+  free_all (&o, &zone, &buf);
 }
 END_TEST
 
-START_TEST (bad_frames_are_refused)
+/* Half of the frames begin with an array header and a kind. */
+START_TEST (random_frames_are_decoded_safely)
 {
-  GRand *rand = g_rand_new_with_seed (3);
+  GRand *rng = g_rand_new_with_seed (3);
 
   for (int i = 0; i < 50000; i++)
     {
       char frame[64];
-      gsize n = (gsize)g_rand_int_range (rand, 0, sizeof frame);
+      gsize n = (gsize)g_rand_int_range (rng, 0, sizeof frame);
       msgpack_unpacked zone;
       CfPeerMsg m;
 
       for (gsize j = 0; j < n; j++)
-        frame[j] = (char)g_rand_int (rand);
+        frame[j] = (char)g_rand_int (rng);
       if (n > 2 && i % 2)
         {
-          frame[0] = (char)(0x90 + g_rand_int_range (rand, 1, 8));
-          frame[1] = (char)g_rand_int_range (rand, 1, 12);
+          frame[0] = (char)(0x90 + g_rand_int_range (rng, 1, 8));
+          frame[1] = (char)g_rand_int_range (rng, 1, 12);
         }
       cf_peer_msg_unpack (frame, n, &zone, &m);
       cf_peer_msg_clear (&m);
       msgpack_unpacked_destroy (&zone);
     }
-  g_rand_free (rand);
+  g_rand_free (rng);
 }
 END_TEST
 
-/* Headers that claim more parts than the frame has bytes. */
-START_TEST (frames_that_claim_too_much_are_not_read)
+/* Headers that claim more elements or bytes than the frame has left. */
+START_TEST (frames_with_excessive_lengths_are_rejected)
 {
   const struct
   {
     const char *bytes;
     gsize n;
-    gboolean whole;
+    gboolean is_complete;
   } cases[] = {
     { "\xdd\xff\xff\xff\xff", 5, FALSE },
     { "\xdf\xff\xff\xff\xff", 5, FALSE },
@@ -292,13 +299,13 @@
 
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     ck_assert_msg (cf_peer_frame_is_complete (cases[i].bytes, cases[i].n)
-                       == cases[i].whole,
+                       == cases[i].is_complete,
                    "case %" G_GSIZE_FORMAT, i);
 }
 END_TEST
 
-/* A peer of an earlier version does not say which start it speaks of. */
-START_TEST (an_earlier_version_is_understood)
+/* Earlier versions do not send the incarnation of the target. */
+START_TEST (status_without_incarnation_is_accepted)
 {
   msgpack_sbuffer buf;
   msgpack_packer pk;
@@ -320,7 +327,7 @@
   ck_assert_int_eq (cf_peer_msg_unpack (buf.data, buf.size, &zone, &o), CF_OK);
   ck_assert_int_eq (o.u.rank_status.status.incarnation, 0);
   ck_assert_int_eq (o.u.rank_status.status.waiting, 1);
-  release (&o, &zone, &buf);
+  free_all (&o, &zone, &buf);
 }
 END_TEST
 
@@ -330,16 +337,16 @@
   Suite *s = suite_create ("peer-msg");
   TCase *t = tcase_create ("peer-msg");
 
-  tcase_add_test (t, status_and_counts);
-  tcase_add_test (t, greeting_policy_targets);
-  tcase_add_test (t, order_and_answer);
-  tcase_add_test (t, a_map_to_prepare);
-  tcase_add_test (t, what_a_rank_drew_takes_a_byte_an_expert);
-  tcase_add_test (t, requests_that_crash_targets);
-  tcase_add_test (t, the_lease_of_a_hold);
-  tcase_add_test (t, bad_frames_are_refused);
-  tcase_add_test (t, frames_that_claim_too_much_are_not_read);
-  tcase_add_test (t, an_earlier_version_is_understood);
+  tcase_add_test (t, rank_status_round_trip);
+  tcase_add_test (t, gateway_hello_and_targets_round_trip);
+  tcase_add_test (t, order_round_trip);
+  tcase_add_test (t, prepare_order_round_trip);
+  tcase_add_test (t, expert_counts_take_one_byte_per_expert);
+  tcase_add_test (t, crashes_round_trip);
+  tcase_add_test (t, hold_lease_round_trip);
+  tcase_add_test (t, random_frames_are_decoded_safely);
+  tcase_add_test (t, frames_with_excessive_lengths_are_rejected);
+  tcase_add_test (t, status_without_incarnation_is_accepted);
   suite_add_tcase (s, t);
   return t_run (s);
 }
