--- a/gateway/peer-msg.h
+++ b/gateway/peer-msg.h
@@ -25,7 +25,7 @@
   CF_PEER_HOLD_LEASE = 13,   /**< leading gateway: it holds a pass of a group */
 } CfPeerMsgKind;
 
-/** Positions on the ring of targets are sent in units of 1 / this. */
+/** Units of the ring of targets; positions on the ring are sent in these. */
 #define CF_PEER_RING_UNITS 65536
 
 /** CfPeerBytes: bytes that a message does not own; in a received message they
--- a/gateway/store-watch.h
+++ b/gateway/store-watch.h
@@ -65,7 +65,7 @@
   gint64 as_of;       /**< changes are requested after this revision */
   gint64 range_as_of; /**< revision of the first page.  Later pages may be
                          newer, so changes are requested from this one on. */
-  gboolean has_snapshot; /**< a range is complete since the last 410 Gone */
+  gboolean has_snapshot; /**< all keys were read since the last 410 Gone */
   CfStoreReachability reachability;
   gint64 long_poll_ms; /**< how long the store may wait for a change */
   CfWatchBatcher batcher;
