--- a/comfrey-gateway.c
+++ b/comfrey-gateway.c
@@ -79,7 +79,7 @@
   g->policy_store_up = up;
 }
 
-static const CfStoreWatchCalls policy_callbacks
+static const CfStoreWatchCallbacks policy_callbacks
     = { on_policy_item, on_policy_snapshot, on_policy_fresh,
         on_policy_contact };
 
@@ -133,7 +133,8 @@
   if (!cf_quarantine_has_changes (g->quarantine))
     return;
   cf_exchange_refuse_all_quarantined (g);
-  cf_peer_crashes_changed (g->quarantine, cf_gateway_now (g), &all, &held);
+  cf_peer_crashes_collect_changes (g->quarantine, cf_gateway_now (g), &all,
+                                   &held);
   cf_peer_service_notify (peers, &all);
   if (held.u.crashes->len > 0)
     cf_rank_service_notify (ranks, &held);
@@ -222,7 +223,8 @@
   ranks = cf_rank_service_new (g);
   peers = cf_peer_service_new (g);
   cf_rank_service_set_notify (ranks, notify_seeds, peers);
-  cf_peer_service_on_hold_lease (peers, cf_rank_service_take_hold_lease, ranks);
+  cf_peer_service_set_hold_lease_handler (
+      peers, cf_rank_service_take_hold_lease, ranks);
   ev_check_init (&iteration_begin, on_iteration_begin);
   ev_set_priority (&iteration_begin, EV_MAXPRI);
   ev_check_start (g->loop, &iteration_begin);
--- a/gateway/control.c
+++ b/gateway/control.c
@@ -46,7 +46,7 @@
   msgpack_unpacked_destroy (&unpacked);
 }
 
-static const CfPeerLinkCalls hello_callbacks = { on_up, on_hello, on_down };
+static const CfPeerLinkCallbacks hello_callbacks = { on_up, on_hello, on_down };
 
 static void
 on_accept (struct ev_loop *loop, ev_io *w, int revents)
--- a/gateway/rank-agent-order.c
+++ b/gateway/rank-agent-order.c
@@ -143,7 +143,7 @@
     send_to_rank (o);
   else
     {
-      o->http_status = CF_PEER_NO_BASE;
+      o->http_status = CF_PEER_STATUS_UNKNOWN_BASE;
       send_ack (o);
     }
 }
@@ -175,7 +175,8 @@
 }
 
 /* Returns the body of the order to prepare the map that @m describes as a
- * diff; NULL if this agent lacks the base map or the diff does not fit. */
+ * diff; NULL if this agent lacks the base map or the diff does not fit.
+ */
 static char *
 prepare_body (CfRankAgent *a, const CfPeerMsg *m)
 {
@@ -185,7 +186,7 @@
   char *body;
 
   shape.ranks = a->status.size;
-  map = cf_map_history_build_map (&a->maps, &shape, m->u.prepare.base,
+  map = cf_map_history_build_map (&a->maps, &shape, m->u.prepare.base_version,
                                   m->u.prepare.rows);
   if (!map)
     return NULL;
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -23,8 +23,8 @@
 #define COPY_TIMEOUT_MS 5000
 /** How often gateways on standby get the status. */
 #define STANDBY_STATUS_MS 1000
-/** A gateway counts as down if no tick came for this long, three times their
- * interval. */
+/** A gateway counts as down if no heartbeat came for this long, three times
+ * their interval. */
 #define TICK_TIMEOUT_MS 1300L
 /** Interval between reconnect attempts to seeds while another has a link... */
 #define RECONNECT_MS 500
@@ -82,7 +82,7 @@
   m.u.rank_status.status = a->status;
   m.u.rank_status.fence_seen = a->fence_seen;
   m.u.rank_status.seeds_up = seeds_up (a, now);
-  m.u.rank_status.led = lead ? lead->fence : 0;
+  m.u.rank_status.leader_fence = lead ? lead->fence : 0;
   for (int i = 0; i < a->n_seeds; i++)
     {
       CfSeed *s = &a->seeds[i];
@@ -90,7 +90,7 @@
       if (!s->up
           || (lead && s != lead && now - s->status_sent_ms < STANDBY_STATUS_MS))
         continue;
-      m.u.rank_status.drawn = s == lead ? increases : NULL;
+      m.u.rank_status.expert_counts = s == lead ? increases : NULL;
       if (s == lead)
         a->sent_status = a->status;
       s->status_sent_ms = now;
@@ -377,8 +377,8 @@
   else
     switch (m.kind)
       {
-      case CF_PEER_TICK:
-        handle_tick (s, m.u.tick.fence, m.u.tick.read_ms);
+      case CF_PEER_HEARTBEAT:
+        handle_tick (s, m.u.heartbeat.fence, m.u.heartbeat.report_interval_ms);
         break;
       case CF_PEER_CRASHES:
         handle_crashes (s, &m);
@@ -389,7 +389,7 @@
       case CF_PEER_PREPARE:
         cf_rank_agent_handle_prepare (s, &m);
         break;
-      case CF_PEER_WANT_LISTS:
+      case CF_PEER_REQUEST_LISTS:
         cf_rank_call (s->agent->loop, s->agent->target,
                       cf_platform_rank_lists_call (s->agent->set.target_addr),
                       CALL_TIMEOUT_MS, on_lists, s);
@@ -401,7 +401,7 @@
   msgpack_unpacked_destroy (&zone);
 }
 
-static const CfPeerLinkCalls link_calls = { on_up, on_frame, on_down };
+static const CfPeerLinkCallbacks link_calls = { on_up, on_frame, on_down };
 
 static gboolean
 is_isolated (const CfRankAgent *a)
--- a/gateway/rank-agent.h
+++ b/gateway/rank-agent.h
@@ -19,7 +19,7 @@
   gboolean has_addr; /**< @addr could be parsed */
   CfPeerLink *link;
   gboolean up;             /**< the link is connected */
-  gint64 tick_seen_ms;     /**< when its last heartbeat (tick) came */
+  gint64 tick_seen_ms;     /**< when its last heartbeat came */
   gint64 fence;            /**< its token, by that tick; 0: not the leader */
   gint64 read_interval_ms; /**< by that tick: how often the rank is to be read
                                 if this seed leads */
--- a/gateway/rank-service-order.c
+++ b/gateway/rank-service-order.c
@@ -172,7 +172,7 @@
   clear_prepare_order (p);
   p->version = o->version;
   p->fence = o->fence;
-  p->base = version_in_use (&g->coordinator);
+  p->base_version = version_in_use (&g->coordinator);
   return p;
 }
 
@@ -245,14 +245,14 @@
 send_prepare (CfLedGroup *g, CfAgentLink *a, const CfRankOrder *o)
 {
   const CfPrepareOrder *p = get_prepare_order (g, o);
-  gboolean full = a->lacks_base || p->base == 0;
+  gboolean full = a->lacks_base || p->base_version == 0;
   CfPeerMsg m = { .kind = CF_PEER_PREPARE };
 
   m.u.prepare.seq = g->service->seq;
   m.u.prepare.fence = o->fence;
   m.u.prepare.epoch = o->epoch;
   m.u.prepare.version = o->version;
-  m.u.prepare.base = full ? 0 : p->base;
+  m.u.prepare.base_version = full ? 0 : p->base_version;
   m.u.prepare.shape = o->map->shape;
   m.u.prepare.rows = (GArray *)get_rows (g, o, full);
   cf_peer_msg_send (a->link, &m);
--- a/gateway/rank-service-parts.h
+++ b/gateway/rank-service-parts.h
@@ -39,8 +39,8 @@
 {
   gint64 version; /**< 0: none */
   gint64 fence;
-  gint64 base;          /**< version of the map in use; 0: none common to all
-                             ranks */
+  gint64 base_version;  /**< version of the map in use; 0: none common to all
+                     ranks */
   GArray *changed_rows; /**< (nullable): diff against the map in use */
   GArray *full_rows;    /**< (nullable): diff against the round-robin map */
   char *json;           /**< (nullable): as ranks accept it */
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -15,7 +15,7 @@
 /** Interval while a longer piece of work is left, such as a plan; callers are
  * served in between. */
 #define MORE_WORK_INTERVAL_S 0.002
-/** Interval of the heartbeats (ticks) to agents. */
+/** Interval of the heartbeats to agents. */
 #define AGENT_TICK_MS 400
 /** Ranks of a group whose counters are read often.  A sample of this size
  * shows the demand as well as all ranks would, and saves leaders of large
@@ -42,7 +42,7 @@
 on_want_lists (void *data, int rank)
 {
   CfLedGroup *g = data;
-  CfPeerMsg m = { .kind = CF_PEER_WANT_LISTS };
+  CfPeerMsg m = { .kind = CF_PEER_REQUEST_LISTS };
 
   if (g->agents[rank])
     cf_peer_msg_send (g->agents[rank]->link, &m);
@@ -234,12 +234,12 @@
 static void
 send_tick (CfAgentLink *a)
 {
-  CfPeerMsg m = { .kind = CF_PEER_TICK };
+  CfPeerMsg m = { .kind = CF_PEER_HEARTBEAT };
 
   if (a->service->gateway->stopping && !may_hold_pass (a->group))
     return;
-  m.u.tick.fence = a->group ? a->group->coordinator.fence : 0;
-  m.u.tick.read_ms = read_interval_ms (a);
+  m.u.heartbeat.fence = a->group ? a->group->coordinator.fence : 0;
+  m.u.heartbeat.report_interval_ms = read_interval_ms (a);
   cf_peer_msg_send (a->link, &m);
 }
 
@@ -260,9 +260,9 @@
              && g->coordinator.state != CF_MAP_SETTLING);
 }
 
-/* Returns whether a tick has to announce to the agents that this gateway now
- * leads, or that it now settles and needs the status of every rank; marks that
- * as announced. */
+/* Returns whether a heartbeat has to announce to the agents that this gateway
+ * now leads, or that it now settles and needs the status of every rank; marks
+ * that as announced. */
 static gboolean
 update_announcements (CfLedGroup *g)
 {
@@ -351,7 +351,7 @@
 handle_status (CfAgentLink *a, const CfPeerMsg *m)
 {
   const CfRankStatus *st = &m->u.rank_status.status;
-  const GArray *drawn = m->u.rank_status.drawn;
+  const GArray *expert_counts = m->u.rank_status.expert_counts;
   gint64 now = cf_gateway_now (a->service->gateway);
 
   join_group (a, st);
@@ -362,7 +362,7 @@
   a->status_seen_ms = now;
   cf_order_watch_note_report (&a->group->order_watches[a->rank]);
   a->seeds_up = m->u.rank_status.seeds_up;
-  a->leader_fence = m->u.rank_status.led;
+  a->leader_fence = m->u.rank_status.leader_fence;
   /* A map version contains the token of the leader that made it, so it reveals
    * leaders whose orders the agent has forgotten. */
   a->group->fence_seen
@@ -373,10 +373,10 @@
       = MAX (a->group->fence_seen, cf_map_version_fence (st->prepared));
   cf_map_coordinator_take_status (&a->group->coordinator, st,
                                   m->u.rank_status.fence_seen, now);
-  if (drawn && drawn->len)
-    cf_map_coordinator_add_demand (&a->group->coordinator,
-                                   (const gint64 *)(gpointer)drawn->data,
-                                   drawn->len);
+  if (expert_counts && expert_counts->len)
+    cf_map_coordinator_add_demand (
+        &a->group->coordinator, (const gint64 *)(gpointer)expert_counts->data,
+        expert_counts->len);
   cf_map_coordinator_tick (&a->group->coordinator, now);
 }
 
@@ -390,7 +390,7 @@
       || !cf_order_watch_note_answer (&g->order_watches[a->rank],
                                       m->u.order_ack.seq))
     return;
-  a->lacks_base = m->u.order_ack.http_status == CF_PEER_NO_BASE;
+  a->lacks_base = m->u.order_ack.http_status == CF_PEER_STATUS_UNKNOWN_BASE;
   if (m->u.order_ack.status.group[0])
     cf_map_coordinator_take_status (&g->coordinator, &m->u.order_ack.status,
                                     m->u.order_ack.fence_seen, now);
@@ -464,7 +464,7 @@
   g_free (a);
 }
 
-static const CfPeerLinkCalls link_calls = { on_up, on_frame, on_down };
+static const CfPeerLinkCallbacks link_calls = { on_up, on_frame, on_down };
 
 void
 cf_rank_service_notify (CfRankService *s, const CfPeerMsg *m)
@@ -482,7 +482,7 @@
 
   a->service = s;
   a->link = l;
-  cf_peer_link_hand_over (l, &link_calls, a);
+  cf_peer_link_set_owner (l, &link_calls, a);
   TAILQ_INSERT_TAIL (&s->agents, a, entry);
   handle_msg (a, first);
   send_tick (a);
--- a/gateway/rank-service.h
+++ b/gateway/rank-service.h
@@ -27,7 +27,7 @@
 void cf_rank_service_set_notify (CfRankService *s, CfRankServiceNotify notify,
                                  void *data);
 
-/** cf_rank_service_take_hold_lease: a #CfPeerMsgTake that handles the hold
+/** cf_rank_service_take_hold_lease: a #CfPeerMsgHandler that handles the hold
  * lease of another seed.
  * @owner: the #CfRankService */
 void cf_rank_service_take_hold_lease (void *owner, const CfPeerMsg *m);
