--- a/agent-link.c
+++ b/agent-link.c
@@ -341,6 +341,6 @@
     ms = cf_outlier_failure (&l->outlier, cf_now_ms ());
   pthread_mutex_unlock (&l->lock);
   if (ms > 0)
-    cf_log (LOG_WARNING, CF_EV_OUTLIER, "target=%s ms=%" G_GINT64_FORMAT,
+    cf_log (LOG_WARNING, CF_EV_OUTLIER_EJECT, "target=%s ms=%" G_GINT64_FORMAT,
             l->addr, ms);
 }
--- a/comfrey-bench.c
+++ b/comfrey-bench.c
@@ -411,7 +411,7 @@
   gint64 mixed = 0;
   FILE *csv = NULL;
 
-  rc = cf_daemon_options (
+  rc = cf_daemon_parse_options (
       &argc, &argv, "comfrey-bench",
       "Plays drifting expert popularity over 16 groups of 8 to 128 "
       "ranks,\nonce for each placement policy, and prints a table.",
--- a/comfrey-entry.c
+++ b/comfrey-entry.c
@@ -19,8 +19,8 @@
   if (rc >= 0)
     return rc;
   if (cf_entry_settings_read (&s, &e.set) != CF_OK)
-    return cf_daemon_settings_failed ();
-  if (cf_daemon_checked (&args, &s))
+    return cf_daemon_log_settings_error ();
+  if (cf_daemon_is_check_only (&args, &s))
     return 0;
   if (cf_entry_start (&e) != CF_OK)
     {
@@ -28,7 +28,7 @@
       return 1;
     }
   cf_log (LOG_INFO, CF_EV_START, "name=%s", e.set.name);
-  rc = cf_daemon_wait ();
+  rc = cf_daemon_wait_for_signal ();
   cf_entry_drain (&e);
   cf_log (LOG_INFO, CF_EV_STOP, "signal=%d", rc);
   return 0;
--- a/comfrey-fake-config.c
+++ b/comfrey-fake-config.c
@@ -225,12 +225,12 @@
   if (rc >= 0)
     return rc;
   if (cf_settings_read (&s, fields, G_N_ELEMENTS (fields), &set) != CF_OK)
-    return cf_daemon_settings_failed ();
+    return cf_daemon_log_settings_error ();
   if (!g_file_get_contents (set.records, &text, NULL, NULL))
     {
       cf_fail (CF_ERR_SETTINGS, "point [config] records at a JSONL file",
                "cannot read %s", set.records);
-      return cf_daemon_settings_failed ();
+      return cf_daemon_log_settings_error ();
     }
   records = lines_to_array (text, set.records, &error);
   if (records == NULL)
@@ -238,7 +238,7 @@
       cf_log (LOG_ERR, CF_EV_CONFIG_BAD, "error=\"%s\"", error);
       return 2;
     }
-  if (cf_daemon_checked (&args, &s))
+  if (cf_daemon_is_check_only (&args, &s))
     return 0;
   pthread_mutex_init (&svc.lock, NULL);
   pthread_cond_init (&svc.changed, NULL);
--- a/comfrey-fake-engine.c
+++ b/comfrey-fake-engine.c
@@ -424,10 +424,11 @@
   pthread_t t;
   int rc;
 
-  rc = cf_daemon_begin (&argc, &argv, "comfrey-fake-engine",
-                        "A stand-in for a model engine group of lock-step "
-                        "ranks on an expert map, for tests and the demo.",
-                        defaults, fields, G_N_ELEMENTS (fields), &eng);
+  rc = cf_daemon_init_fields (
+      &argc, &argv, "comfrey-fake-engine",
+      "A stand-in for a model engine group of lock-step "
+      "ranks on an expert map, for tests and the demo.",
+      defaults, fields, G_N_ELEMENTS (fields), &eng);
   if (rc >= 0)
     return rc;
   pthread_mutex_init (&eng.lock, NULL);
--- a/comfrey-fake-service.c
+++ b/comfrey-fake-service.c
@@ -94,10 +94,11 @@
 {
   int rc;
 
-  rc = cf_daemon_begin (&argc, &argv, "comfrey-fake-service",
-                        "A stand-in for a plain service with non-repeatable "
-                        "calls; counts runs per idempotency key.",
-                        defaults, fields, G_N_ELEMENTS (fields), &set);
+  rc = cf_daemon_init_fields (
+      &argc, &argv, "comfrey-fake-service",
+      "A stand-in for a plain service with non-repeatable "
+      "calls; counts runs per idempotency key.",
+      defaults, fields, G_N_ELEMENTS (fields), &set);
   if (rc >= 0)
     return rc;
   runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
--- a/comfrey-fake-vmlist.c
+++ b/comfrey-fake-vmlist.c
@@ -106,9 +106,9 @@
 {
   int rc;
 
-  rc = cf_daemon_begin (&argc, &argv, "comfrey-fake-vmlist",
-                        "A stand-in for the platform's lagging VM list.",
-                        defaults, fields, G_N_ELEMENTS (fields), &set);
+  rc = cf_daemon_init_fields (&argc, &argv, "comfrey-fake-vmlist",
+                              "A stand-in for the platform's lagging VM list.",
+                              defaults, fields, G_N_ELEMENTS (fields), &set);
   if (rc >= 0)
     return rc;
   vms = g_hash_table_new (g_str_hash, g_str_equal);
--- a/comfrey-fake-weights.c
+++ b/comfrey-fake-weights.c
@@ -110,10 +110,11 @@
 {
   int rc;
 
-  rc = cf_daemon_begin (&argc, &argv, "comfrey-fake-weights",
-                        "A stand-in for the platform's rate-limited weight "
-                        "store, for tests and experiments.",
-                        defaults, fields, G_N_ELEMENTS (fields), &store);
+  rc = cf_daemon_init_fields (
+      &argc, &argv, "comfrey-fake-weights",
+      "A stand-in for the platform's rate-limited weight "
+      "store, for tests and experiments.",
+      defaults, fields, G_N_ELEMENTS (fields), &store);
   if (rc >= 0)
     return rc;
   return cf_daemon_serve_http (store.listen, on_http, NULL);
--- a/comfrey-load.c
+++ b/comfrey-load.c
@@ -162,10 +162,10 @@
   gint64 doubled;
   double p50 = 0, p99 = 0;
 
-  rc = cf_daemon_options (&argc, &argv, "comfrey-load",
-                          "Plays a session and prints one line: "
-                          "answered refused lost doubled p99_ms.",
-                          opts);
+  rc = cf_daemon_parse_options (&argc, &argv, "comfrey-load",
+                                "Plays a session and prints one line: "
+                                "answered refused lost doubled p99_ms.",
+                                opts);
   if (rc >= 0)
     return rc;
   if (!session_path || (!entries && !direct) || threads < 1 || repeat < 1)
--- a/comfrey-slopes.c
+++ b/comfrey-slopes.c
@@ -183,10 +183,10 @@
   };
   int rc;
 
-  rc = cf_daemon_options (&argc, &argv, "comfrey-slopes",
-                          "Measures what decisions cost at letter "
-                          "1's size, for docs/CAPACITY.md.",
-                          opts);
+  rc = cf_daemon_parse_options (&argc, &argv, "comfrey-slopes",
+                                "Measures what decisions cost at letter "
+                                "1's size, for docs/CAPACITY.md.",
+                                opts);
   if (rc >= 0)
     return rc;
   measure_config ();
--- a/comfrey.c
+++ b/comfrey.c
@@ -105,7 +105,7 @@
 static int
 explain (const char *id, char **files)
 {
-  CfStory s = { 0 };
+  CfTimeline s = { 0 };
   GString *out = g_string_new (NULL);
   int rc = 0;
 
@@ -114,22 +114,22 @@
       g_autofree char *text = read_file ("explain", *f);
 
       if (text)
-        cf_story_read (&s, id, *f, text);
+        cf_timeline_read_log (&s, id, *f, text);
       else
         rc = 2;
     }
-  cf_story_end (&s);
-  cf_story_print (&s, id, out);
+  cf_timeline_finish (&s);
+  cf_timeline_print (&s, id, out);
   fputs (out->str, stdout);
   if (rc == 0 && s.lines->len == 0)
     rc = 1;
   g_string_free (out, TRUE);
-  cf_story_clear (&s);
+  cf_timeline_clear (&s);
   return rc;
 }
 
 static int
-report (const CfReportAims *aims, char **files)
+report (const CfReportObjectives *aims, char **files)
 {
   GString *out = g_string_new (NULL);
   CfReport r;
@@ -155,7 +155,7 @@
 int
 main (int argc, char **argv)
 {
-  CfReportAims aims = { 500, 120 };
+  CfReportObjectives aims = { 500, 120 };
   GOptionEntry entries[] = {
     { "late-first-ms", 0, 0, G_OPTION_ARG_INT64, &aims.first_ms,
       "report: a stream whose first event takes longer is late (500)", "MS" },
@@ -165,7 +165,7 @@
   };
   int rc;
 
-  rc = cf_daemon_options (
+  rc = cf_daemon_parse_options (
       &argc, &argv, "comfrey",
       "Use: comfrey COMMAND ARG\n"
       "Commands:\n"
--- a/daemon.c
+++ b/daemon.c
@@ -7,8 +7,8 @@
 #include <stdio.h>
 
 int
-cf_daemon_options (int *argc, char ***argv, const char *prog,
-                   const char *summary, GOptionEntry *entries)
+cf_daemon_parse_options (int *argc, char ***argv, const char *prog,
+                         const char *summary, GOptionEntry *entries)
 {
   gboolean version = FALSE;
   GOptionEntry common[] = {
@@ -50,11 +50,11 @@
   int rc;
 
   cf_log_init (prog);
-  rc = cf_daemon_options (argc, argv, prog, summary, entries);
+  rc = cf_daemon_parse_options (argc, argv, prog, summary, entries);
   if (rc >= 0)
     return rc;
   if (cf_settings_load (s, a->settings, defaults) != CF_OK)
-    return cf_daemon_settings_failed ();
+    return cf_daemon_log_settings_error ();
 
   sigemptyset (&set);
   sigaddset (&set, SIGTERM);
@@ -65,14 +65,14 @@
 }
 
 int
-cf_daemon_settings_failed (void)
+cf_daemon_log_settings_error (void)
 {
   cf_log (LOG_ERR, CF_EV_SETTINGS, "error=\"%s\"", cf_last_error ());
   return 2;
 }
 
 gboolean
-cf_daemon_checked (const CfDaemonArgs *a, const CfSettings *s)
+cf_daemon_is_check_only (const CfDaemonArgs *a, const CfSettings *s)
 {
   if (a->check_settings)
     printf ("settings ok: %s\n", s->origin);
@@ -80,17 +80,17 @@
 }
 
 int
-cf_daemon_begin (int *argc, char ***argv, const char *prog, const char *summary,
-                 const char *defaults, const CfSetting *fields, gsize n_fields,
-                 void *out)
+cf_daemon_init_fields (int *argc, char ***argv, const char *prog,
+                       const char *summary, const char *defaults,
+                       const CfSetting *fields, gsize n_fields, void *out)
 {
   CfDaemonArgs args = { 0 };
   CfSettings s = { 0 };
   int rc = cf_daemon_init (argc, argv, prog, summary, defaults, &args, &s);
 
   if (rc < 0 && cf_settings_read (&s, fields, n_fields, out) != CF_OK)
-    rc = cf_daemon_settings_failed ();
-  else if (rc < 0 && cf_daemon_checked (&args, &s))
+    rc = cf_daemon_log_settings_error ();
+  else if (rc < 0 && cf_daemon_is_check_only (&args, &s))
     rc = 0;
   cf_settings_clear (&s);
   return rc;
@@ -108,14 +108,14 @@
       return 1;
     }
   cf_log (LOG_INFO, CF_EV_LISTEN, "addr=%s", listen);
-  sig = cf_daemon_wait ();
+  sig = cf_daemon_wait_for_signal ();
   cf_http_server_stop (http);
   cf_log (LOG_INFO, CF_EV_STOP, "signal=%d", sig);
   return 0;
 }
 
 int
-cf_daemon_wait (void)
+cf_daemon_wait_for_signal (void)
 {
   sigset_t set;
   int sig = 0;
--- a/daemon.h
+++ b/daemon.h
@@ -13,7 +13,7 @@
 } CfDaemonArgs;
 
 /**
- * cf_daemon_options:
+ * cf_daemon_parse_options:
  * @entries: the program's own options
  *
  * Parses the command line, with --help and --version, as every program of
@@ -21,8 +21,8 @@
  *
  * Returns: -1 to go on, or an exit status to return from main().
  */
-int cf_daemon_options (int *argc, char ***argv, const char *prog,
-                       const char *summary, GOptionEntry *entries);
+int cf_daemon_parse_options (int *argc, char ***argv, const char *prog,
+                             const char *summary, GOptionEntry *entries);
 
 /**
  * cf_daemon_init:
@@ -32,7 +32,8 @@
  * @s: (out): the settings, loaded; cf_settings_read() checks them
  *
  * Parses the command line, loads settings, and blocks SIGTERM, SIGINT and
- * SIGPIPE in every thread to come, so that cf_daemon_wait() receives them.
+ * SIGPIPE in every thread to come, so that cf_daemon_wait_for_signal() receives
+ * them.
  *
  * Returns: -1 to go on, or an exit status to return from main().
  */
@@ -41,7 +42,7 @@
                     CfSettings *s);
 
 /**
- * cf_daemon_begin:
+ * cf_daemon_init_fields:
  * @fields: the @n_fields settings there are
  * @out: (out): the struct they are read into
  *
@@ -50,22 +51,24 @@
  *
  * Returns: -1 to go on, or an exit status to return from main().
  */
-int cf_daemon_begin (int *argc, char ***argv, const char *prog,
-                     const char *summary, const char *defaults,
-                     const CfSetting *fields, gsize n_fields, void *out);
+int cf_daemon_init_fields (int *argc, char ***argv, const char *prog,
+                           const char *summary, const char *defaults,
+                           const CfSetting *fields, gsize n_fields, void *out);
 
-/** cf_daemon_settings_failed: logs a settings error; returns exit status 2. */
-int cf_daemon_settings_failed (void);
+/** cf_daemon_log_settings_error: logs a settings error; returns exit status 2.
+ */
+int cf_daemon_log_settings_error (void);
 
-/** cf_daemon_wait: waits for SIGTERM or SIGINT; returns its number. */
-int cf_daemon_wait (void);
+/** cf_daemon_wait_for_signal: waits for SIGTERM or SIGINT; returns its number.
+ */
+int cf_daemon_wait_for_signal (void);
 
 /**
- * cf_daemon_checked:
+ * cf_daemon_is_check_only:
  * For --check-settings: prints that the settings are good.
  * Returns: %TRUE if the program should now exit with status 0.
  */
-gboolean cf_daemon_checked (const CfDaemonArgs *a, const CfSettings *s);
+gboolean cf_daemon_is_check_only (const CfDaemonArgs *a, const CfSettings *s);
 
 /**
  * cf_daemon_serve_http:
--- a/explain.c
+++ b/explain.c
@@ -68,7 +68,7 @@
 static void
 line_free (gpointer p)
 {
-  CfStoryLine *l = p;
+  CfTimelineEntry *l = p;
 
   g_free (l->file);
   g_free (l->event);
@@ -79,15 +79,15 @@
 /* Takes a line "... ]: E1203 route id=..."; what is before is whoever's
  * collected it. */
 static void
-take_line (CfStory *s, const char *id, const char *file, const char *line)
+take_line (CfTimeline *s, const char *id, const char *file, const char *line)
 {
   const char *at = cf_log_line_event (line);
   g_autofree char *of = cf_log_line_field (line, "id");
-  CfStoryLine *l;
+  CfTimelineEntry *l;
 
   if (!at || g_strcmp0 (of, id) != 0)
     return;
-  l = g_new0 (CfStoryLine, 1);
+  l = g_new0 (CfTimelineEntry, 1);
   l->time_s = cf_log_line_number (line, "t", 0);
   l->file = g_strdup (file);
   l->event = g_strndup (at, strcspn (at, " "));
@@ -97,7 +97,8 @@
 }
 
 void
-cf_story_read (CfStory *s, const char *id, const char *file, const char *text)
+cf_timeline_read_log (CfTimeline *s, const char *id, const char *file,
+                      const char *text)
 {
   char **lines = g_strsplit (text, "\n", -1);
 
@@ -111,18 +112,18 @@
 static int
 by_time (gconstpointer a, gconstpointer b)
 {
-  const CfStoryLine *x = *(CfStoryLine *const *)a;
-  const CfStoryLine *y = *(CfStoryLine *const *)b;
+  const CfTimelineEntry *x = *(CfTimelineEntry *const *)a;
+  const CfTimelineEntry *y = *(CfTimelineEntry *const *)b;
 
   return x->time_s < y->time_s ? -1 : x->time_s > y->time_s;
 }
 
-static const CfStoryLine *
-last_of (const CfStory *s, const char *event)
+static const CfTimelineEntry *
+last_of (const CfTimeline *s, const char *event)
 {
   for (guint i = s->lines->len; i > 0; i--)
     {
-      const CfStoryLine *l = s->lines->pdata[i - 1];
+      const CfTimelineEntry *l = s->lines->pdata[i - 1];
 
       if (strcmp (l->event, event) == 0)
         return l;
@@ -131,7 +132,7 @@
 }
 
 static void
-find_cause (CfStory *s, const CfStoryLine *answer)
+find_cause (CfTimeline *s, const CfTimelineEntry *answer)
 {
   g_autofree char *outcome = cf_log_line_field (answer->text, "outcome");
   g_autofree char *reason = cf_log_line_field (answer->text, "reason");
@@ -149,11 +150,11 @@
 
 /* The newest decision before the answer, with what it was made from. */
 static void
-find_input (CfStory *s)
+find_input (CfTimeline *s)
 {
   for (guint i = s->lines->len; i > 0 && !s->input; i--)
     {
-      const CfStoryLine *l = s->lines->pdata[i - 1];
+      const CfTimelineEntry *l = s->lines->pdata[i - 1];
 
       if (strcmp (l->event, "E1205") != 0 && strcmp (l->event, "E1211") != 0)
         s->input = g_strdup_printf ("%s %s", l->event, l->text);
@@ -161,9 +162,9 @@
 }
 
 void
-cf_story_end (CfStory *s)
+cf_timeline_finish (CfTimeline *s)
 {
-  const CfStoryLine *answer;
+  const CfTimelineEntry *answer;
 
   if (!s->lines)
     s->lines = g_ptr_array_new_with_free_func (line_free);
@@ -178,7 +179,7 @@
 }
 
 void
-cf_story_print (const CfStory *s, const char *id, GString *out)
+cf_timeline_print (const CfTimeline *s, const char *id, GString *out)
 {
   double begun = 0;
 
@@ -187,11 +188,11 @@
       g_string_append_printf (out, "%s: not in these logs\n", id);
       return;
     }
-  begun = ((CfStoryLine *)s->lines->pdata[0])->time_s;
+  begun = ((CfTimelineEntry *)s->lines->pdata[0])->time_s;
   g_string_append_printf (out, "request %s\n", id);
   for (guint i = 0; i < s->lines->len; i++)
     {
-      const CfStoryLine *l = s->lines->pdata[i];
+      const CfTimelineEntry *l = s->lines->pdata[i];
 
       g_string_append_printf (out, "  %+8.0f ms  %s  %s %s\n",
                               (l->time_s - begun) * 1000, l->file, l->event,
@@ -203,7 +204,7 @@
 }
 
 void
-cf_story_clear (CfStory *s)
+cf_timeline_clear (CfTimeline *s)
 {
   if (s->lines)
     g_ptr_array_free (s->lines, TRUE);
--- a/gateway/exchange-answer.c
+++ b/gateway/exchange-answer.c
@@ -35,7 +35,7 @@
                gint64 ms)
 {
   if (ms > 0)
-    cf_log (LOG_WARNING, CF_EV_OUTLIER,
+    cf_log (LOG_WARNING, CF_EV_OUTLIER_EJECT,
             "target=%s service=%s reason=%s ms=%" G_GINT64_FORMAT " id=%s",
             t->record.id, t->record.service, reason, ms, x->id);
 }
@@ -231,7 +231,7 @@
 learn_rate_limit (CfExchange *x, const CfHttpReader *r)
 {
   const char *value = cf_http_reader_header (r, CF_HDR_RATE_LIMIT);
-  double limit = cf_platform_rate_limit (value);
+  double limit = cf_platform_parse_rate_limit (value);
   CfTarget *t = x->target;
 
   if (limit == 0 && x->kind != CF_ANSWER_GOOD && x->kind != CF_ANSWER_FAILURE)
--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -55,9 +55,9 @@
   GString *req;
 
   ours.deadline_ms = cf_exchange_left_ms (x);
-  ours.expect = t->record.id;
+  ours.expected_target = t->record.id;
   ours.org = x->org;
-  ours.last_event = x->events.last_id;
+  ours.last_event_id = x->events.last_id;
   req = cf_forward_request (&x->c->reader, x->c->body, &ours);
   cf_log (LOG_INFO, CF_EV_ROUTE,
           "id=%s route=%s service=%s org=%s target=%s dc=%s send=%u "
@@ -72,7 +72,7 @@
       x->g->stats.resumes++;
       cf_log (LOG_NOTICE, CF_EV_RESUME,
               "id=%s target=%s after_event=%" G_GINT64_FORMAT, x->id,
-              t->record.id, ours.last_event);
+              t->record.id, ours.last_event_id);
     }
   cf_outage_sent (&x->lane->outage, cf_gateway_now (x->g));
   x->target = cf_target_ref (t);
--- a/gateway/exchange-stop.c
+++ b/gateway/exchange-stop.c
@@ -46,7 +46,7 @@
 static void
 note_look (const CfExchange *x, const char *outcome)
 {
-  cf_log (LOG_INFO, CF_EV_STOP_LOOK,
+  cf_log (LOG_INFO, CF_EV_STOP_ESTIMATE,
           "id=%s outcome=%s whole_ms=%" G_GINT64_FORMAT
           " left_ms=%" G_GINT64_FORMAT
           " pause_ms=%.1f answer=%" G_GINT64_FORMAT,
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -150,7 +150,7 @@
 find_org (CfExchange *x)
 {
   const char *value = cf_http_reader_header (&x->c->reader, CF_HDR_API_KEY);
-  const char *key = value ? cf_platform_api_key (value) : NULL;
+  const char *key = value ? cf_platform_parse_api_key (value) : NULL;
 
   x->org = key ? g_hash_table_lookup (x->policy->tenants, key) : NULL;
   return x->org || x->route->keyless || !x->policy->needs_keys;
@@ -197,8 +197,9 @@
 
   x->service = cf_route_pick (x->route, x->hash);
   x->lane = cf_gateway_lane (x->g, x->service);
-  cf_platform_size (cf_http_reader_header (&x->c->reader, CF_HDR_SIZE),
-                    &x->size.prompt, &x->size.answer);
+  cf_platform_parse_token_count (
+      cf_http_reader_header (&x->c->reader, CF_HDR_TOKEN_COUNT),
+      &x->size.prompt, &x->size.answer);
   x->deadline_ms = x->start_ms + allowed;
   x->waiter.priority = priority_of (x);
   cf_retry_budget_request (&x->lane->budget);
--- a/gateway/forward.c
+++ b/gateway/forward.c
@@ -14,8 +14,8 @@
     case CF_HDR_EXPECT_TARGET:
     case CF_HDR_PRIORITY:
       return TRUE;
-    case CF_HDR_LAST_EVENT:
-      return ours->last_event >= 0;
+    case CF_HDR_LAST_EVENT_ID:
+      return ours->last_event_id >= 0;
     default:
       return FALSE;
     }
@@ -45,7 +45,7 @@
       if (cf_http_reader_passes (r, h) && !is_ours (h->kind, ours))
         g_string_append_printf (out, "%s: %s\r\n", h->name, h->value);
     }
-  cf_platform_forward (out, ours);
+  cf_platform_append_forward_headers (out, ours);
   if (needs_length (r, body))
     g_string_append_printf (out, "Content-Length: %" G_GSIZE_FORMAT "\r\n",
                             body->len);
--- a/gateway/loop-watch.c
+++ b/gateway/loop-watch.c
@@ -68,7 +68,7 @@
   w->n_unlogged++;
   if (w->logged_us && now - w->logged_us < LOG_PAUSE_US)
     return;
-  cf_log (LOG_NOTICE, CF_EV_LONG_TURN,
+  cf_log (LOG_NOTICE, CF_EV_LONG_ITERATION,
           "ms=%" G_GINT64_FORMAT " in=%s part_ms=%" G_GINT64_FORMAT " turns=%u",
           us / US_IN_MS, cf_turn_part_name (p), w->spent_us[p] / US_IN_MS,
           w->n_unlogged);
--- a/gateway/ops.c
+++ b/gateway/ops.c
@@ -48,13 +48,14 @@
   cf_stats_gauge (out, "requests_in_progress", g->n_exchanges);
   cf_stats_gauge (out, "request_bytes_held", (double)g->body_bytes);
   cf_stats_gauge (out, "ready", cf_gateway_ready (g));
-  cf_stats_gauge (out, "log_lines_dropped", (double)cf_log_writer_dropped ());
+  cf_stats_gauge (out, "log_lines_dropped",
+                  (double)cf_log_writer_dropped_lines ());
 }
 
 static int
 answer_text (CfGateway *g, const char *path, GString *body)
 {
-  if (cf_platform_is_ready_call (path))
+  if (cf_platform_is_readiness_path (path))
     {
       g_string_assign (body, cf_gateway_ready (g) ? "ready\n" : "not ready\n");
       return cf_gateway_ready (g) ? 200 : 503;
--- a/gateway/rank-agent-order.c
+++ b/gateway/rank-agent-order.c
@@ -109,7 +109,7 @@
   if (o->kind == CF_ORDER_PREPARE)
     cf_rank_agent_await_copy (o->a, o->version);
   cf_rank_call (o->a->loop, o->a->target,
-                cf_platform_rank_report_call (o->a->set.target_addr),
+                cf_platform_rank_build_report_request (o->a->set.target_addr),
                 REPORT_TIMEOUT_MS, on_report_after, o);
 }
 
@@ -117,10 +117,10 @@
 give (OrderCall *o)
 {
   o->tries++;
-  cf_rank_call (
-      o->a->loop, o->a->target,
-      cf_platform_rank_order_call (o->a->set.target_addr, o->body, o->n),
-      ORDER_TIMEOUT_MS, on_order_done, o);
+  cf_rank_call (o->a->loop, o->a->target,
+                cf_platform_rank_build_order_request (o->a->set.target_addr,
+                                                      o->body, o->n),
+                ORDER_TIMEOUT_MS, on_order_done, o);
 }
 
 /* Gives @o, whose body is made, unless another leader goes before. */
@@ -190,7 +190,7 @@
   order.epoch = m->u.prepare.epoch;
   order.fence = m->u.prepare.fence;
   order.map = map;
-  body = cf_platform_rank_order (&order);
+  body = cf_platform_rank_build_order_body (&order);
   cf_map_history_take (&a->maps, map, order.version);
   return body;
 }
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -135,7 +135,7 @@
   note_rank (a, status == 200);
   if (status != 200)
     return FALSE;
-  if (cf_platform_rank_status (body->str, body->len, &s) != CF_OK)
+  if (cf_platform_rank_parse_report (body->str, body->len, &s) != CF_OK)
     {
       cf_log (LOG_WARNING, CF_EV_TARGET_FAIL, "target=%s error=\"%s\"",
               a->set.target_addr, cf_last_error ());
@@ -201,7 +201,8 @@
   gint64 incarnation = 0;
 
   if (status == 200
-      && cf_platform_rank_counts (body->str, body->len, &incarnation, &counts)
+      && cf_platform_rank_parse_counts (body->str, body->len, &incarnation,
+                                        &counts)
              != CF_OK)
     cf_log (LOG_WARNING, CF_EV_TARGET_FAIL, "target=%s error=\"%s\"",
             a->set.target_addr, cf_last_error ());
@@ -239,7 +240,7 @@
     }
   else
     cf_rank_call (a->loop, a->target,
-                  cf_platform_rank_counts_call (a->set.target_addr),
+                  cf_platform_rank_build_counts_request (a->set.target_addr),
                   CALL_TIMEOUT_MS, on_counts, a);
 }
 
@@ -257,7 +258,7 @@
     }
   a->reading = TRUE;
   cf_rank_call (loop, a->target,
-                cf_platform_rank_report_call (a->set.target_addr),
+                cf_platform_rank_build_report_request (a->set.target_addr),
                 CALL_TIMEOUT_MS, on_report, a);
 }
 
@@ -268,8 +269,8 @@
   CfPeerMsg m = { .kind = CF_PEER_LISTS };
 
   if (status != 200
-      || cf_platform_rank_lists (body->str, body->len, &m.u.lists.version,
-                                 &m.u.lists.experts)
+      || cf_platform_rank_parse_lists (body->str, body->len, &m.u.lists.version,
+                                       &m.u.lists.experts)
              != CF_OK)
     {
       cf_log (LOG_WARNING, CF_EV_TARGET_FAIL,
@@ -380,9 +381,10 @@
         cf_rank_agent_prepare (s, &m);
         break;
       case CF_PEER_WANT_LISTS:
-        cf_rank_call (s->a->loop, s->a->target,
-                      cf_platform_rank_lists_call (s->a->set.target_addr),
-                      CALL_TIMEOUT_MS, on_lists, s);
+        cf_rank_call (
+            s->a->loop, s->a->target,
+            cf_platform_rank_build_lists_request (s->a->set.target_addr),
+            CALL_TIMEOUT_MS, on_lists, s);
         break;
       default:
         break;
--- a/gateway/rank-service-order.c
+++ b/gateway/rank-service-order.c
@@ -33,8 +33,8 @@
 
   if (d->is_order)
     {
-      cf_map_coordinator_ack (c, d->rank, cf_platform_rank_ack (d->http_status),
-                              now);
+      cf_map_coordinator_ack (
+          c, d->rank, cf_platform_rank_ack_from_status (d->http_status), now);
       cf_map_coordinator_tick (c, now);
     }
   g_free (d);
@@ -65,7 +65,7 @@
   CfRankStatus st = { 0 };
 
   if (status == 200
-      && cf_platform_rank_status (body->str, body->len, &st) == CF_OK
+      && cf_platform_rank_parse_report (body->str, body->len, &st) == CF_OK
       && strcmp (st.group, d->g->name) == 0)
     cf_map_coordinator_status_as_of (
         &d->g->c, &st, guard_as_of (d, st.epoch, as_of), as_of, now);
@@ -86,7 +86,8 @@
   CfTarget *t = cf_rank_service_target (s, d->g->addrs[d->rank]);
 
   if (t)
-    cf_rank_call (s->g->loop, t, cf_platform_rank_report_call (t->record.addr),
+    cf_rank_call (s->g->loop, t,
+                  cf_platform_rank_build_report_request (t->record.addr),
                   DIRECT_TIMEOUT_MS, on_direct_report, d);
   else
     on_direct_report (d, 0, NULL);
@@ -112,7 +113,7 @@
 on_direct_hold (void *data, int status, const GString *body)
 {
   DirectCall *d = data;
-  CfRankAck ack = cf_platform_rank_ack (status);
+  CfRankAck ack = cf_platform_rank_ack_from_status (status);
 
   d->http_status = status;
   note_guard (d, ack);
@@ -132,7 +133,7 @@
   DirectCall *d = data;
 
   d->http_status = status;
-  note_guard (d, cf_platform_rank_ack (status));
+  note_guard (d, cf_platform_rank_ack_from_status (status));
   ask_report (d);
 }
 
@@ -197,10 +198,10 @@
   CfPreparedOrder *p;
 
   if (o->kind != CF_ORDER_PREPARE)
-    return cf_platform_rank_order (o);
+    return cf_platform_rank_build_order_body (o);
   p = prepared_order (g, o);
   if (!p->json)
-    p->json = cf_platform_rank_order (o);
+    p->json = cf_platform_rank_build_order_body (o);
   return g_strdup (p->json);
 }
 
@@ -224,11 +225,11 @@
   d->step = o->step;
   d->fence = o->fence;
   d->is_order = is_order;
-  cf_rank_call (
-      g->s->g->loop, t,
-      cf_platform_rank_order_call (t->record.addr, json, strlen (json)),
-      halts ? HOLD_TIMEOUT_MS : DIRECT_TIMEOUT_MS,
-      halts ? on_direct_hold : on_direct_order, d);
+  cf_rank_call (g->s->g->loop, t,
+                cf_platform_rank_build_order_request (t->record.addr, json,
+                                                      strlen (json)),
+                halts ? HOLD_TIMEOUT_MS : DIRECT_TIMEOUT_MS,
+                halts ? on_direct_hold : on_direct_order, d);
   g_free (json);
 }
 
@@ -255,7 +256,7 @@
 send_order (CfLedGroup *g, CfRankLink *a, const CfRankOrder *o)
 {
   CfPeerMsg m = { .kind = CF_PEER_ORDER };
-  char *json = cf_platform_rank_order (o);
+  char *json = cf_platform_rank_build_order_body (o);
 
   m.u.order.seq = g->s->seq;
   m.u.order.fence = o->fence;
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -372,8 +372,8 @@
     cf_map_coordinator_status (&g->c, &m->u.order_ack.status,
                                m->u.order_ack.fence_seen, now);
   cf_map_coordinator_ack (
-      &g->c, a->rank, cf_platform_rank_ack ((int)m->u.order_ack.http_status),
-      now);
+      &g->c, a->rank,
+      cf_platform_rank_ack_from_status ((int)m->u.order_ack.http_status), now);
   cf_map_coordinator_tick (&g->c, now);
 }
 
--- a/gateway/store-watch.c
+++ b/gateway/store-watch.c
@@ -139,7 +139,7 @@
   CfStoreReply r;
   gboolean news;
 
-  if (cf_platform_store_parse (w->body->str, w->body->len, &r) != CF_OK)
+  if (cf_platform_store_parse_reply (w->body->str, w->body->len, &r) != CF_OK)
     {
       failed (w, cf_last_error ());
       return;
@@ -257,10 +257,11 @@
 
   w->state = w->has_all ? CF_WATCH_CHANGES : CF_WATCH_RANGE;
   if (w->has_all)
-    req = cf_platform_store_watch (addr, w->prefix, w->as_of,
-                                   watch_wait_ms (w));
+    req = cf_platform_store_build_watch_request (addr, w->prefix, w->as_of,
+                                                 watch_wait_ms (w));
   else
-    req = cf_platform_store_range (addr, w->prefix, w->page_after);
+    req = cf_platform_store_build_range_request (addr, w->prefix,
+                                                 w->page_after);
   g_string_assign (w->out, req);
   g_free (req);
   w->out_sent = 0;
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -101,7 +101,7 @@
 static void
 on_item (CfGateway *g, const CfStoreItem *it)
 {
-  const char *id = cf_platform_target_id (it->key);
+  const char *id = cf_platform_target_id_from_key (it->key);
   CfTargetNews news = { .id = id };
 
   if (!id)
--- a/log-writer.c
+++ b/log-writer.c
@@ -119,7 +119,7 @@
 static void
 tell_dropped (CfLogBatch *b, guint64 *told)
 {
-  guint64 dropped = cf_log_writer_dropped ();
+  guint64 dropped = cf_log_writer_dropped_lines ();
   char line[96];
   int n;
 
@@ -209,7 +209,7 @@
 }
 
 gboolean
-cf_log_writer_active (void)
+cf_log_writer_is_running (void)
 {
   return writer.running;
 }
@@ -224,7 +224,7 @@
       writer.second = second;
       writer.in_second = 0;
     }
-  return ++writer.in_second <= CF_LOG_RATE_MAX;
+  return ++writer.in_second <= CF_LOG_MAX_LINES_PER_S;
 }
 
 void
@@ -248,7 +248,7 @@
 }
 
 guint64
-cf_log_writer_dropped (void)
+cf_log_writer_dropped_lines (void)
 {
   return ck_pr_load_64 (&writer.dropped);
 }
--- a/log-writer.h
+++ b/log-writer.h
@@ -13,7 +13,7 @@
 #define CF_LOG_RING_SIZE 4096
 /** Lines a second at most: a request writes three or four, and ten times that
  * in a storm of errors.  Above this a log explains nothing more. */
-#define CF_LOG_RATE_MAX 3000
+#define CF_LOG_MAX_LINES_PER_S 3000
 
 /**
  * cf_log_writer_start:
@@ -25,11 +25,11 @@
 /** cf_log_writer_stop: writes what waits, for at most @ms, and ends. */
 void cf_log_writer_stop (gint64 ms);
 
-/** cf_log_writer_active: whether lines go through the writer. */
-gboolean cf_log_writer_active (void);
+/** cf_log_writer_is_running: whether lines go through the writer. */
+gboolean cf_log_writer_is_running (void);
 
 /** cf_log_writer_put: takes a copy of the line; never blocks. */
 void cf_log_writer_put (const char *line, gsize n);
 
-/** cf_log_writer_dropped: lines dropped since the start. */
-guint64 cf_log_writer_dropped (void);
+/** cf_log_writer_dropped_lines: lines dropped since the start. */
+guint64 cf_log_writer_dropped_lines (void);
--- a/log.c
+++ b/log.c
@@ -37,7 +37,7 @@
       return "reload";
     case CF_EV_READY:
       return "ready";
-    case CF_EV_LONG_TURN:
+    case CF_EV_LONG_ITERATION:
       return "long-turn";
     case CF_EV_CONFIG_ACCEPT:
       return "config-accept";
@@ -59,7 +59,7 @@
       return "no-route";
     case CF_EV_CLAIM:
       return "claim";
-    case CF_EV_OUTLIER:
+    case CF_EV_OUTLIER_EJECT:
       return "outlier-eject";
     case CF_EV_QUEUE:
       return "queue";
@@ -69,7 +69,7 @@
       return "resume";
     case CF_EV_OUTAGE:
       return "outage";
-    case CF_EV_STOP_LOOK:
+    case CF_EV_STOP_ESTIMATE:
       return "stop-look";
     case CF_EV_CALLERS_FULL:
       return "callers-full";
@@ -154,14 +154,14 @@
   n += m;
   if ((size_t)n > sizeof line - TIME_ROOM)
     n = sizeof line - TIME_ROOM;
-  if (cf_log_writer_active ())
+  if (cf_log_writer_is_running ())
     n += append_time (line + n);
   /* Callers choose some of the values; none may end the line or begin one. */
   for (int i = 0; i < n; i++)
     if ((unsigned char)line[i] < ' ' || line[i] == 0x7f)
       line[i] = '?';
   line[n++] = '\n';
-  if (cf_log_writer_active ())
+  if (cf_log_writer_is_running ())
     cf_log_writer_put (line, n);
   else if (write (STDERR_FILENO, line, n) < 0)
     return;
--- a/report.c
+++ b/report.c
@@ -7,7 +7,7 @@
 #define MS_PER_S 1000.0
 
 void
-cf_report_init (CfReport *r, const CfReportAims *aims)
+cf_report_init (CfReport *r, const CfReportObjectives *aims)
 {
   r->aims = *aims;
   r->seconds
--- a/report.h
+++ b/report.h
@@ -8,12 +8,12 @@
  * what, how the others ended, and what the expert maps did meanwhile.
  */
 
-/** CfReportAims: what counts as in time. */
+/** CfReportObjectives: what counts as in time. */
 typedef struct
 {
   gint64 first_ms; /**< to a stream's first event */
   gint64 pause_ms; /**< between two of its events */
-} CfReportAims;
+} CfReportObjectives;
 
 /** CfReportSecond: what began in one second of the logs' time. */
 typedef struct
@@ -38,12 +38,12 @@
 /** CfReport: all of them. */
 typedef struct
 {
-  CfReportAims aims;
+  CfReportObjectives aims;
   GHashTable *seconds; /**< GINT64 second -> #CfReportSecond */
   GHashTable *reasons; /**< "outcome reason" -> how often */
 } CfReport;
 
-void cf_report_init (CfReport *r, const CfReportAims *aims);
+void cf_report_init (CfReport *r, const CfReportObjectives *aims);
 void cf_report_clear (CfReport *r);
 
 /** cf_report_read: takes in what a log holds. */
--- a/settings.c
+++ b/settings.c
@@ -201,7 +201,7 @@
 }
 
 CfStatus
-cf_settings_only (CfSettings *s, const char *const *known)
+cf_settings_check_known_keys (CfSettings *s, const char *const *known)
 {
   g_auto (GStrv) tables = g_key_file_get_groups (s->keys, NULL);
 
@@ -255,7 +255,7 @@
     g_ptr_array_add (known,
                      g_strconcat (fields[i].table, ".", fields[i].key, NULL));
   g_ptr_array_add (known, NULL);
-  st = cf_settings_only (s, (const char *const *)known->pdata);
+  st = cf_settings_check_known_keys (s, (const char *const *)known->pdata);
   for (size_t i = 0; i < n && st == CF_OK; i++)
     st = read_one (s, &fields[i], (char *)out + fields[i].offset);
   return st;
--- a/settings.h
+++ b/settings.h
@@ -98,10 +98,10 @@
                            void *out);
 
 /**
- * cf_settings_only:
+ * cf_settings_check_known_keys:
  * @known: %NULL-terminated list of "table.key" names the program reads
  *
  * Returns: %CF_ERR_SETTINGS for the first table or key not in @known, so
  * that a misspelt key is an error and not a silent default.
  */
-CfStatus cf_settings_only (CfSettings *s, const char *const *known);
+CfStatus cf_settings_check_known_keys (CfSettings *s, const char *const *known);
--- a/standins/fake-target.c
+++ b/standins/fake-target.c
@@ -270,8 +270,8 @@
 begin_stream (FakeTarget *t, FakeConn *c, const char *id, char *fault)
 {
   FakeStream *st = g_new0 (FakeStream, 1);
-  const char *size = cf_http_reader_header (&c->reader, CF_HDR_SIZE);
-  const char *after = cf_http_reader_header (&c->reader, CF_HDR_LAST_EVENT);
+  const char *size = cf_http_reader_header (&c->reader, CF_HDR_TOKEN_COUNT);
+  const char *after = cf_http_reader_header (&c->reader, CF_HDR_LAST_EVENT_ID);
   const char *comma = size ? strchr (size, ',') : NULL;
 
   st->c = c;
@@ -634,7 +634,7 @@
     }
   else if (t->group && fake_http_is (c, PF_PATH_REPORT))
     answer_report (t, c);
-  else if (t->group && fake_http_is (c, PF_PATH_PICKED))
+  else if (t->group && fake_http_is (c, PF_PATH_EXPERT_COUNTS))
     answer_picked (t, c);
   else if (t->group && fake_http_is (c, PF_PATH_ORDER))
     take_order (t, c);
--- a/t/t-decode-fuzz.c
+++ b/t/t-decode-fuzz.c
@@ -176,7 +176,7 @@
       GString *s = spoil (report, strlen (report), i);
       CfRankStatus r;
 
-      if (cf_platform_rank_status (s->str, s->len, &r) == CF_OK)
+      if (cf_platform_rank_parse_report (s->str, s->len, &r) == CF_OK)
         {
           ck_assert (r.pace >= 1 && r.pace <= 1000);
           ck_assert (r.rank >= 0 && (!r.group[0] || r.rank < r.size));
@@ -199,13 +199,13 @@
       GArray *a = NULL;
       gint64 n;
 
-      if (cf_platform_rank_counts (c->str, c->len, &n, &a) == CF_OK)
+      if (cf_platform_rank_parse_counts (c->str, c->len, &n, &a) == CF_OK)
         for (guint j = 0; j < a->len; j++)
           ck_assert_int_ge (g_array_index (a, gint64, j), 0);
       else
         ck_assert_ptr_null (a);
       g_clear_pointer (&a, g_array_unref);
-      if (cf_platform_rank_lists (l->str, l->len, &n, &a) == CF_OK)
+      if (cf_platform_rank_parse_lists (l->str, l->len, &n, &a) == CF_OK)
         ck_assert (
             n >= 0
             && (a->len == 0 || g_array_index (a, gint64, a->len - 1) == -1));
@@ -248,14 +248,14 @@
       GString *s = spoil (store, strlen (store), i);
       CfStoreReply r;
 
-      if (cf_platform_store_parse (s->str, s->len, &r) == CF_OK)
+      if (cf_platform_store_parse_reply (s->str, s->len, &r) == CF_OK)
         for (guint j = 0; j < r.items->len; j++)
           {
             const CfStoreItem *it = r.items->pdata[j];
 
             ck_assert_ptr_nonnull (it->key);
             ck_assert (!it->unreadable || !it->value);
-            cf_platform_target_id (it->key);
+            cf_platform_target_id_from_key (it->key);
           }
       else
         ck_assert_ptr_null (r.items);
--- a/t/t-explain.c
+++ b/t/t-explain.c
@@ -19,43 +19,43 @@
 
 START_TEST (lines_of_the_id_alone_in_order)
 {
-  CfStory s = { 0 };
+  CfTimeline s = { 0 };
   GString *out = g_string_new (NULL);
 
-  cf_story_read (&s, "a1", "two.log", second);
-  cf_story_read (&s, "a1", "one.log", first);
-  cf_story_end (&s);
+  cf_timeline_read_log (&s, "a1", "two.log", second);
+  cf_timeline_read_log (&s, "a1", "one.log", first);
+  cf_timeline_finish (&s);
   ck_assert_uint_eq (s.lines->len, 3);
-  ck_assert_str_eq (((CfStoryLine *)s.lines->pdata[0])->event, "E1203");
-  ck_assert_str_eq (((CfStoryLine *)s.lines->pdata[2])->event, "E1205");
+  ck_assert_str_eq (((CfTimelineEntry *)s.lines->pdata[0])->event, "E1203");
+  ck_assert_str_eq (((CfTimelineEntry *)s.lines->pdata[2])->event, "E1205");
   ck_assert_ptr_nonnull (strstr (s.cause, "could not be sent again"));
   ck_assert_ptr_nonnull (strstr (s.input, "reason=lost"));
-  cf_story_print (&s, "a1", out);
+  cf_timeline_print (&s, "a1", out);
   ck_assert_ptr_nonnull (strstr (out->str, "+901 ms  two.log  E1205"));
   ck_assert_ptr_nonnull (strstr (out->str, "cause: the connection"));
   g_string_free (out, TRUE);
-  cf_story_clear (&s);
+  cf_timeline_clear (&s);
 }
 END_TEST
 
 START_TEST (unknown_ids_and_reasons_are_said)
 {
-  CfStory s = { 0 };
+  CfTimeline s = { 0 };
   GString *out = g_string_new (NULL);
 
-  cf_story_read (&s, "zz", "one.log", first);
-  cf_story_end (&s);
-  cf_story_print (&s, "zz", out);
+  cf_timeline_read_log (&s, "zz", "one.log", first);
+  cf_timeline_finish (&s);
+  cf_timeline_print (&s, "zz", out);
   ck_assert_str_eq (out->str, "zz: not in these logs\n");
-  cf_story_clear (&s);
-  cf_story_read (&s, "b", "two.log", second);
-  cf_story_end (&s);
+  cf_timeline_clear (&s);
+  cf_timeline_read_log (&s, "b", "two.log", second);
+  cf_timeline_finish (&s);
   ck_assert_ptr_nonnull (strstr (s.cause, "new-reason"));
-  cf_story_clear (&s);
-  cf_story_read (&s, "a10", "one.log", first);
-  cf_story_end (&s);
+  cf_timeline_clear (&s);
+  cf_timeline_read_log (&s, "a10", "one.log", first);
+  cf_timeline_finish (&s);
   ck_assert_ptr_nonnull (strstr (s.cause, "no final answer"));
-  cf_story_clear (&s);
+  cf_timeline_clear (&s);
   g_string_free (out, TRUE);
 }
 END_TEST
--- a/t/t-log-writer.c
+++ b/t/t-log-writer.c
@@ -20,7 +20,7 @@
     cf_log (LOG_INFO, CF_EV_ROUTE, "id=%d target=%s", i, "some-target");
   ck_assert_int_lt (cf_now_ms () - begun, 1000);
   /* The ring and the pipe hold some; the rest is dropped and counted. */
-  ck_assert_uint_gt (cf_log_writer_dropped (), 10000);
+  ck_assert_uint_gt (cf_log_writer_dropped_lines (), 10000);
   begun = cf_now_ms ();
   cf_log_writer_stop (100);
   ck_assert_int_lt (cf_now_ms () - begun, 1000);
@@ -91,7 +91,7 @@
 {
   g_autoptr (GString) text = g_string_new (NULL);
   g_auto (GStrv) lines = NULL;
-  guint64 before = cf_log_writer_dropped ();
+  guint64 before = cf_log_writer_dropped_lines ();
   guint64 whole = 0;
   guint64 told = 0;
   int fds[2];
@@ -126,8 +126,9 @@
   ck_assert_uint_gt (whole, 0);
   ck_assert_uint_lt (whole, STORM_LINES);
   /* Each line is either there or counted, and none is told of twice. */
-  ck_assert_uint_eq (whole + cf_log_writer_dropped () - before, STORM_LINES);
-  ck_assert_uint_le (told, cf_log_writer_dropped () - before);
+  ck_assert_uint_eq (whole + cf_log_writer_dropped_lines () - before,
+                     STORM_LINES);
+  ck_assert_uint_le (told, cf_log_writer_dropped_lines () - before);
 }
 END_TEST
 
@@ -136,7 +137,7 @@
 START_TEST (lines_left_at_the_end_are_counted)
 {
   g_autoptr (GString) text = g_string_new (NULL);
-  guint64 before = cf_log_writer_dropped ();
+  guint64 before = cf_log_writer_dropped_lines ();
   guint64 whole = 0;
   int fds[2];
 
@@ -149,7 +150,7 @@
   for (const char *at = text->str; (at = strchr (at, '\n')); at++)
     whole++;
   ck_assert_uint_lt (whole, 2500);
-  ck_assert_uint_eq (whole + cf_log_writer_dropped () - before, 2500);
+  ck_assert_uint_eq (whole + cf_log_writer_dropped_lines () - before, 2500);
 }
 END_TEST
 
--- a/t/t-platform.c
+++ b/t/t-platform.c
@@ -162,18 +162,19 @@
   const CfStoreItem *it;
   gsize n;
 
-  ck_assert_int_eq (cf_platform_store_parse (text, strlen (text), &r), CF_OK);
+  ck_assert_int_eq (cf_platform_store_parse_reply (text, strlen (text), &r),
+                    CF_OK);
   ck_assert_int_eq (r.as_of, 6);
   ck_assert (r.more);
   it = r.items->pdata[0];
-  ck_assert_str_eq (cf_platform_target_id (it->key), "i-1");
+  ck_assert_str_eq (cf_platform_target_id_from_key (it->key), "i-1");
   ck_assert_str_eq (g_bytes_get_data (it->value, &n), "{}");
   it = r.items->pdata[1];
   ck_assert_ptr_null (it->value);
   cf_store_reply_clear (&r);
-  ck_assert_int_eq (cf_platform_store_parse ("{}", 2, &r), CF_ERR_PROTO);
+  ck_assert_int_eq (cf_platform_store_parse_reply ("{}", 2, &r), CF_ERR_PROTO);
   ck_assert_int_eq (
-      cf_platform_store_parse ("{\"items\":[{}],\"as-of\":1}", 24, &r),
+      cf_platform_store_parse_reply ("{\"items\":[{}],\"as-of\":1}", 24, &r),
       CF_ERR_PROTO);
 }
 END_TEST
@@ -284,9 +285,10 @@
   g_autofree char *longer = g_strconcat ("servers/", id, NULL);
 
   for (gsize i = 0; i < G_N_ELEMENTS (bad); i++)
-    ck_assert_msg (!cf_platform_target_id (bad[i]), "taken: %s", bad[i]);
-  ck_assert_ptr_null (cf_platform_target_id (longer));
-  ck_assert_str_eq (cf_platform_target_id ("servers/i-7f3a.x_1:2"),
+    ck_assert_msg (!cf_platform_target_id_from_key (bad[i]), "taken: %s",
+                   bad[i]);
+  ck_assert_ptr_null (cf_platform_target_id_from_key (longer));
+  ck_assert_str_eq (cf_platform_target_id_from_key ("servers/i-7f3a.x_1:2"),
                     "i-7f3a.x_1:2");
 }
 END_TEST
@@ -302,7 +304,8 @@
         "{\"key\":\"servers/e\",\"value\":\"e30=\",\"rev\":9}],\"as-of\":9}";
   CfStoreReply r;
 
-  ck_assert_int_eq (cf_platform_store_parse (text, strlen (text), &r), CF_OK);
+  ck_assert_int_eq (cf_platform_store_parse_reply (text, strlen (text), &r),
+                    CF_OK);
   ck_assert_uint_eq (r.items->len, 5);
   for (guint i = 0; i < r.items->len; i++)
     {
@@ -347,21 +350,23 @@
   GArray *a;
 
   for (gsize i = 0; i < G_N_ELEMENTS (reports); i++)
-    ck_assert_msg (cf_platform_rank_status (reports[i], strlen (reports[i]), &s)
-                       == CF_ERR_PROTO,
-                   "taken: %s", reports[i]);
+    ck_assert_msg (
+        cf_platform_rank_parse_report (reports[i], strlen (reports[i]), &s)
+            == CF_ERR_PROTO,
+        "taken: %s", reports[i]);
   for (gsize i = 0; i < G_N_ELEMENTS (counts); i++)
     {
       ck_assert_msg (
-          cf_platform_rank_counts (counts[i], strlen (counts[i]), &n, &a)
+          cf_platform_rank_parse_counts (counts[i], strlen (counts[i]), &n, &a)
               == CF_ERR_PROTO,
           "taken: %s", counts[i]);
       ck_assert_ptr_null (a);
     }
   for (gsize i = 0; i < G_N_ELEMENTS (lists); i++)
-    ck_assert_msg (cf_platform_rank_lists (lists[i], strlen (lists[i]), &n, &a)
-                       == CF_ERR_PROTO,
-                   "taken: %s", lists[i]);
+    ck_assert_msg (
+        cf_platform_rank_parse_lists (lists[i], strlen (lists[i]), &n, &a)
+            == CF_ERR_PROTO,
+        "taken: %s", lists[i]);
 }
 END_TEST
 
@@ -384,7 +389,7 @@
   gint64 incarnation;
   char *json;
 
-  ck_assert_int_eq (cf_platform_rank_status (report, strlen (report), &s),
+  ck_assert_int_eq (cf_platform_rank_parse_report (report, strlen (report), &s),
                     CF_OK);
   ck_assert_str_eq (s.group, "g");
   ck_assert_int_eq (s.size, 16);
@@ -392,13 +397,14 @@
   ck_assert (s.open);
   ck_assert_int_eq (s.incarnation, 1783022913149);
   ck_assert_int_eq (
-      cf_platform_rank_lists (lists, strlen (lists), &version, &a), CF_OK);
+      cf_platform_rank_parse_lists (lists, strlen (lists), &version, &a),
+      CF_OK);
   ck_assert_int_eq (version, 4);
   ck_assert_uint_eq (a->len, 5);
   ck_assert_int_eq (g_array_index (a, gint64, 2), -1);
   g_array_unref (a);
   ck_assert_int_eq (
-      cf_platform_rank_counts (counts, strlen (counts), &incarnation, &a),
+      cf_platform_rank_parse_counts (counts, strlen (counts), &incarnation, &a),
       CF_OK);
   ck_assert_int_eq (incarnation, 1783022913149);
   ck_assert_uint_eq (a->len, 4);
@@ -408,19 +414,19 @@
   cf_group_map_at (m, 0, 1)[1] = 1;
   o.epoch = 2;
   o.fence = 9;
-  json = cf_platform_rank_order (&o);
+  json = cf_platform_rank_build_order_body (&o);
   ck_assert_str_eq (json, "{\"op\":\"prepare\",\"epoch\":2,\"fence\":9,"
                           "\"version\":8,\"map\":[[[1],[0,1]]]}");
   g_free (json);
   o.kind = CF_ORDER_HOLD;
   o.step = 30;
-  json = cf_platform_rank_order (&o);
+  json = cf_platform_rank_build_order_body (&o);
   ck_assert_str_eq (json,
                     "{\"op\":\"hold\",\"epoch\":2,\"fence\":9,\"step\":30}");
   g_free (json);
   cf_group_map_free (m);
-  ck_assert_int_eq (cf_platform_rank_ack (412), CF_RANK_ACK_FENCED);
-  ck_assert_int_eq (cf_platform_rank_ack (0), CF_RANK_ACK_UNKNOWN);
+  ck_assert_int_eq (cf_platform_rank_ack_from_status (412), CF_RANK_ACK_FENCED);
+  ck_assert_int_eq (cf_platform_rank_ack_from_status (0), CF_RANK_ACK_UNKNOWN);
 }
 END_TEST
 
@@ -439,7 +445,7 @@
       CfRankOrder o = { .kind = CF_ORDER_PREPARE, .version = 8, .map = m };
 
       memcpy (cf_group_map_at (m, 0, 0), rows[i], sizeof rows[i]);
-      json[i] = cf_platform_rank_order (&o);
+      json[i] = cf_platform_rank_build_order_body (&o);
       cf_group_map_free (m);
     }
   ck_assert_str_eq (json[0], json[1]);
@@ -457,9 +463,9 @@
   ck_assert_int_eq (cf_platform_header_kind ("authorization", 13),
                     CF_HDR_API_KEY);
   ck_assert_int_eq (cf_platform_header_kind ("X-Other", 7), CF_HDR_OTHER);
-  ck_assert_str_eq (cf_platform_api_key ("token  k1"), "k1");
-  ck_assert_ptr_null (cf_platform_api_key ("Basic k1"));
-  cf_platform_forward (out, &h);
+  ck_assert_str_eq (cf_platform_parse_api_key ("token  k1"), "k1");
+  ck_assert_ptr_null (cf_platform_parse_api_key ("Basic k1"));
+  cf_platform_append_forward_headers (out, &h);
   ck_assert_str_eq (out->str, "Comfreypost-Deadline-Ms: 120\r\n"
                               "Comfreypost-Expect-Instance: i-1\r\n"
                               "Comfreypost-Tenant: org\r\n"
@@ -479,7 +485,8 @@
                 { "nan", 0 },   { "1e-3", 0.001 } };
 
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
-    ck_assert_msg (cf_platform_rate_limit (cases[i].value) == cases[i].rate,
+    ck_assert_msg (cf_platform_parse_rate_limit (cases[i].value)
+                       == cases[i].rate,
                    "case %zu", i);
 }
 END_TEST
--- a/t/t-report.c
+++ b/t/t-report.c
@@ -30,7 +30,7 @@
 
 START_TEST (each_second_says_what_binds)
 {
-  const CfReportAims aims = { 400, 120 };
+  const CfReportObjectives aims = { 400, 120 };
   GString *out = g_string_new (NULL);
   CfReport r;
 
@@ -53,7 +53,7 @@
 
 START_TEST (empty_logs_are_no_error)
 {
-  const CfReportAims aims = { 400, 120 };
+  const CfReportObjectives aims = { 400, 120 };
   GString *out = g_string_new (NULL);
   CfReport r;
 
--- a/t/t-settings.c
+++ b/t/t-settings.c
@@ -24,7 +24,7 @@
   gboolean b;
 
   ck_assert_int_eq (load_text (&s, "[a]\nn = 7\n"), CF_OK);
-  ck_assert_int_eq (cf_settings_only (&s, known), CF_OK);
+  ck_assert_int_eq (cf_settings_check_known_keys (&s, known), CF_OK);
   ck_assert_int_eq (cf_settings_string (&s, "a", "name", &name), CF_OK);
   ck_assert_str_eq (name, "x");
   ck_assert_int_eq (cf_settings_int (&s, "a", "n", 0, 10, &n), CF_OK);
@@ -50,7 +50,7 @@
   ck_assert_int_eq (cf_settings_int (&s, "a", "n", 0, 10, &n), CF_ERR_SETTINGS);
   ck_assert (strstr (cf_last_error (), "outside [0, 10]"));
   ck_assert_int_eq (cf_settings_bool (&s, "a", "b", &b), CF_ERR_SETTINGS);
-  ck_assert_int_eq (cf_settings_only (&s, known), CF_ERR_SETTINGS);
+  ck_assert_int_eq (cf_settings_check_known_keys (&s, known), CF_ERR_SETTINGS);
   ck_assert (strstr (cf_last_error (), "unknown key [a] zz"));
   ck_assert (strstr (cf_last_error (), "remedy:"));
   cf_settings_clear (&s);
