--- a/comfrey.c
+++ b/comfrey.c
@@ -1,6 +1,7 @@
 /*
- * The operator's command line: check records, show an agent's status,
- * drain an agent.
+ * The operators' command-line tool: explains and summarizes gateways' logs,
+ * checks configuration records, and sends status, drain and rebalance requests
+ * to agents.
  */
 #include "daemon.h"
 #include "error.h"
@@ -15,7 +16,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* NULL, and says why, if the file cannot be read. */
+/* Returns NULL and prints the error if the file cannot be read. */
 static char *
 read_file (const char *command, const char *path)
 {
@@ -46,8 +47,10 @@
   return 0;
 }
 
+/* Sends @m to the agent at @addr and waits for its reply.  Returns the exit
+ * status; prints the error if there is one. */
 static int
-exchange (const char *addr, const CfMsg *m, CfMsg *r)
+send_and_receive (const char *addr, const CfMsg *m, CfMsg *r)
 {
   int fd;
 
@@ -69,28 +72,30 @@
   int rc;
 
   m.u.order.op = "rebalance";
-  rc = exchange (addr, &m, &r);
+  rc = send_and_receive (addr, &m, &r);
   if (rc == 0 && r.kind != CF_MSG_ANSWER)
     {
       fprintf (stderr,
-               "comfrey: agent %s refused: %s; ask the agent of a rank that "
-               "has a [group] table\n",
+               "comfrey: agent %s refused: %s; send the command to an agent "
+               "whose settings have a [group] table\n",
                addr, r.kind == CF_MSG_REFUSAL ? r.u.refusal.reason : "?");
       rc = 1;
     }
   else if (rc == 0)
-    printf ("agent %s: deciding placement; see its log for E1501\n", addr);
+    printf ("agent %s: placement decision started; see E1501 in its log\n",
+            addr);
   cf_msg_clear (&r);
   return rc;
 }
 
+/* Sends a ping or drain message and prints the status in the agent's reply. */
 static int
-ask (const char *addr, CfMsgKind kind)
+request_status (const char *addr, CfMsgKind kind)
 {
   CfMsg m = { .kind = kind, .id = 1 };
   CfMsg r = { 0 };
 
-  if (exchange (addr, &m, &r) != 0)
+  if (send_and_receive (addr, &m, &r) != 0)
     return 1;
   printf ("agent %s: in_flight=%" G_GINT64_FORMAT " queued=%" G_GINT64_FORMAT
           " draining=%s fence=%" G_GINT64_FORMAT " served=%" G_GINT64_FORMAT
@@ -101,11 +106,12 @@
   return 0;
 }
 
-/* Exit status 1 if the request is in none of the logs. */
+/* Returns the exit status: 1 if no log mentions the request, 2 if a log cannot
+ * be read. */
 static int
 explain (const char *id, char **files)
 {
-  CfTimeline s = { 0 };
+  CfTimeline t = { 0 };
   GString *out = g_string_new (NULL);
   int rc = 0;
 
@@ -114,28 +120,29 @@
       g_autofree char *text = read_file ("explain", *f);
 
       if (text)
-        cf_timeline_read_log (&s, id, *f, text);
+        cf_timeline_read_log (&t, id, *f, text);
       else
         rc = 2;
     }
-  cf_timeline_finish (&s);
-  cf_timeline_print (&s, id, out);
+  cf_timeline_finish (&t);
+  cf_timeline_print (&t, id, out);
   fputs (out->str, stdout);
-  if (rc == 0 && s.lines->len == 0)
+  if (rc == 0 && t.lines->len == 0)
     rc = 1;
   g_string_free (out, TRUE);
-  cf_timeline_clear (&s);
+  cf_timeline_clear (&t);
   return rc;
 }
 
+/* Returns the exit status: 2 if a log cannot be read. */
 static int
-report (const CfReportObjectives *aims, char **files)
+report (const CfReportObjectives *objectives, char **files)
 {
   GString *out = g_string_new (NULL);
   CfReport r;
   int rc = 0;
 
-  cf_report_init (&r, aims);
+  cf_report_init (&r, objectives);
   for (char **f = files; *f; f++)
     {
       g_autofree char *text = read_file ("report", *f);
@@ -155,28 +162,30 @@
 int
 main (int argc, char **argv)
 {
-  CfReportObjectives aims = { 500, 120 };
+  CfReportObjectives objectives = { 500, 120 };
   GOptionEntry entries[] = {
-    { "late-first-ms", 0, 0, G_OPTION_ARG_INT64, &aims.first_ms,
-      "report: a stream whose first event takes longer is late (500)", "MS" },
-    { "late-pause-ms", 0, 0, G_OPTION_ARG_INT64, &aims.pause_ms,
-      "report: a stream with a longer pause is late (120)", "MS" },
+    { "late-first-ms", 0, 0, G_OPTION_ARG_INT64, &objectives.first_ms,
+      "report: longest time to a stream's first event that is in time (500)",
+      "MS" },
+    { "late-pause-ms", 0, 0, G_OPTION_ARG_INT64, &objectives.pause_ms,
+      "report: longest pause between a stream's events that is in time (120)",
+      "MS" },
     { NULL },
   };
   int rc;
 
   rc = cf_daemon_parse_options (
       &argc, &argv, "comfrey",
-      "Use: comfrey COMMAND ARG\n"
+      "Usage: comfrey COMMAND ARG...\n"
       "Commands:\n"
-      "  explain ID FILE...  what the logs say of one request, and why it\n"
-      "                ended as it did\n"
-      "  report FILE...  second by second, what gateways' logs say of how\n"
-      "                requests ended, what was late and why\n"
+      "  explain ID FILE...  show the log lines of one request in order of\n"
+      "                time, and the cause of its outcome\n"
+      "  report FILE...  count from gateways' logs, for each second, how\n"
+      "                requests ended, how many were late and why\n"
       "  check FILE    check configuration records (schema 1 and 2)\n"
-      "  status ADDR   show an agent's load, fencing token and counts\n"
-      "  drain ADDR    tell an agent to take no new work\n"
-      "  rebalance ADDR  have a rank's agent decide expert placement "
+      "  status ADDR   show an agent's load, fencing token and counters\n"
+      "  drain ADDR    tell an agent to accept no new work\n"
+      "  rebalance ADDR  make a rank's agent decide expert placement "
       "now",
       entries);
   if (rc >= 0)
@@ -184,21 +193,21 @@
   if (argc > 3 && strcmp (argv[1], "explain") == 0)
     return explain (argv[2], argv + 3);
   if (argc > 2 && strcmp (argv[1], "report") == 0)
-    return report (&aims, argv + 2);
+    return report (&objectives, argv + 2);
   if (argc != 3)
     {
       fprintf (stderr,
-               "comfrey: give a command and its argument (try --help)\n");
+               "comfrey: expected a command and argument (try --help)\n");
       return 2;
     }
   if (strcmp (argv[1], "check") == 0)
     return check (argv[2]);
   if (strcmp (argv[1], "status") == 0)
-    return ask (argv[2], CF_MSG_PING);
+    return request_status (argv[2], CF_MSG_PING);
   if (strcmp (argv[1], "rebalance") == 0)
     return rebalance (argv[2]);
   if (strcmp (argv[1], "drain") == 0)
-    return ask (argv[2], CF_MSG_DRAIN);
+    return request_status (argv[2], CF_MSG_DRAIN);
   fprintf (stderr, "comfrey: unknown command '%s' (try --help)\n", argv[1]);
   return 2;
 }
--- a/daemon.h
+++ b/daemon.h
@@ -5,7 +5,7 @@
 
 #include <glib.h>
 
-/** CfDaemonArgs: the options every program of ours takes. */
+/** CfDaemonArgs: the command-line options that all daemons share. */
 typedef struct
 {
   char *settings;          /**< --settings FILE */
@@ -16,10 +16,10 @@
  * cf_daemon_parse_options:
  * @entries: the program's own options
  *
- * Parses the command line, with --help and --version, as every program of
- * ours does; what is left in @argv are its arguments.
+ * Parses the command line and handles --help and --version.  Removes the
+ * options, so that @argv holds only the positional arguments.
  *
- * Returns: -1 to go on, or an exit status to return from main().
+ * Returns: -1 to continue, or an exit status to return from main().
  */
 int cf_daemon_parse_options (int *argc, char ***argv, const char *prog,
                              const char *summary, GOptionEntry *entries);
@@ -29,13 +29,13 @@
  * @prog: the program's name, for --help and logs
  * @summary: one paragraph for --help
  * @defaults: the embedded default settings
- * @s: (out): the settings, loaded; cf_settings_read() checks them
+ * @s: (out): the loaded settings, which cf_settings_read() checks
  *
- * Parses the command line, loads settings, and blocks SIGTERM, SIGINT and
- * SIGPIPE in every thread to come, so that cf_daemon_wait_for_signal() receives
- * them.
+ * Parses the command line and loads settings.  Blocks SIGTERM and SIGINT in
+ * this thread and those created later, so that cf_daemon_wait_for_signal()
+ * receives them, and ignores SIGPIPE.
  *
- * Returns: -1 to go on, or an exit status to return from main().
+ * Returns: -1 to continue, or an exit status to return from main().
  */
 int cf_daemon_init (int *argc, char ***argv, const char *prog,
                     const char *summary, const char *defaults, CfDaemonArgs *a,
@@ -43,36 +43,35 @@
 
 /**
  * cf_daemon_init_fields:
- * @fields: the @n_fields settings there are
- * @out: (out): the struct they are read into
+ * @fields: the @n_fields settings of the program
+ * @out: (out): the struct that they are read into
  *
- * cf_daemon_init(), and the settings read and checked, for a program that
- * needs no more of them.
+ * Calls cf_daemon_init(), then reads and checks the settings.  For programs
+ * that need no checks beyond @fields.
  *
- * Returns: -1 to go on, or an exit status to return from main().
+ * Returns: -1 to continue, or an exit status to return from main().
  */
 int cf_daemon_init_fields (int *argc, char ***argv, const char *prog,
                            const char *summary, const char *defaults,
                            const CfSetting *fields, gsize n_fields, void *out);
 
-/** cf_daemon_log_settings_error: logs a settings error; returns exit status 2.
- */
+/** cf_daemon_log_settings_error: logs the error; returns exit status 2. */
 int cf_daemon_log_settings_error (void);
 
-/** cf_daemon_wait_for_signal: waits for SIGTERM or SIGINT; returns its number.
- */
+/** cf_daemon_wait_for_signal: waits for SIGTERM or SIGINT; returns the signal
+ * number. */
 int cf_daemon_wait_for_signal (void);
 
 /**
  * cf_daemon_is_check_only:
- * For --check-settings: prints that the settings are good.
- * Returns: %TRUE if the program should now exit with status 0.
+ * Prints that the settings are valid if --check-settings was given.
+ * Returns: %TRUE if it was; the program then exits with status 0.
  */
 gboolean cf_daemon_is_check_only (const CfDaemonArgs *a, const CfSettings *s);
 
 /**
  * cf_daemon_serve_http:
- * Serves @fn on @listen until SIGTERM or SIGINT, as the stand-ins do.
+ * Serves HTTP requests with @fn on @listen until SIGTERM or SIGINT.
  * Returns: the exit status: 0, or 1 if the address could not be bound.
  */
 int cf_daemon_serve_http (const char *listen, CfHttpHandler fn, void *data);
--- a/error.c
+++ b/error.c
@@ -3,9 +3,9 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-#define CF_ERROR_MAX 512
+#define ERROR_MAX_BYTES 512
 
-static __thread char last_error[CF_ERROR_MAX];
+static __thread char last_error[ERROR_MAX_BYTES];
 
 CfStatus
 cf_fail (CfStatus st, const char *remedy, const char *fmt, ...)
--- a/explain.c
+++ b/explain.c
@@ -5,68 +5,71 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** What a reason in an E1205 line means, for who has to answer a caller. */
+/** Explanations of the reasons in E1205 lines, for operators. */
 static const struct
 {
   const char *outcome; /* NULL: any */
   const char *reason;
   const char *cause;
 } causes[] = {
-  { "success", "answered", "it was answered" },
+  { "success", "answered", "the request was answered" },
   { "target-fail", "answered",
-    "the target itself failed it; its answer was passed on" },
+    "the target answered with an error, which was forwarded to the caller" },
   { NULL, "no-configuration",
-    "the gateway knew no configuration yet: it had just started and neither "
-    "the store nor a peer had answered; see E1105 and E1306" },
-  { NULL, "no-route", "no route of the configuration in force matches it" },
+    "the gateway had no configuration yet: it had just started, and neither "
+    "the metadata store nor a peer had answered; see E1105 and E1306" },
+  { NULL, "no-route",
+    "no route of the active configuration matches the request" },
   { NULL, "unknown-key",
-    "its API key is in no organisation of the "
-    "configuration in force" },
-  { NULL, "no-host", "it had no Host header" },
+    "its API key belongs to no organisation of the active configuration" },
+  { NULL, "no-host", "the request has no Host header" },
   { NULL, "no-target",
-    "its service had no target that takes new work, or "
-    "each had been tried; see E1305 and E1209" },
+    "the service had no target that accepts new work, or each had already been "
+    "tried; see E1305 and E1209" },
   { NULL, "no-room",
-    "all targets of its service were busy, or silent, for "
-    "as long as it could wait; see E1210 and E1502" },
+    "all targets of the service were busy or did not answer for as long as the "
+    "request could wait; see E1210 and E1502" },
   { NULL, "target-crashed",
-    "its target crashed before it showed anything of an answer; it may be the "
-    "cause, and is not sent to another target within this attempt" },
+    "the target crashed before it sent any part of the answer; the request may "
+    "have caused the crash, so this attempt does not try another target" },
   { NULL, "quarantined",
-    "targets crashed during three attempts of the same request: it is not sent "
-    "any more; E1217 names it, E1407 outcome=lost with the same request= the "
-    "attempts" },
+    "targets crashed during three attempts of this request, so it is no longer "
+    "sent to any target; E1217 names the request, and E1407 outcome=lost with "
+    "the same request= names the attempts" },
   { NULL, "rate-limited",
-    "its targets named rates that they take, and this gateway's part of them "
-    "was used up; E1218 names them" },
-  { NULL, "queue-full", "too many requests of its service were waiting" },
+    "its targets limit the rate of requests, and this gateway's share of the "
+    "rate was used up; E1218 shows the limits" },
+  { NULL, "queue-full", "the service's queue was full" },
   { NULL, "more-urgent-waits",
-    "more urgent requests filled the queue of its service" },
-  { NULL, "stopping", "the gateway was about to end; see E1405" },
+    "requests of a more urgent priority filled the service's queue" },
+  { NULL, "stopping", "the gateway was shutting down; see E1405" },
   { NULL, "cut-by-stop",
-    "the gateway ended before the answer was whole; E1214 of it, if any, "
-    "says what was expected; see E1405" },
-  { NULL, "target-refused", "each target it may be sent to refused it" },
-  { NULL, "target-failed", "each target it may be sent to failed it" },
+    "the gateway exited before the answer was complete; E1214 of this request, "
+    "if logged, shows the estimate; see E1405" },
+  { NULL, "target-refused",
+    "every target that the request may be sent to refused it" },
+  { NULL, "target-failed",
+    "every target that the request may be sent to failed to process it" },
   { NULL, "unsigned-answer",
-    "the target's answer was not signed and could not be passed on" },
+    "the target's answer was not signed, so it could not be forwarded" },
   { NULL, "lost",
-    "the connection to the target broke before the whole answer, and it "
-    "could not be sent again: again= and ran= of the last E1204 say why" },
+    "the connection to the target broke before the answer was complete, and "
+    "the request could not be sent again: again= and ran= of the last E1204 "
+    "show why" },
   { NULL, "garbled",
-    "the target sent bytes that are no answer, and it could not be sent "
-    "again: again= and ran= of the last E1204 say why" },
+    "the target sent a malformed answer, and the request could not be sent "
+    "again: again= and ran= of the last E1204 show why" },
   { NULL, "unsent", "no target could be reached" },
-  { NULL, "silent", "the target was silent for too long" },
+  { NULL, "silent", "the target sent nothing for too long" },
   { NULL, "deadline",
-    "its time was over; see how long it waited (E1210), "
-    "how often it was sent (E1203) and whether the "
-    "experts' map changed meanwhile (E1502)" },
-  { NULL, "caller-left", "its caller closed the connection" },
+    "the request's deadline passed; see how long it was queued (E1210), how "
+    "often it was sent (E1203), and whether the expert map changed in the "
+    "meantime (E1502)" },
+  { NULL, "caller-left", "the caller closed the connection" },
 };
 
 static void
-line_free (gpointer p)
+entry_free (gpointer p)
 {
   CfTimelineEntry *l = p;
 
@@ -76,16 +79,16 @@
   g_free (l);
 }
 
-/* Takes a line "... ]: E1203 route id=..."; what is before is whoever's
- * collected it. */
+/* Adds a line "...]: E1203 route id=..." if it is about @id.  Whatever
+ * collected the logs may have put a prefix before the program's name. */
 static void
-take_line (CfTimeline *s, const char *id, const char *file, const char *line)
+add_line (CfTimeline *t, const char *id, const char *file, const char *line)
 {
   const char *at = cf_log_line_event (line);
-  g_autofree char *of = cf_log_line_field (line, "id");
+  g_autofree char *line_id = cf_log_line_field (line, "id");
   CfTimelineEntry *l;
 
-  if (!at || g_strcmp0 (of, id) != 0)
+  if (!at || g_strcmp0 (line_id, id) != 0)
     return;
   l = g_new0 (CfTimelineEntry, 1);
   l->time_s = cf_log_line_number (line, "t", 0);
@@ -93,19 +96,19 @@
   l->event = g_strndup (at, strcspn (at, " "));
   l->text = g_strdup (at + strlen (l->event)
                       + strspn (at + strlen (l->event), " "));
-  g_ptr_array_add (s->lines, l);
+  g_ptr_array_add (t->lines, l);
 }
 
 void
-cf_timeline_read_log (CfTimeline *s, const char *id, const char *file,
+cf_timeline_read_log (CfTimeline *t, const char *id, const char *file,
                       const char *text)
 {
   char **lines = g_strsplit (text, "\n", -1);
 
-  if (!s->lines)
-    s->lines = g_ptr_array_new_with_free_func (line_free);
+  if (!t->lines)
+    t->lines = g_ptr_array_new_with_free_func (entry_free);
   for (char **l = lines; *l; l++)
-    take_line (s, id, file, *l);
+    add_line (t, id, file, *l);
   g_strfreev (lines);
 }
 
@@ -119,11 +122,11 @@
 }
 
 static const CfTimelineEntry *
-last_of (const CfTimeline *s, const char *event)
+find_last (const CfTimeline *t, const char *event)
 {
-  for (guint i = s->lines->len; i > 0; i--)
+  for (guint i = t->lines->len; i > 0; i--)
     {
-      const CfTimelineEntry *l = s->lines->pdata[i - 1];
+      const CfTimelineEntry *l = t->lines->pdata[i - 1];
 
       if (strcmp (l->event, event) == 0)
         return l;
@@ -132,7 +135,7 @@
 }
 
 static void
-find_cause (CfTimeline *s, const CfTimelineEntry *answer)
+find_cause (CfTimeline *t, const CfTimelineEntry *answer)
 {
   g_autofree char *outcome = cf_log_line_field (answer->text, "outcome");
   g_autofree char *reason = cf_log_line_field (answer->text, "reason");
@@ -141,74 +144,75 @@
     if (g_strcmp0 (reason, causes[i].reason) == 0
         && (!causes[i].outcome || g_strcmp0 (outcome, causes[i].outcome) == 0))
       {
-        s->cause = g_strdup (causes[i].cause);
+        t->cause = g_strdup (causes[i].cause);
         return;
       }
-  s->cause = g_strdup_printf ("reason '%s'; see docs/EVENTS.md",
+  t->cause = g_strdup_printf ("reason '%s'; see docs/EVENTS.md",
                               reason ? reason : "-");
 }
 
-/* The newest decision before the answer, with what it was made from. */
+/* Finds the newest line about a decision, which shows the data it was based on:
+ * any line but the answer (E1205) and a caller that left (E1211). */
 static void
-find_input (CfTimeline *s)
+find_decision (CfTimeline *t)
 {
-  for (guint i = s->lines->len; i > 0 && !s->input; i--)
+  for (guint i = t->lines->len; i > 0 && !t->decision; i--)
     {
-      const CfTimelineEntry *l = s->lines->pdata[i - 1];
+      const CfTimelineEntry *l = t->lines->pdata[i - 1];
 
       if (strcmp (l->event, "E1205") != 0 && strcmp (l->event, "E1211") != 0)
-        s->input = g_strdup_printf ("%s %s", l->event, l->text);
+        t->decision = g_strdup_printf ("%s %s", l->event, l->text);
     }
 }
 
 void
-cf_timeline_finish (CfTimeline *s)
+cf_timeline_finish (CfTimeline *t)
 {
   const CfTimelineEntry *answer;
 
-  if (!s->lines)
-    s->lines = g_ptr_array_new_with_free_func (line_free);
-  g_ptr_array_sort (s->lines, by_time);
-  answer = last_of (s, "E1205");
+  if (!t->lines)
+    t->lines = g_ptr_array_new_with_free_func (entry_free);
+  g_ptr_array_sort (t->lines, by_time);
+  answer = find_last (t, "E1205");
   if (answer)
-    find_cause (s, answer);
-  else if (s->lines->len)
-    s->cause = g_strdup ("no final answer is logged: the process ended, or "
-                         "the line was dropped (E1005)");
-  find_input (s);
+    find_cause (t, answer);
+  else if (t->lines->len)
+    t->cause = g_strdup ("no final answer is logged: the process exited, "
+                         "or the line was dropped (E1005)");
+  find_decision (t);
 }
 
 void
-cf_timeline_print (const CfTimeline *s, const char *id, GString *out)
+cf_timeline_print (const CfTimeline *t, const char *id, GString *out)
 {
-  double begun = 0;
+  double start_s = 0;
 
-  if (s->lines->len == 0)
+  if (t->lines->len == 0)
     {
       g_string_append_printf (out, "%s: not in these logs\n", id);
       return;
     }
-  begun = ((CfTimelineEntry *)s->lines->pdata[0])->time_s;
+  start_s = ((CfTimelineEntry *)t->lines->pdata[0])->time_s;
   g_string_append_printf (out, "request %s\n", id);
-  for (guint i = 0; i < s->lines->len; i++)
+  for (guint i = 0; i < t->lines->len; i++)
     {
-      const CfTimelineEntry *l = s->lines->pdata[i];
+      const CfTimelineEntry *l = t->lines->pdata[i];
 
       g_string_append_printf (out, "  %+8.0f ms  %s  %s %s\n",
-                              (l->time_s - begun) * 1000, l->file, l->event,
+                              (l->time_s - start_s) * 1000, l->file, l->event,
                               l->text);
     }
-  g_string_append_printf (out, "cause: %s\n", s->cause);
-  if (s->input)
-    g_string_append_printf (out, "decided by: %s\n", s->input);
+  g_string_append_printf (out, "cause: %s\n", t->cause);
+  if (t->decision)
+    g_string_append_printf (out, "decided by: %s\n", t->decision);
 }
 
 void
-cf_timeline_clear (CfTimeline *s)
+cf_timeline_clear (CfTimeline *t)
 {
-  if (s->lines)
-    g_ptr_array_free (s->lines, TRUE);
-  g_free (s->cause);
-  g_free (s->input);
-  memset (s, 0, sizeof *s);
+  if (t->lines)
+    g_ptr_array_free (t->lines, TRUE);
+  g_free (t->cause);
+  g_free (t->decision);
+  memset (t, 0, sizeof *t);
 }
--- a/explain.h
+++ b/explain.h
@@ -5,40 +5,40 @@
 #include <glib.h>
 
 /**
- * The story of one request, from the log lines that processes wrote of it.
+ * The timeline of one request, collected from the logs of several processes.
  */
 
-/** CfTimelineEntry: one line of the story. */
+/** CfTimelineEntry: one log line about the request. */
 typedef struct
 {
-  double time_s; /**< of day, as the process that wrote it had it */
-  char *file;    /**< the log it stands in */
-  char *event;   /**< such as "E1203" */
+  double time_s; /**< Unix time by the clock of the logging process */
+  char *file;    /**< name of the log that holds the line */
+  char *event;   /**< event number, such as "E1203" */
   char *text;    /**< the event's name and fields, as logged */
 } CfTimelineEntry;
 
-/** CfTimeline: its lines in order of time, and what they come to. */
+/** CfTimeline: the lines in order of time, and the cause of the outcome. */
 typedef struct
 {
   GPtrArray *lines; /**< of #CfTimelineEntry */
-  char *cause;      /**< why it ended as it did, in a sentence */
-  char *input;      /**< the inputs that decided, with their age or version */
+  char *cause;      /**< a sentence that explains the outcome */
+  char *decision;   /**< last decision line, with the data it was based on */
 } CfTimeline;
 
 /**
  * cf_timeline_read_log:
  * @id: the request's id
- * @file: a log's name, for the story
- * @text: what the log holds
- * Adds the lines of @id to @s, which begins zeroed.
+ * @file: the log's name, shown beside each line
+ * @text: the log's content
+ * Adds the lines about @id to @t, which has to be zero-initialized.
  */
-void cf_timeline_read_log (CfTimeline *s, const char *id, const char *file,
+void cf_timeline_read_log (CfTimeline *t, const char *id, const char *file,
                            const char *text);
 
-/** cf_timeline_finish: puts the lines in order and finds the cause. */
-void cf_timeline_finish (CfTimeline *s);
+/** cf_timeline_finish: sorts the lines and determines the cause. */
+void cf_timeline_finish (CfTimeline *t);
 
-/** cf_timeline_print: the story, for people. */
-void cf_timeline_print (const CfTimeline *s, const char *id, GString *out);
+/** cf_timeline_print: appends the timeline to @out as readable text. */
+void cf_timeline_print (const CfTimeline *t, const char *id, GString *out);
 
-void cf_timeline_clear (CfTimeline *s);
+void cf_timeline_clear (CfTimeline *t);
--- a/log-line.h
+++ b/log-line.h
@@ -3,17 +3,18 @@
 #include <glib.h>
 
 /**
- * Reading log lines back: "... PROGRAM[pid]: E1203 name key=value ... t=S".
- * What stands before the program is whoever's collected them.
+ * Parses log lines: "... PROGRAM[pid]: E1203 name key=value ... t=S".
+ * Whatever collected the logs may have put a prefix before PROGRAM.
  */
 
-/** cf_log_line_event: (nullable): where the event's number begins. */
+/** cf_log_line_event: (nullable): the part of @line that begins with the event
+ * number; %NULL if there is none. */
 const char *cf_log_line_event (const char *line);
 
-/** cf_log_line_field: (nullable): the value of @name, without quotes; free
- * with g_free(). */
+/** cf_log_line_field: (nullable): the value of field @name without quotes, or
+ * %NULL if there is no such field; free with g_free(). */
 char *cf_log_line_field (const char *line, const char *name);
 
-/** cf_log_line_number: the value of @name as a number; @missing if there is
- * none. */
+/** cf_log_line_number: the value of field @name as a number; @missing if there
+ * is no such field. */
 double cf_log_line_number (const char *line, const char *name, double missing);
--- a/log-writer.c
+++ b/log-writer.c
@@ -13,16 +13,17 @@
 #include <time.h>
 #include <unistd.h>
 
-/** The writer's pause between two rounds: ten wake-ups a second. */
-#define ROUND_MS 100
-/** Bytes that one write(2) takes: a pipe takes so many whole or not at all,
- * so that no line is torn even if this process ends while the pipe is full. */
-#define BATCH_BYTES PIPE_BUF
+/** Interval at which the writer wakes up, ten times per second. */
+#define WRITE_INTERVAL_MS 100
+/** Bytes per write(2).  A pipe accepts a write of up to PIPE_BUF bytes as a
+ * whole or not at all, so no line is cut even if this process exits while the
+ * pipe is full. */
+#define BATCH_MAX_BYTES PIPE_BUF
 
-/** CfLogLine: a line that waits, its bytes behind it. */
+/** CfLogLine: a queued line. */
 typedef struct
 {
-  gsize n;
+  gsize n; /**< length of @text in bytes */
   char text[];
 } CfLogLine;
 
@@ -33,14 +34,14 @@
   pthread_t thread;
   int fd;
   gboolean running;
-  unsigned int stop;  /**< set for the writer to end */
-  unsigned int ended; /**< set by the writer once all is written */
+  unsigned int stop_requested; /**< tells the writer to end */
+  unsigned int has_ended;      /**< set by the writer as its last step */
   guint64 dropped;
-  gint64 second; /**< the second that @in_second counts */
-  guint in_second;
+  gint64 second; /**< the second in which @n_in_second lines were put */
+  guint n_in_second;
 } writer;
 
-/** CfLogBatch: whole lines on their way out. */
+/** CfLogBatch: complete lines that are being written. */
 typedef struct
 {
   char *text;
@@ -50,17 +51,17 @@
 } CfLogBatch;
 
 static void
-empty (CfLogBatch *b)
+batch_clear (CfLogBatch *b)
 {
   b->n = 0;
   b->sent = 0;
   b->lines = 0;
 }
 
-/* Writes what is left of @b; %FALSE if its reader has no room now.  A batch
- * that cannot be written at all is dropped, and its lines counted. */
+/* Writes the rest of @b.  Returns %FALSE if the pipe has no room now.  On any
+ * other error the batch is dropped and its lines are counted. */
 static gboolean
-flush (CfLogBatch *b)
+batch_flush (CfLogBatch *b)
 {
   while (b->sent < b->n)
     {
@@ -77,67 +78,68 @@
         }
       b->sent += (gsize)w;
     }
-  empty (b);
+  batch_clear (b);
   return TRUE;
 }
 
-/* Adds a line, for which there has to be room. */
+/* Adds a line; the batch must have room for it. */
 static void
-add_line (CfLogBatch *b, const char *text, gsize n)
+batch_add_line (CfLogBatch *b, const char *text, gsize n)
 {
   memcpy (b->text + b->n, text, n);
   b->n += n;
   b->lines++;
 }
 
-/* Writes the lines that wait, as far as their reader takes them: others stay
- * in the ring, and those that then find it full are dropped whole. */
+/* Writes queued lines until the pipe is full; returns %FALSE if it is.  The
+ * others stay in the ring; lines that then find the ring full are dropped
+ * whole. */
 static gboolean
-write_waiting (CfLogBatch *b)
+write_queued_lines (CfLogBatch *b)
 {
   void *p;
 
-  if (!flush (b))
+  if (!batch_flush (b))
     return FALSE;
   while (ck_ring_dequeue_mpsc (&writer.ring, writer.slots, &p))
     {
       CfLogLine *l = p;
-      gboolean room = b->n + l->n <= BATCH_BYTES || flush (b);
+      gboolean fits = b->n + l->n <= BATCH_MAX_BYTES || batch_flush (b);
 
-      if (room)
-        add_line (b, l->text, l->n);
+      if (fits)
+        batch_add_line (b, l->text, l->n);
       else
         ck_pr_add_64 (&writer.dropped, 1);
       free (l);
-      if (!room)
+      if (!fits)
         return FALSE;
     }
-  return flush (b);
+  return batch_flush (b);
 }
 
-/* Tells how many lines were dropped since it was last told. */
+/* Logs how many lines were dropped since the last such report. */
 static void
-tell_dropped (CfLogBatch *b, guint64 *told)
+log_dropped_lines (CfLogBatch *b, guint64 *reported)
 {
   guint64 dropped = cf_log_writer_dropped_lines ();
   char line[96];
   int n;
 
-  if (dropped == *told)
+  if (dropped == *reported)
     return;
   n = snprintf (line, sizeof line,
                 "<4>E1005 log-dropped lines=%" G_GUINT64_FORMAT "\n",
-                dropped - *told);
-  *told = dropped;
-  add_line (b, line, (gsize)n);
-  /* It is no line that somebody logged. */
+                dropped - *reported);
+  *reported = dropped;
+  batch_add_line (b, line, (gsize)n);
+  /* The report is not a logged line: it is not counted if it gets dropped. */
   b->lines--;
-  flush (b);
+  batch_flush (b);
 }
 
-/* Counts the lines that nobody will write any more. */
+/* Drops and counts the lines that will not be written any more. */
 static void
-drop_waiting (CfLogBatch *b)
+drop_queued_lines (CfLogBatch *b)
 {
   void *l;
 
@@ -150,30 +152,30 @@
 }
 
 static void
-write_rounds_into (CfLogBatch *b)
+run_writer (CfLogBatch *b)
 {
-  const struct timespec pause = { 0, ROUND_MS * 1000000L };
-  guint64 told = 0;
+  const struct timespec pause = { 0, WRITE_INTERVAL_MS * 1000000L };
+  guint64 reported = 0;
 
-  while (!ck_pr_load_uint (&writer.stop))
+  while (!ck_pr_load_uint (&writer.stop_requested))
     {
-      if (write_waiting (b))
-        tell_dropped (b, &told);
+      if (write_queued_lines (b))
+        log_dropped_lines (b, &reported);
       nanosleep (&pause, NULL);
     }
-  if (!write_waiting (b))
-    drop_waiting (b);
+  if (!write_queued_lines (b))
+    drop_queued_lines (b);
 }
 
 static void *
-write_rounds (void *unused)
+writer_thread (void *unused)
 {
-  CfLogBatch b = { .text = malloc (BATCH_BYTES) };
+  CfLogBatch b = { .text = malloc (BATCH_MAX_BYTES) };
 
   if (b.text)
-    write_rounds_into (&b);
+    run_writer (&b);
   free (b.text);
-  ck_pr_store_uint (&writer.ended, 1);
+  ck_pr_store_uint (&writer.has_ended, 1);
   return NULL;
 }
 
@@ -182,10 +184,10 @@
 {
   ck_ring_init (&writer.ring, CF_LOG_RING_SIZE);
   writer.fd = fd;
-  writer.stop = 0;
-  writer.ended = 0;
+  writer.stop_requested = 0;
+  writer.has_ended = 0;
   writer.running
-      = pthread_create (&writer.thread, NULL, write_rounds, NULL) == 0;
+      = pthread_create (&writer.thread, NULL, writer_thread, NULL) == 0;
   return writer.running;
 }
 
@@ -197,11 +199,12 @@
 
   if (!writer.running)
     return;
-  ck_pr_store_uint (&writer.stop, 1);
-  while (!ck_pr_load_uint (&writer.ended) && cf_now_ms () < until)
+  ck_pr_store_uint (&writer.stop_requested, 1);
+  while (!ck_pr_load_uint (&writer.has_ended) && cf_now_ms () < until)
     nanosleep (&pause, NULL);
-  /* A writer that still waits for its reader ends with the process. */
-  if (ck_pr_load_uint (&writer.ended))
+  /* A writer that is still waiting for room in the pipe ends with the
+   * process. */
+  if (ck_pr_load_uint (&writer.has_ended))
     pthread_join (writer.thread, NULL);
   else
     pthread_detach (writer.thread);
@@ -215,16 +218,16 @@
 }
 
 static gboolean
-within_rate (void)
+is_within_rate_limit (void)
 {
   gint64 second = cf_now_ms () / 1000;
 
   if (second != writer.second)
     {
       writer.second = second;
-      writer.in_second = 0;
+      writer.n_in_second = 0;
     }
-  return ++writer.in_second <= CF_LOG_MAX_LINES_PER_S;
+  return ++writer.n_in_second <= CF_LOG_MAX_LINES_PER_S;
 }
 
 void
@@ -232,7 +235,7 @@
 {
   CfLogLine *l = NULL;
 
-  if (within_rate () && n <= BATCH_BYTES)
+  if (is_within_rate_limit () && n <= BATCH_MAX_BYTES)
     l = malloc (sizeof *l + n);
   if (!l)
     {
--- a/log-writer.h
+++ b/log-writer.h
@@ -3,33 +3,37 @@
 #include <glib.h>
 
 /**
- * The log writer: a thread that takes whole log lines from a bounded ring
- * and writes them, many at a time, so that whoever logs never waits for
- * the reader of the log.  Lines that find the ring full, or that exceed
- * the rate, are dropped and counted.
+ * The log writer: a thread that writes log lines from a bounded ring in
+ * batches, so that logging never blocks on the reader of the log.  Lines that
+ * find the ring full, or that exceed the rate limit, are dropped and counted.
  */
 
-/** Lines that can wait for the writer. */
+/** Capacity of the ring, in lines. */
 #define CF_LOG_RING_SIZE 4096
-/** Lines a second at most: a request writes three or four, and ten times that
- * in a storm of errors.  Above this a log explains nothing more. */
+/** Lines per second that are logged at most.  A request logs three or four
+ * lines, and ten times as many during a burst of errors; more lines than this
+ * add no information. */
 #define CF_LOG_MAX_LINES_PER_S 3000
 
 /**
  * cf_log_writer_start:
- * @fd: where lines go; may be a pipe that nobody reads
- * Returns: %FALSE if no thread could be made; lines are then dropped.
+ * @fd: the output; may be a pipe that nobody reads
+ * Returns: %FALSE if the thread could not be created; the writer is then not
+ *   running.
  */
 gboolean cf_log_writer_start (int fd);
 
-/** cf_log_writer_stop: writes what waits, for at most @ms, and ends. */
+/** cf_log_writer_stop: stops the writer after it has written the queued lines,
+ * or after @ms. */
 void cf_log_writer_stop (gint64 ms);
 
-/** cf_log_writer_is_running: whether lines go through the writer. */
+/** cf_log_writer_is_running: whether the writer has been started and not
+ * stopped. */
 gboolean cf_log_writer_is_running (void);
 
-/** cf_log_writer_put: takes a copy of the line; never blocks. */
+/** cf_log_writer_put: queues a copy of a line, or drops it; never blocks. */
 void cf_log_writer_put (const char *line, gsize n);
 
-/** cf_log_writer_dropped_lines: lines dropped since the start. */
+/** cf_log_writer_dropped_lines: number of lines dropped since the process
+ * started. */
 guint64 cf_log_writer_dropped_lines (void);
--- a/log.c
+++ b/log.c
@@ -7,17 +7,17 @@
 #include <time.h>
 #include <unistd.h>
 
-#define CF_LOG_LINE_MAX 2048
-/** Room kept for the time and the line's end. */
-#define TIME_ROOM 32
-#define NS_IN_MS 1000000L
+#define LINE_MAX_BYTES 2048
+/** Bytes reserved for the time and the end of the line. */
+#define TIME_MAX_BYTES 32
+#define NS_PER_MS 1000000L
 
-static const char *log_prog = "comfrey";
+static const char *program = "comfrey";
 
 void
 cf_log_init (const char *prog)
 {
-  log_prog = prog;
+  program = prog;
 }
 
 const char *
@@ -125,26 +125,26 @@
   return "event";
 }
 
-/* Lines wait for the writer, so they bear the time they were made at. */
+/* Appends the current time to a queued line, which is written later. */
 static int
 append_time (char *at)
 {
   struct timespec now;
 
   clock_gettime (CLOCK_REALTIME, &now);
-  return snprintf (at, TIME_ROOM - 1, " t=%lld.%03ld", (long long)now.tv_sec,
-                   now.tv_nsec / NS_IN_MS);
+  return snprintf (at, TIME_MAX_BYTES - 1, " t=%lld.%03ld",
+                   (long long)now.tv_sec, now.tv_nsec / NS_PER_MS);
 }
 
 void
 cf_log (int prio, CfEvent ev, const char *fmt, ...)
 {
-  char line[CF_LOG_LINE_MAX];
+  char line[LINE_MAX_BYTES];
   va_list ap;
   int n;
   int m;
 
-  n = snprintf (line, sizeof line, "<%d>%s[%d]: E%d %s ", prio, log_prog,
+  n = snprintf (line, sizeof line, "<%d>%s[%d]: E%d %s ", prio, program,
                 (int)getpid (), (int)ev, cf_event_name (ev));
   va_start (ap, fmt);
   m = vsnprintf (line + n, sizeof line - n - 1, fmt, ap);
@@ -152,11 +152,12 @@
   if (m < 0)
     m = 0;
   n += m;
-  if ((size_t)n > sizeof line - TIME_ROOM)
-    n = sizeof line - TIME_ROOM;
+  if ((size_t)n > sizeof line - TIME_MAX_BYTES)
+    n = sizeof line - TIME_MAX_BYTES;
   if (cf_log_writer_is_running ())
     n += append_time (line + n);
-  /* Callers choose some of the values; none may end the line or begin one. */
+  /* Callers choose some of the values: a line break in one could forge a log
+   * line. */
   for (int i = 0; i < n; i++)
     if ((unsigned char)line[i] < ' ' || line[i] == 0x7f)
       line[i] = '?';
--- a/net.c
+++ b/net.c
@@ -55,15 +55,14 @@
   s = socket (ai->ai_family, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (s < 0)
     {
-      st = cf_fail (CF_ERR_NET, "check the process's file limit", "socket: %s",
-                    strerror (errno));
+      st = cf_fail (CF_ERR_NET, "check the process's file descriptor limit",
+                    "socket: %s", strerror (errno));
       goto out;
     }
   setsockopt (s, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (bind (s, ai->ai_addr, ai->ai_addrlen) < 0 || listen (s, 512) < 0)
     {
-      st = cf_fail (CF_ERR_NET,
-                    "choose a free port on an address of this machine",
+      st = cf_fail (CF_ERR_NET, "choose a free port on a local address",
                     "listen on %s: %s", addr, strerror (errno));
       close (s);
       goto out;
@@ -92,8 +91,8 @@
   s = socket (ai->ai_family, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   if (s < 0)
     {
-      st = cf_fail (CF_ERR_NET, "check the process's file limit", "socket: %s",
-                    strerror (errno));
+      st = cf_fail (CF_ERR_NET, "check the process's file descriptor limit",
+                    "socket: %s", strerror (errno));
       goto out;
     }
   if (connect (s, ai->ai_addr, ai->ai_addrlen) < 0 && errno != EINPROGRESS)
@@ -105,7 +104,8 @@
       if (poll (&pfd, 1, timeout_ms) != 1)
         {
           st = cf_fail (CF_ERR_TIMEOUT, "check that the peer is up",
-                        "connect to %s took over %d ms", addr, timeout_ms);
+                        "connect to %s timed out after %d ms", addr,
+                        timeout_ms);
           close (s);
           goto out;
         }
@@ -138,8 +138,8 @@
       if (k < 0 && errno == EINTR)
         continue;
       if (k <= 0)
-        return cf_fail (CF_ERR_NET, "the peer will be reconnected", "write: %s",
-                        k < 0 ? strerror (errno) : "closed");
+        return cf_fail (CF_ERR_NET, "the connection is re-established",
+                        "write: %s", k < 0 ? strerror (errno) : "closed");
       p += k;
       n -= k;
     }
@@ -158,8 +158,8 @@
       if (k < 0 && errno == EINTR)
         continue;
       if (k <= 0)
-        return cf_fail (CF_ERR_NET, "the peer will be reconnected", "read: %s",
-                        k < 0 ? strerror (errno) : "closed");
+        return cf_fail (CF_ERR_NET, "the connection is re-established",
+                        "read: %s", k < 0 ? strerror (errno) : "closed");
       p += k;
       n -= k;
     }
--- a/report.c
+++ b/report.c
@@ -7,9 +7,9 @@
 #define MS_PER_S 1000.0
 
 void
-cf_report_init (CfReport *r, const CfReportObjectives *aims)
+cf_report_init (CfReport *r, const CfReportObjectives *objectives)
 {
-  r->aims = *aims;
+  r->objectives = *objectives;
   r->seconds
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   r->reasons = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -23,7 +23,7 @@
 }
 
 static CfReportSecond *
-second_at (CfReport *r, double time_s)
+get_second (CfReport *r, double time_s)
 {
   gint64 at = (gint64)time_s;
   CfReportSecond *s = g_hash_table_lookup (r->seconds, &at);
@@ -52,22 +52,23 @@
 {
   if (cf_log_line_number (line, "events", 0) == 0)
     s->plain++;
-  else if (cf_log_line_number (line, "first_ms", 0) > (double)r->aims.first_ms)
+  else if (cf_log_line_number (line, "first_ms", 0)
+           > (double)r->objectives.first_ms)
     s->late_first++;
   else if (cf_log_line_number (line, "longest_pause_ms", 0)
-           > (double)r->aims.pause_ms)
+           > (double)r->objectives.pause_ms)
     s->late_pause++;
   else
     s->in_time++;
 }
 
-/* An E1205 line, counted in the second its request came in. */
+/* Counts an E1205 line in the second in which its request arrived. */
 static void
-take_answer (CfReport *r, const char *line, double time_s)
+add_answer (CfReport *r, const char *line, double time_s)
 {
   g_autofree char *outcome = cf_log_line_field (line, "outcome");
-  double took_s = cf_log_line_number (line, "ms", 0) / MS_PER_S;
-  CfReportSecond *s = second_at (r, time_s - took_s);
+  double duration_s = cf_log_line_number (line, "ms", 0) / MS_PER_S;
+  CfReportSecond *s = get_second (r, time_s - duration_s);
 
   if (!outcome)
     return;
@@ -90,18 +91,18 @@
 }
 
 static void
-take_plan (CfReport *r, const char *line, double time_s)
+add_plan (CfReport *r, const char *line, double time_s)
 {
-  CfReportSecond *s = second_at (r, time_s);
+  CfReportSecond *s = get_second (r, time_s);
 
   s->copies += (guint)cf_log_line_number (line, "copies", 0);
   s->skew = MAX (s->skew, cf_log_line_number (line, "skew", 0));
 }
 
 static void
-take_pass (CfReport *r, const char *line, double time_s)
+add_pass (CfReport *r, const char *line, double time_s)
 {
-  CfReportSecond *s = second_at (r, time_s);
+  CfReportSecond *s = get_second (r, time_s);
 
   s->pass_ms = MAX (s->pass_ms, (gint64)cf_log_line_number (line, "ms", 0));
   s->pass_streams += (guint)cf_log_line_number (line, "streams", 0);
@@ -109,7 +110,7 @@
 }
 
 static void
-take_line (CfReport *r, const char *line)
+add_line (CfReport *r, const char *line)
 {
   const char *event = cf_log_line_event (line);
   double time_s = cf_log_line_number (line, "t", -1);
@@ -117,13 +118,13 @@
   if (!event || time_s < 0)
     return;
   if (g_str_has_prefix (event, "E1205 "))
-    take_answer (r, event, time_s);
+    add_answer (r, event, time_s);
   else if (g_str_has_prefix (event, "E1501 "))
-    take_plan (r, event, time_s);
+    add_plan (r, event, time_s);
   else if (g_str_has_prefix (event, "E1219 "))
-    take_pass (r, event, time_s);
+    add_pass (r, event, time_s);
   else if (g_str_has_prefix (event, "E1502 ") && strstr (event, "why=changed"))
-    second_at (r, time_s)->changes++;
+    get_second (r, time_s)->changes++;
 }
 
 void
@@ -132,7 +133,7 @@
   char **lines = g_strsplit (text, "\n", -1);
 
   for (char **l = lines; *l; l++)
-    take_line (r, *l);
+    add_line (r, *l);
   g_strfreev (lines);
 }
 
--- a/report.h
+++ b/report.h
@@ -3,51 +3,53 @@
 #include <glib.h>
 
 /**
- * What binds a service, from the log lines of its gateways: second by second
- * how many requests were answered in time, which of them were late and by
- * what, how the others ended, and what the expert maps did meanwhile.
+ * Shows from the log lines of a service's gateways what limits the service:
+ * for each second, how many requests were answered in time, how many were late
+ * and why, how the others ended, and how the expert maps changed.
  */
 
-/** CfReportObjectives: what counts as in time. */
+/** CfReportObjectives: latency objectives that an answer in time meets. */
 typedef struct
 {
-  gint64 first_ms; /**< to a stream's first event */
-  gint64 pause_ms; /**< between two of its events */
+  gint64 first_ms; /**< time to a stream's first event */
+  gint64 pause_ms; /**< pause between two of its events */
 } CfReportObjectives;
 
-/** CfReportSecond: what began in one second of the logs' time. */
+/** CfReportSecond: the requests that arrived in one second, by the logs' time,
+ * and the other events logged in it. */
 typedef struct
 {
-  guint in_time;
+  guint in_time;       /**< streams that met both objectives */
   guint late_first;    /**< streams whose first event came late */
-  guint late_pause;    /**< whose first was in time, and a pause too long */
-  guint plain;         /**< other answers */
-  guint target_failed; /**< targets' own failures, passed on */
+  guint late_pause;    /**< streams with only a pause that was too long */
+  guint plain;         /**< successful answers without events */
+  guint target_failed; /**< targets' errors that were forwarded */
   guint refused;
   guint denied;
-  guint lost;         /**< failed, broken off, or out of time */
-  guint gone;         /**< their callers left */
-  guint changes;      /**< of expert maps */
-  guint copies;       /**< of experts, as planned */
-  double skew;        /**< the worst that a plan began from; 0: none */
-  gint64 pass_ms;     /**< the longest pass that made streams late; 0: none */
-  guint pass_streams; /**< streams that wrote in passes which made some late */
-  guint pass_late;    /**< of these, those made late */
+  guint lost;         /**< failed, broken off or timed out */
+  guint gone;         /**< requests whose callers left */
+  guint changes;      /**< expert map changes */
+  guint copies;       /**< expert copies planned */
+  double skew;        /**< highest load skew before a plan; 0: no plan */
+  gint64 pass_ms;     /**< longest pass that made streams late; 0: none */
+  guint pass_streams; /**< streams active in passes that made any late */
+  guint pass_late;    /**< of these, the streams made late */
 } CfReportSecond;
 
-/** CfReport: all of them. */
+/** CfReport: all seconds, and how often requests ended for which reason. */
 typedef struct
 {
-  CfReportObjectives aims;
+  CfReportObjectives objectives;
   GHashTable *seconds; /**< GINT64 second -> #CfReportSecond */
-  GHashTable *reasons; /**< "outcome reason" -> how often */
+  GHashTable *reasons; /**< "outcome reason" -> count */
 } CfReport;
 
-void cf_report_init (CfReport *r, const CfReportObjectives *aims);
+void cf_report_init (CfReport *r, const CfReportObjectives *objectives);
 void cf_report_clear (CfReport *r);
 
-/** cf_report_read: takes in what a log holds. */
+/** cf_report_read: adds the lines of a log. */
 void cf_report_read (CfReport *r, const char *text);
 
-/** cf_report_print: a line a second, their sum, and the reasons. */
+/** cf_report_print: appends one line per second, their totals, and the number
+ * of requests per reason. */
 void cf_report_print (const CfReport *r, GString *out);
--- a/settings.c
+++ b/settings.c
@@ -5,13 +5,13 @@
 #include <string.h>
 
 static CfStatus
-load_into (GKeyFile *keys, const char *data, gsize len, const char *origin)
+parse_into (GKeyFile *keys, const char *data, gsize len, const char *origin)
 {
   g_autoptr (GError) err = NULL;
 
   if (!g_key_file_load_from_data (keys, data, len, G_KEY_FILE_NONE, &err))
     return cf_fail (CF_ERR_SETTINGS,
-                    "write the file as TOML tables of key = value lines",
+                    "write the file as TOML tables with key = value lines",
                     "%s: %s", origin, err->message);
   return CF_OK;
 }
@@ -19,7 +19,7 @@
 CfStatus
 cf_settings_load (CfSettings *s, const char *path, const char *defaults)
 {
-  g_autoptr (GKeyFile) over = NULL;
+  g_autoptr (GKeyFile) overrides = NULL;
   g_autofree char *text = NULL;
   g_autoptr (GError) err = NULL;
   g_auto (GStrv) tables = NULL;
@@ -28,26 +28,26 @@
 
   s->keys = g_key_file_new ();
   s->origin = g_strdup (path ? path : "embedded defaults");
-  st = load_into (s->keys, defaults, strlen (defaults), "embedded defaults");
+  st = parse_into (s->keys, defaults, strlen (defaults), "embedded defaults");
   if (st != CF_OK || path == NULL)
     return st;
 
   if (!g_file_get_contents (path, &text, &len, &err))
-    return cf_fail (CF_ERR_SETTINGS, "give --settings a readable file", "%s",
+    return cf_fail (CF_ERR_SETTINGS, "pass a readable file to --settings", "%s",
                     err->message);
-  over = g_key_file_new ();
-  st = load_into (over, text, len, path);
+  overrides = g_key_file_new ();
+  st = parse_into (overrides, text, len, path);
   if (st != CF_OK)
     return st;
 
-  tables = g_key_file_get_groups (over, NULL);
+  tables = g_key_file_get_groups (overrides, NULL);
   for (char **t = tables; *t; t++)
     {
-      g_auto (GStrv) keys = g_key_file_get_keys (over, *t, NULL, NULL);
+      g_auto (GStrv) keys = g_key_file_get_keys (overrides, *t, NULL, NULL);
 
       for (char **k = keys; k && *k; k++)
         {
-          g_autofree char *v = g_key_file_get_value (over, *t, *k, NULL);
+          g_autofree char *v = g_key_file_get_value (overrides, *t, *k, NULL);
 
           g_key_file_set_value (s->keys, *t, *k, v);
         }
@@ -63,7 +63,7 @@
 }
 
 static CfStatus
-raw_value (CfSettings *s, const char *table, const char *key, char **out)
+get_raw_value (CfSettings *s, const char *table, const char *key, char **out)
 {
   *out = g_key_file_get_value (s->keys, table, key, NULL);
   if (*out == NULL)
@@ -81,20 +81,20 @@
   size_t n;
   CfStatus st;
 
-  st = raw_value (s, table, key, &raw);
+  st = get_raw_value (s, table, key, &raw);
   if (st != CF_OK)
     return st;
   n = strlen (raw);
   if (n < 2 || raw[0] != '"' || raw[n - 1] != '"')
-    return cf_fail (CF_ERR_SETTINGS, "quote strings, as TOML requires",
-                    "%s: [%s] %s = %s is not a quoted string", s->origin, table,
-                    key, raw);
+    return cf_fail (
+        CF_ERR_SETTINGS, "put the string in double quotes, as TOML requires",
+        "%s: [%s] %s = %s is not a quoted string", s->origin, table, key, raw);
   raw[n - 1] = '\0';
   *out = g_strcompress (raw + 1);
   if (**out == '\0')
     {
       g_clear_pointer (out, g_free);
-      return cf_fail (CF_ERR_SETTINGS, "give the key a value",
+      return cf_fail (CF_ERR_SETTINGS, "set the key to a non-empty string",
                       "%s: [%s] %s is empty", s->origin, table, key);
     }
   return CF_OK;
@@ -108,12 +108,12 @@
   char *end;
   CfStatus st;
 
-  st = raw_value (s, table, key, &raw);
+  st = get_raw_value (s, table, key, &raw);
   if (st != CF_OK)
     return st;
   *out = g_ascii_strtoll (raw, &end, 10);
   if (*raw == '\0' || *end != '\0')
-    return cf_fail (CF_ERR_SETTINGS, "write a whole number without quotes",
+    return cf_fail (CF_ERR_SETTINGS, "write an integer without quotes",
                     "%s: [%s] %s = %s is not an integer", s->origin, table, key,
                     raw);
   if (*out < min || *out > max)
@@ -132,7 +132,7 @@
   char *end;
   CfStatus st;
 
-  st = raw_value (s, table, key, &raw);
+  st = get_raw_value (s, table, key, &raw);
   if (st != CF_OK)
     return st;
   *out = g_ascii_strtod (raw, &end);
@@ -157,10 +157,10 @@
   CfStatus st;
   size_t i;
 
-  st = raw_value (s, table, key, &raw);
+  st = get_raw_value (s, table, key, &raw);
   if (st != CF_OK)
     return st;
-  /* A one-line TOML array of basic strings is JSON too. */
+  /* A one-line TOML array of basic strings is also valid JSON. */
   a = json_loads (raw, 0, NULL);
   *out = g_ptr_array_new_with_free_func (g_free);
   json_array_foreach (a, i, v)
@@ -173,7 +173,8 @@
       g_clear_pointer (out, g_ptr_array_unref);
       st = cf_fail (CF_ERR_SETTINGS,
                     "write an array of quoted strings on one line",
-                    "%s: [%s] %s = %s is not one", s->origin, table, key, raw);
+                    "%s: [%s] %s = %s is not an array of strings", s->origin,
+                    table, key, raw);
     }
   json_decref (a);
   return st;
@@ -186,7 +187,7 @@
   g_autofree char *raw = NULL;
   CfStatus st;
 
-  st = raw_value (s, table, key, &raw);
+  st = get_raw_value (s, table, key, &raw);
   if (st != CF_OK)
     return st;
   if (strcmp (raw, "true") == 0)
@@ -224,7 +225,7 @@
 }
 
 static CfStatus
-read_one (CfSettings *s, const CfSetting *f, char *field)
+read_setting (CfSettings *s, const CfSetting *f, char *field)
 {
   switch (f->kind)
     {
@@ -257,6 +258,6 @@
   g_ptr_array_add (known, NULL);
   st = cf_settings_check_known_keys (s, (const char *const *)known->pdata);
   for (size_t i = 0; i < n && st == CF_OK; i++)
-    st = read_one (s, &fields[i], (char *)out + fields[i].offset);
+    st = read_setting (s, &fields[i], (char *)out + fields[i].offset);
   return st;
 }
--- a/settings.h
+++ b/settings.h
@@ -6,9 +6,9 @@
 
 /**
  * CfSettings:
- * A settings file in TOML, read through GLib's GKeyFile.  Only the part of
- * TOML that both agree on is accepted: `[table]` headers, `key = value`
- * lines, quoted strings, integers and booleans.  docs/SETTINGS.md says why.
+ * A settings file in TOML, parsed with GLib's GKeyFile.  Only the syntax that
+ * both share is accepted: `[table]` headers, `key = value` lines, quoted
+ * strings, integers and booleans.  docs/SETTINGS.md gives the reasons.
  */
 typedef struct
 {
@@ -19,7 +19,7 @@
 /**
  * cf_settings_load:
  * @s: settings to fill
- * @path: (nullable): a TOML file; %NULL takes @defaults alone
+ * @path: (nullable): a TOML file; %NULL uses only @defaults
  * @defaults: the embedded default settings, in the same syntax
  *
  * Values in @path override @defaults key by key.
@@ -29,20 +29,20 @@
 CfStatus cf_settings_load (CfSettings *s, const char *path,
                            const char *defaults);
 
-/** cf_settings_clear: frees what cf_settings_load() took. */
+/** cf_settings_clear: frees the memory that cf_settings_load() allocated. */
 void cf_settings_clear (CfSettings *s);
 
 /**
  * cf_settings_string:
- * Reads a quoted string @table.@key into a new string at @out.
- * Returns: %CF_ERR_SETTINGS if missing, unquoted or empty.
+ * Reads the quoted string at @table.@key into a new string.
+ * Returns: %CF_ERR_SETTINGS if it is missing, unquoted or empty.
  */
 CfStatus cf_settings_string (CfSettings *s, const char *table, const char *key,
                              char **out);
 
 /**
  * cf_settings_int:
- * Reads an integer @table.@key that must lie in [@min, @max].
+ * Reads the integer at @table.@key, which must lie in [@min, @max].
  * Returns: %CF_ERR_SETTINGS naming the key, the value and the bounds.
  */
 CfStatus cf_settings_int (CfSettings *s, const char *table, const char *key,
@@ -52,19 +52,19 @@
 CfStatus cf_settings_bool (CfSettings *s, const char *table, const char *key,
                            gboolean *out);
 
-/** cf_settings_double: a number within [@min, @max]. */
+/** cf_settings_double: reads a number, which must lie in [@min, @max]. */
 CfStatus cf_settings_double (CfSettings *s, const char *table, const char *key,
                              double min, double max, double *out);
 
 /**
  * cf_settings_strings:
- * An array of quoted strings on one line, such as ["a", "b"].
+ * Reads an array of quoted strings on one line, such as ["a", "b"].
  * @out: (out): a new array that owns its strings; may be empty
  */
 CfStatus cf_settings_strings (CfSettings *s, const char *table, const char *key,
                               GPtrArray **out);
 
-/** CfSettingKind: the tag of a #CfSetting, and the type of its field. */
+/** CfSettingKind: the type of a setting, and of the field that stores it. */
 typedef enum
 {
   CF_SETTING_STRING,  /**< char *, owned */
@@ -74,34 +74,34 @@
   CF_SETTING_BOOL,    /**< gboolean */
 } CfSettingKind;
 
-/** CfSetting: one key a program reads, and the struct field it fills. */
+/** CfSetting: one key that a program reads, and the field that stores it. */
 typedef struct
 {
   CfSettingKind kind;
   const char *table;
   const char *key;
-  size_t offset; /**< of the field in the program's settings struct */
+  size_t offset; /**< offset of the field in the program's settings struct */
   double min;
   double max;
 } CfSetting;
 
 /**
  * cf_settings_read:
- * @fields: @n keys, all that the program reads
- * @out: the program's settings struct
+ * @fields: the @n keys that the program reads
+ * @out: (out): the program's settings struct
  *
  * Reads and checks every key.
- * Returns: %CF_ERR_SETTINGS for the first that is wrong, or for a key in
- * the file that is not among @fields.
+ * Returns: %CF_ERR_SETTINGS for the first invalid key, or for a key of the file
+ * that is not among @fields.
  */
 CfStatus cf_settings_read (CfSettings *s, const CfSetting *fields, size_t n,
                            void *out);
 
 /**
  * cf_settings_check_known_keys:
- * @known: %NULL-terminated list of "table.key" names the program reads
+ * @known: %NULL-terminated list of the "table.key" names that the program reads
  *
- * Returns: %CF_ERR_SETTINGS for the first table or key not in @known, so
- * that a misspelt key is an error and not a silent default.
+ * Returns: %CF_ERR_SETTINGS for the first key that is not in @known, so that a
+ * misspelt key is an error instead of leaving the default in place.
  */
 CfStatus cf_settings_check_known_keys (CfSettings *s, const char *const *known);
--- a/t/t-demo.c
+++ b/t/t-demo.c
@@ -1,20 +1,15 @@
 /*
- * What a newcomer runs first ends with its line, and nothing in it is lost.
+ * The demos print their summary lines, and no request in them is lost.
  *
- * The story.  `make demo` on a clean clone ended with "Segmentation fault" and
- * no summary line.
+ * Guards against a `make demo` on a clean clone that ends with "Segmentation
+ * fault" and no summary line.  That happened when a list was added to the
+ * target struct: of the three places that set up a target by hand, the one in
+ * the load tool comfrey-callers did not initialize the list.  The tool's first
+ * request crashed where cf_upstream_send(), called by the tool's send_try(),
+ * inserted the new connection into the target's list of busy connections, whose
+ * head was all zeros.  No test ran the tool.
  *
- * Order of events: the stand-ins, gateways and agents come up; the callers'
- * tool sends its first request; the new connection goes into the list of the
- * target's busy ones, whose head is all zeros.
- *
- * Cause: a list was added to a target, and of the three places that filled
- * one by hand the tool's did not initialize it.
- *
- * Evidence: a trace with cf_upstream_send() at the insertion, called by the
- * tool's send_try(); the tests passed, since none ran the tool.
- *
- * The two scripts choose their ports, so they run here beside other tests and
+ * The two scripts choose free ports, so they can run beside other tests and
  * beside each other.
  */
 #include "harness.h"
@@ -23,24 +18,24 @@
 #include <string.h>
 
 #define DEMO_REQUESTS 300
-/** Of the recorded session; both deployments' kinds of request are among
- * the first ones. */
+/** Number of requests taken from the recorded session.  The first ones include
+ * the kinds of request of both deployments. */
 #define SESSION_REQUESTS 100
-/** Everything that the runs leave behind. */
+/** Directory for all output of the runs. */
 #define OUT "t/out/t-demo/"
 #define SESSION OUT "session.jsonl"
 
-/** Run: a script at work. */
+/** DemoRun: a running demo script. */
 typedef struct
 {
   FILE *out;
-  char *log; /**< the file of its standard error */
-} Run;
+  char *log; /**< name of the file with its standard error */
+} DemoRun;
 
-static Run
-begin (const char *command, const char *name)
+static DemoRun
+start_script (const char *command, const char *name)
 {
-  Run r;
+  DemoRun r;
   g_autofree char *line = NULL;
 
   r.log = g_strdup_printf (OUT "%s.err", name);
@@ -53,9 +48,10 @@
   return r;
 }
 
-/* The number after @name= in @line; fails the test if it says none. */
+/* Returns the number after "@name=" in @line; fails the test if there is
+ * none. */
 static gint64
-number (const char *line, const char *name)
+read_number (const char *line, const char *name)
 {
   g_autofree char *key = g_strdup_printf ("%s=", name);
   const char *at = strstr (line, key);
@@ -64,69 +60,70 @@
 
   ck_assert_msg (at != NULL, "no %s in \"%s\"", name, line);
   n = g_ascii_strtoll (at + strlen (key), &end, 10);
-  ck_assert_msg (end != at + strlen (key), "no number of %s: \"%s\"", name,
-                 line);
+  ck_assert_msg (end != at + strlen (key), "no number after %s= in \"%s\"",
+                 name, line);
   return n;
 }
 
-/* Waits for the script's end; its summary line, to be freed. */
+/* Waits until the script exits with status 0; returns its summary line, which
+ * the caller frees. */
 static char *
-end (Run *r)
+wait_for_script (DemoRun *r)
 {
-  g_autofree char *said = NULL;
+  g_autofree char *errors = NULL;
   char line[1024] = "";
   int status;
 
   if (!fgets (line, sizeof line, r->out))
     line[0] = '\0';
   status = pclose (r->out);
-  g_file_get_contents (r->log, &said, NULL, NULL);
+  g_file_get_contents (r->log, &errors, NULL, NULL);
   g_free (r->log);
   ck_assert_msg (status == 0, "wait status 0x%x after \"%s\": %s",
-                 (unsigned)status, line, said);
+                 (unsigned)status, line, errors);
   return g_strdup (line);
 }
 
 static void
-check_line (const char *line, gint64 asked)
+check_summary (const char *line, gint64 n_requests)
 {
-  gint64 answered = number (line, "answered");
+  gint64 answered = read_number (line, "answered");
 
   ck_assert_int_gt (answered, 0);
-  ck_assert_int_eq (answered + number (line, "refused"), asked);
-  ck_assert_int_eq (number (line, "lost"), 0);
-  ck_assert_int_eq (number (line, "doubled"), 0);
+  ck_assert_int_eq (answered + read_number (line, "refused"), n_requests);
+  ck_assert_int_eq (read_number (line, "lost"), 0);
+  ck_assert_int_eq (read_number (line, "doubled"), 0);
 }
 
 static void
-check_demo (Run *r)
+check_demo (DemoRun *r)
 {
-  g_autofree char *line = end (r);
+  g_autofree char *line = wait_for_script (r);
 
-  check_line (line, DEMO_REQUESTS);
-  ck_assert_int_eq (number (line, "wrong"), 0);
+  check_summary (line, DEMO_REQUESTS);
+  ck_assert_int_eq (read_number (line, "wrong"), 0);
 }
 
-static Run
-begin_demo (const char *name)
+static DemoRun
+start_demo (const char *name)
 {
   g_autofree char *command
       = g_strdup_printf ("sh scripts/demo.sh %d", DEMO_REQUESTS);
 
-  return begin (command, name);
+  return start_script (command, name);
 }
 
-START_TEST (two_demos_side_by_side_end_with_their_lines)
+START_TEST (two_demos_side_by_side_print_their_summaries)
 {
-  Run a = begin_demo ("a");
-  Run b = begin_demo ("b");
+  DemoRun a = start_demo ("a");
+  DemoRun b = start_demo ("b");
 
   check_demo (&a);
   check_demo (&b);
 }
 END_TEST
 
-/* The first requests of the recorded session, as a session of its own. */
+/* Writes the first requests of the recorded session to SESSION. */
 static void
 write_session (void)
 {
@@ -149,19 +146,19 @@
   g_string_free (out, TRUE);
 }
 
-START_TEST (two_own_demos_side_by_side_end_with_their_lines)
+START_TEST (two_own_demos_side_by_side_print_their_summaries)
 {
   const char command[] = "sh scripts/demo-own.sh " SESSION;
-  Run runs[2];
+  DemoRun runs[2];
 
   write_session ();
-  runs[0] = begin (command, "own-a");
-  runs[1] = begin (command, "own-b");
+  runs[0] = start_script (command, "own-a");
+  runs[1] = start_script (command, "own-b");
   for (int i = 0; i < 2; i++)
     {
-      g_autofree char *line = end (&runs[i]);
+      g_autofree char *line = wait_for_script (&runs[i]);
 
-      check_line (line, SESSION_REQUESTS);
+      check_summary (line, SESSION_REQUESTS);
     }
 }
 END_TEST
@@ -182,7 +179,7 @@
 {
   Suite *s = suite_create ("demo");
 
-  add_case (s, "platform", two_demos_side_by_side_end_with_their_lines);
-  add_case (s, "own", two_own_demos_side_by_side_end_with_their_lines);
+  add_case (s, "platform", two_demos_side_by_side_print_their_summaries);
+  add_case (s, "own", two_own_demos_side_by_side_print_their_summaries);
   return t_run (s);
 }
--- a/t/t-log.c
+++ b/t/t-log.c
@@ -1,5 +1,5 @@
 /*
- * Log lines: the format, and that no value can break a line in two.
+ * The format of log lines, and that no value can split a line.
  */
 #include "harness.h"
 #include "log.h"
@@ -11,9 +11,9 @@
 
 #define LOG_FILE "t/out/log-test.log"
 
-/* Logs @value and returns what came out on standard error. */
+/* Logs @value and returns the output on standard error. */
 static char *
-logged (const char *value)
+log_and_capture (const char *value)
 {
   int saved = dup (STDERR_FILENO);
   char *text = NULL;
@@ -33,27 +33,28 @@
 
 START_TEST (test_line_has_priority_program_event_and_fields)
 {
-  g_autofree char *want = g_strdup_printf (
+  g_autofree char *expected = g_strdup_printf (
       "<6>t-log[%d]: E1203 route org=aspen end\n", (int)getpid ());
-  g_autofree char *got = logged ("aspen");
+  g_autofree char *got = log_and_capture ("aspen");
 
-  ck_assert_str_eq (got, want);
+  ck_assert_str_eq (got, expected);
 }
 END_TEST
 
 START_TEST (test_a_value_cannot_forge_a_line)
 {
-  g_autofree char *got = logged ("x\n<6>comfrey-entry[1]: E1205 answer\t\x7f");
+  g_autofree char *got
+      = log_and_capture ("x\n<6>comfrey-entry[1]: E1205 answer\t\x7f");
 
   ck_assert_ptr_eq (strchr (got, '\n'), got + strlen (got) - 1);
   ck_assert (strstr (got, "org=x?<6>comfrey-entry[1]: E1205 answer?? end"));
 }
 END_TEST
 
-START_TEST (test_a_long_value_is_cut_but_the_line_ends)
+START_TEST (test_a_long_value_is_truncated_but_the_line_ends)
 {
   g_autofree char *value = g_strnfill (5000, 'v');
-  g_autofree char *got = logged (value);
+  g_autofree char *got = log_and_capture (value);
 
   ck_assert_int_le (strlen (got), 2048);
   ck_assert_int_eq (got[strlen (got) - 1], '\n');
@@ -68,7 +69,7 @@
 
   tcase_add_test (tc, test_line_has_priority_program_event_and_fields);
   tcase_add_test (tc, test_a_value_cannot_forge_a_line);
-  tcase_add_test (tc, test_a_long_value_is_cut_but_the_line_ends);
+  tcase_add_test (tc, test_a_long_value_is_truncated_but_the_line_ends);
   suite_add_tcase (s, tc);
   return t_run (s);
 }
--- a/t/t-report.c
+++ b/t/t-report.c
@@ -1,4 +1,4 @@
-/* What binds a service, from log lines. */
+/* The per-second report from gateways' log lines. */
 #include "harness.h"
 #include "report.h"
 
@@ -26,15 +26,15 @@
     "begun_tokens=700 t=102.400\n" GW
     "E1219 slow-pass service=s ms=125 streams=6 late=2 begun=0 "
     "begun_tokens=0 t=102.800\n"
-    "a line of something else\n";
+    "a line of another program\n";
 
-START_TEST (each_second_says_what_binds)
+START_TEST (each_second_counts_outcomes_and_causes)
 {
-  const CfReportObjectives aims = { 400, 120 };
+  const CfReportObjectives objectives = { 400, 120 };
   GString *out = g_string_new (NULL);
   CfReport r;
 
-  cf_report_init (&r, &aims);
+  cf_report_init (&r, &objectives);
   cf_report_read (&r, log_text);
   cf_report_print (&r, out);
   ck_assert_ptr_nonnull (strstr (
@@ -51,13 +51,13 @@
 }
 END_TEST
 
-START_TEST (empty_logs_are_no_error)
+START_TEST (empty_logs_give_an_empty_report)
 {
-  const CfReportObjectives aims = { 400, 120 };
+  const CfReportObjectives objectives = { 400, 120 };
   GString *out = g_string_new (NULL);
   CfReport r;
 
-  cf_report_init (&r, &aims);
+  cf_report_init (&r, &objectives);
   cf_report_read (&r, "");
   cf_report_print (&r, out);
   ck_assert_ptr_nonnull (strstr (out->str, "sum       0"));
@@ -72,8 +72,8 @@
   Suite *s = suite_create ("report");
   TCase *t = tcase_create ("report");
 
-  tcase_add_test (t, each_second_says_what_binds);
-  tcase_add_test (t, empty_logs_are_no_error);
+  tcase_add_test (t, each_second_counts_outcomes_and_causes);
+  tcase_add_test (t, empty_logs_give_an_empty_report);
   suite_add_tcase (s, t);
   return t_run (s);
 }
--- a/t/t-settings.c
+++ b/t/t-settings.c
@@ -60,7 +60,7 @@
 }
 END_TEST
 
-/* A program's settings, one field of each kind. */
+/* The settings of a program, with one field of each kind. */
 typedef struct
 {
   char *name;
@@ -68,20 +68,20 @@
   gboolean b;
   double weight;
   GPtrArray *list;
-} All;
+} AllKinds;
 
 static const CfSetting fields[] = {
-  { CF_SETTING_STRING, "a", "name", offsetof (All, name), 0, 0 },
-  { CF_SETTING_INT, "a", "n", offsetof (All, n), 0, 10 },
-  { CF_SETTING_BOOL, "a", "b", offsetof (All, b), 0, 0 },
-  { CF_SETTING_DOUBLE, "a", "weight", offsetof (All, weight), 0, 1 },
-  { CF_SETTING_STRINGS, "a", "list", offsetof (All, list), 0, 0 },
+  { CF_SETTING_STRING, "a", "name", offsetof (AllKinds, name), 0, 0 },
+  { CF_SETTING_INT, "a", "n", offsetof (AllKinds, n), 0, 10 },
+  { CF_SETTING_BOOL, "a", "b", offsetof (AllKinds, b), 0, 0 },
+  { CF_SETTING_DOUBLE, "a", "weight", offsetof (AllKinds, weight), 0, 1 },
+  { CF_SETTING_STRINGS, "a", "list", offsetof (AllKinds, list), 0, 0 },
 };
 
-START_TEST (test_table_reads_every_kind)
+START_TEST (test_fields_of_every_kind_are_read)
 {
   CfSettings s = { 0 };
-  All all = { 0 };
+  AllKinds all = { 0 };
 
   ck_assert_int_eq (
       load_text (&s, "[a]\nweight = 0.25\nlist = [\"x\", \"y\"]\n"), CF_OK);
@@ -99,13 +99,15 @@
 }
 END_TEST
 
-START_TEST (test_table_errors_name_key_and_value)
+START_TEST (test_field_errors_name_key_and_value)
 {
   static const char *const bad[][2] = {
     { "[a]\nweight = 2\nlist = []\n", "[a] weight = 2 is outside [0, 1]" },
     { "[a]\nweight = x\nlist = []\n", "[a] weight = x is not a number" },
-    { "[a]\nweight = 0\nlist = [1]\n", "[a] list = [1] is not one" },
-    { "[a]\nweight = 0\nlist = \"x\"\n", "[a] list = \"x\" is not one" },
+    { "[a]\nweight = 0\nlist = [1]\n",
+      "[a] list = [1] is not an array of strings" },
+    { "[a]\nweight = 0\nlist = \"x\"\n",
+      "[a] list = \"x\" is not an array of strings" },
     { "[a]\nweight = 0\n", "[a] list is missing" },
     { "[a]\nweigth = 0\n", "unknown key [a] weigth" },
   };
@@ -113,7 +115,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
     {
       CfSettings s = { 0 };
-      All all = { 0 };
+      AllKinds all = { 0 };
 
       ck_assert_int_eq (load_text (&s, bad[i][0]), CF_OK);
       ck_assert_int_eq (
@@ -134,8 +136,8 @@
 
   tcase_add_test (tc, test_defaults_and_override);
   tcase_add_test (tc, test_errors_name_key_and_remedy);
-  tcase_add_test (tc, test_table_reads_every_kind);
-  tcase_add_test (tc, test_table_errors_name_key_and_value);
+  tcase_add_test (tc, test_fields_of_every_kind_are_read);
+  tcase_add_test (tc, test_field_errors_name_key_and_value);
   suite_add_tcase (s, tc);
   return t_run (s);
 }
--- a/version.h
+++ b/version.h
@@ -1,4 +1,4 @@
 #pragma once
 
-/** The release of comfreypost that every program reports. */
+/** The version of comfreypost that --version prints. */
 #define CF_VERSION "0.1.0"
