--- a/t/t-platform.c
+++ b/t/t-platform.c
@@ -1,4 +1,5 @@
-/* The adapter: what the platform says, turned into the project's types. */
+/* The adapter: parses the platform's data into the project's types, and rejects
+ * invalid data. */
 #include "harness.h"
 #include "platform/platform-headers.h"
 #include "platform/platform-policy.h"
@@ -9,19 +10,19 @@
 
 #include <string.h>
 
-static const char good_settings[]
+static const char valid_settings[]
     = "node-name=vm-1\nip=10.0.0.1\nzone=dc1\nlisten.front=10.0.0.1:80\n"
       "listen.ready=10.0.0.1:81\nlisten.control=10.0.0.1:82\n"
       "seed-addrs=10.0.0.1:82,10.0.0.2:82\nplatform.addr=10.0.0.9:90\n"
       "bounds.grace-s=8\nbounds.retry-ratio=0.2\nbounds.retry-slack=88\n"
       "bounds.require-fence=true\nlimits.memory-mb=260\nsome.new.field=7\n";
 
-START_TEST (settings_are_read)
+START_TEST (settings_are_parsed)
 {
   CfPlatformSettings s;
 
   ck_assert_int_eq (
-      cf_platform_settings_parse (good_settings, CF_ROLE_GATEWAY, &s), CF_OK);
+      cf_platform_settings_parse (valid_settings, CF_ROLE_GATEWAY, &s), CF_OK);
   ck_assert_str_eq (s.front_addr, "10.0.0.1:80");
   ck_assert_str_eq (s.data_centre, "dc1");
   ck_assert_uint_eq (g_strv_length (s.seed_addrs), 2);
@@ -33,8 +34,9 @@
 }
 END_TEST
 
-/* What no decision of ours needs is not looked at, whatever it holds. */
-START_TEST (settings_without_use_are_ignored)
+/* Settings that the programs do not use are not parsed, so that no value of
+ * them is an error. */
+START_TEST (unused_settings_are_ignored)
 {
   static const char *const fields[]
       = { "limits.cpu-share", "heartbeat-ms", "bounds.retry-window-s",
@@ -43,7 +45,7 @@
   for (gsize i = 0; i < G_N_ELEMENTS (fields); i++)
     {
       g_autofree char *text
-          = g_strdup_printf ("%s%s=lots\n", good_settings, fields[i]);
+          = g_strdup_printf ("%s%s=lots\n", valid_settings, fields[i]);
       CfPlatformSettings s;
 
       ck_assert_int_eq (cf_platform_settings_parse (text, CF_ROLE_GATEWAY, &s),
@@ -54,7 +56,7 @@
 }
 END_TEST
 
-START_TEST (wrong_settings_name_the_field)
+START_TEST (invalid_settings_name_the_field)
 {
   CfPlatformSettings s;
 
@@ -91,7 +93,7 @@
       "\"tenants\":[{\"name\":\"t\",\"api-keys\":[\"k1\",\"k2\"],"
       "\"priority\":0}]}";
 
-START_TEST (configuration_is_read)
+START_TEST (configuration_is_parsed)
 {
   CfPolicy *p;
   const CfRoute *r;
@@ -124,7 +126,7 @@
 }
 END_TEST
 
-START_TEST (wrong_configurations_are_refused)
+START_TEST (invalid_configurations_are_rejected)
 {
   const char *const bad[] = {
     "",
@@ -153,7 +155,7 @@
 }
 END_TEST
 
-START_TEST (store_answers_are_read)
+START_TEST (store_replies_are_parsed)
 {
   const char text[] = "{\"events\":[{\"key\":\"servers/i-1\",\"value\":"
                       "\"e30=\",\"rev\":5},{\"key\":\"servers/i-2\",\"rev\":"
@@ -179,7 +181,7 @@
 }
 END_TEST
 
-START_TEST (targets_are_read)
+START_TEST (target_records_are_parsed)
 {
   const char text[]
       = "{\"service\":\"s\",\"addr\":\"1.2.3.4:5\",\"zone\":\"dc\",\"version\":"
@@ -199,13 +201,14 @@
 }
 END_TEST
 
-/* Anyone may have written a record: it is taken whole or not at all. */
-START_TEST (spoiled_records_name_no_target)
+/* Any client of the store can write a record: it is accepted as a whole or not
+ * at all. */
+START_TEST (invalid_target_records_are_rejected)
 {
   const struct
   {
-    const char *field; /* the one that is spoiled */
-    const char *value; /* what stands there; NULL: it is missing */
+    const char *field; /* the invalid field */
+    const char *value; /* its value; NULL: missing */
   } cases[] = {
     { "service", NULL },
     { "service", "7" },
@@ -252,8 +255,8 @@
 
       for (gsize f = 0; f < G_N_ELEMENTS (good); f++)
         {
-          gboolean spoiled = strcmp (good[f][0], cases[i].field) == 0;
-          const char *v = spoiled ? cases[i].value : good[f][1];
+          gboolean invalid = strcmp (good[f][0], cases[i].field) == 0;
+          const char *v = invalid ? cases[i].value : good[f][1];
 
           if (v)
             g_string_append_printf (o, "%s\"%s\":%s", o->len > 1 ? "," : "",
@@ -262,7 +265,7 @@
       g_string_append_c (o, '}');
       ck_assert_msg (cf_platform_target_parse ("i-1", o->str, o->len, &r)
                          == CF_ERR_RECORD,
-                     "taken: %s", o->str);
+                     "accepted: %s", o->str);
       ck_assert_ptr_null (r.id);
       ck_assert_ptr_null (r.service);
       ck_assert_ptr_nonnull (strstr (cf_last_error (), "remedy"));
@@ -275,26 +278,26 @@
 }
 END_TEST
 
-START_TEST (ids_are_safe_in_a_head_and_a_path)
+START_TEST (ids_are_safe_in_headers_and_paths)
 {
   const char *const bad[]
       = { "servers/",         "servers/a/b",       "servers/../x",
           "servers/a b",      "servers/a\r\nX: 1", "servers/.hidden",
           "servers/\xc3\xa9", "op/config" };
   g_autofree char *id = g_strnfill (201, 'x');
-  g_autofree char *longer = g_strconcat ("servers/", id, NULL);
+  g_autofree char *too_long = g_strconcat ("servers/", id, NULL);
 
   for (gsize i = 0; i < G_N_ELEMENTS (bad); i++)
-    ck_assert_msg (!cf_platform_target_id_from_key (bad[i]), "taken: %s",
+    ck_assert_msg (!cf_platform_target_id_from_key (bad[i]), "accepted: %s",
                    bad[i]);
-  ck_assert_ptr_null (cf_platform_target_id_from_key (longer));
+  ck_assert_ptr_null (cf_platform_target_id_from_key (too_long));
   ck_assert_str_eq (cf_platform_target_id_from_key ("servers/i-7f3a.x_1:2"),
                     "i-7f3a.x_1:2");
 }
 END_TEST
 
-/* One value that cannot be read does not hide the others. */
-START_TEST (values_that_are_no_base64)
+/* An unreadable value does not affect the other items. */
+START_TEST (values_that_are_not_base64_are_unreadable)
 {
   const char text[]
       = "{\"items\":[{\"key\":\"servers/a\",\"value\":\"e3\",\"rev\":5},"
@@ -318,7 +321,7 @@
 }
 END_TEST
 
-START_TEST (spoiled_reports_and_counts)
+START_TEST (invalid_rank_reports_counts_and_lists_are_rejected)
 {
   const char *const reports[] = {
     "[]",
@@ -353,24 +356,24 @@
     ck_assert_msg (
         cf_platform_rank_parse_report (reports[i], strlen (reports[i]), &s)
             == CF_ERR_PROTO,
-        "taken: %s", reports[i]);
+        "accepted: %s", reports[i]);
   for (gsize i = 0; i < G_N_ELEMENTS (counts); i++)
     {
       ck_assert_msg (
           cf_platform_rank_parse_counts (counts[i], strlen (counts[i]), &n, &a)
               == CF_ERR_PROTO,
-          "taken: %s", counts[i]);
+          "accepted: %s", counts[i]);
       ck_assert_ptr_null (a);
     }
   for (gsize i = 0; i < G_N_ELEMENTS (lists); i++)
     ck_assert_msg (
         cf_platform_rank_parse_lists (lists[i], strlen (lists[i]), &n, &a)
             == CF_ERR_PROTO,
-        "taken: %s", lists[i]);
+        "accepted: %s", lists[i]);
 }
 END_TEST
 
-START_TEST (ranks_are_read_and_ordered)
+START_TEST (rank_reports_are_parsed_and_orders_built)
 {
   const char report[]
       = "{\"running\":3,\"waiting\":1,\"group\":{\"name\":\"g\",\"epoch\":2,"
@@ -430,9 +433,9 @@
 }
 END_TEST
 
-/* Agents make a map of whatever base they know, so that rows may hold the same
- * experts in another order; what ranks are told of it is the same. */
-START_TEST (a_map_is_told_the_same_way_whatever_its_rows_order)
+/* Agents may build the same map from different base maps, so that its rows list
+ * their experts in different orders.  The orders to the ranks are identical. */
+START_TEST (orders_do_not_depend_on_the_order_of_experts_in_a_row)
 {
   const CfGroupShape shape
       = { .sets = 1, .experts = 9, .ranks = 1, .places = 4, .spare = 1 };
@@ -455,7 +458,7 @@
 }
 END_TEST
 
-START_TEST (headers_are_known)
+START_TEST (headers_are_recognized_and_forwarded)
 {
   GString *out = g_string_new (NULL);
   const CfForwardHeaders h = { 120, "i-1", "org", 4 };
@@ -474,7 +477,7 @@
 }
 END_TEST
 
-START_TEST (named_rates_are_read)
+START_TEST (rate_limits_are_parsed)
 {
   const struct
   {
@@ -497,21 +500,21 @@
   Suite *s = suite_create ("platform");
   TCase *t = tcase_create ("platform");
 
-  tcase_add_test (t, settings_are_read);
-  tcase_add_test (t, settings_without_use_are_ignored);
-  tcase_add_test (t, wrong_settings_name_the_field);
-  tcase_add_test (t, configuration_is_read);
-  tcase_add_test (t, wrong_configurations_are_refused);
-  tcase_add_test (t, store_answers_are_read);
-  tcase_add_test (t, targets_are_read);
-  tcase_add_test (t, spoiled_records_name_no_target);
-  tcase_add_test (t, ids_are_safe_in_a_head_and_a_path);
-  tcase_add_test (t, values_that_are_no_base64);
-  tcase_add_test (t, spoiled_reports_and_counts);
-  tcase_add_test (t, ranks_are_read_and_ordered);
-  tcase_add_test (t, a_map_is_told_the_same_way_whatever_its_rows_order);
-  tcase_add_test (t, headers_are_known);
-  tcase_add_test (t, named_rates_are_read);
+  tcase_add_test (t, settings_are_parsed);
+  tcase_add_test (t, unused_settings_are_ignored);
+  tcase_add_test (t, invalid_settings_name_the_field);
+  tcase_add_test (t, configuration_is_parsed);
+  tcase_add_test (t, invalid_configurations_are_rejected);
+  tcase_add_test (t, store_replies_are_parsed);
+  tcase_add_test (t, target_records_are_parsed);
+  tcase_add_test (t, invalid_target_records_are_rejected);
+  tcase_add_test (t, ids_are_safe_in_headers_and_paths);
+  tcase_add_test (t, values_that_are_not_base64_are_unreadable);
+  tcase_add_test (t, invalid_rank_reports_counts_and_lists_are_rejected);
+  tcase_add_test (t, rank_reports_are_parsed_and_orders_built);
+  tcase_add_test (t, orders_do_not_depend_on_the_order_of_experts_in_a_row);
+  tcase_add_test (t, headers_are_recognized_and_forwarded);
+  tcase_add_test (t, rate_limits_are_parsed);
   suite_add_tcase (s, t);
   return t_run (s);
 }
