--- a/explain.c
+++ b/explain.c
@@ -21,7 +21,8 @@
   { NULL, "no-route",
     "no route of the active configuration matches the request" },
   { NULL, "unknown-key",
-    "its API key belongs to no organisation of the active configuration" },
+    "the request's API key belongs to no organisation of the active "
+    "configuration" },
   { NULL, "no-host", "the request has no Host header" },
   { NULL, "no-target",
     "the service had no target that accepts new work, or each had already been "
@@ -37,8 +38,9 @@
     "sent to any target; E1217 names the request, and E1407 outcome=lost with "
     "the same request= names the attempts" },
   { NULL, "rate-limited",
-    "its targets limit the rate of requests, and this gateway's share of the "
-    "rate was used up; E1218 shows the limits" },
+    "the service's targets limit the rate of requests, and this gateway's "
+    "share "
+    "of it was used up; E1218 shows the limits" },
   { NULL, "queue-full", "the service's queue was full" },
   { NULL, "more-urgent-waits",
     "requests of a more urgent priority filled the service's queue" },
--- a/log-writer.h
+++ b/log-writer.h
@@ -18,8 +18,8 @@
 /**
  * cf_log_writer_start:
  * @fd: the output; may be a pipe that nobody reads
- * Returns: %FALSE if the thread could not be created; the writer is then not
- *   running.
+ * Returns: %FALSE if the thread could not be created; cf_log() then writes each
+ *   line itself.
  */
 gboolean cf_log_writer_start (int fd);
 
--- a/log.h
+++ b/log.h
@@ -64,7 +64,8 @@
  * cf_log_init:
  * @prog: the program name shown in each line; not copied
  *
- * Lines are written to standard error as `<PRI>prog[pid]: Ennnn name k=v ...`.
+ * A line has the form `<PRI>prog[pid]: Ennnn name k=v ...`.  Lines go to
+ * standard error, or to the log writer if it is running.
  */
 void cf_log_init (const char *prog);
 
@@ -74,9 +75,9 @@
  * @ev: the event number
  * @fmt: printf-style `key=value` pairs, space separated
  *
- * Queues the line for the log writer if it is running (log-writer.h).
- * Otherwise writes the line with a single write(2), so that lines of concurrent
- * threads do not interleave.
+ * Queues the line for the log writer if it is running (log-writer.h), with the
+ * time of the call.  Otherwise writes the line with a single write(2), so that
+ * lines of concurrent threads do not interleave.
  */
 void cf_log (int prio, CfEvent ev, const char *fmt, ...)
     __attribute__ ((format (printf, 3, 4)));
--- a/version.h
+++ b/version.h
@@ -1,4 +1,4 @@
 #pragma once
 
-/** The version of comfreypost that --version prints. */
+/** The version of comfreypost that every program reports. */
 #define CF_VERSION "0.1.0"
