--- a/daemon.c
+++ b/daemon.c
@@ -43,7 +43,7 @@
     { "settings", 's', 0, G_OPTION_ARG_FILENAME, &a->settings,
       "Read settings from FILE (TOML)", "FILE" },
     { "check-settings", 0, 0, G_OPTION_ARG_NONE, &a->check_settings,
-      "Check the settings, print them and exit", NULL },
+      "Check the settings and exit", NULL },
     { NULL },
   };
   sigset_t set;
--- a/daemon.h
+++ b/daemon.h
@@ -9,7 +9,7 @@
 typedef struct
 {
   char *settings;          /**< --settings FILE */
-  gboolean check_settings; /**< --check-settings: check, print, exit */
+  gboolean check_settings; /**< --check-settings: check the settings and exit */
 } CfDaemonArgs;
 
 /**
