--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -55,9 +55,9 @@
   GString *req;
 
   added.deadline_ms = cf_exchange_remaining_ms (x);
-  added.expect = t->record.id;
+  added.expected_target = t->record.id;
   added.org = x->org;
-  added.last_event = x->event_stream.last_id;
+  added.last_event_id = x->event_stream.last_id;
   req = cf_forward_build_request (&x->caller->reader, x->caller->body, &added);
   cf_log (LOG_INFO, CF_EV_ROUTE,
           "id=%s route=%s service=%s org=%s target=%s dc=%s send=%u "
@@ -73,7 +73,7 @@
       x->gateway->stats.resumes++;
       cf_log (LOG_NOTICE, CF_EV_RESUME,
               "id=%s target=%s after_event=%" G_GINT64_FORMAT, x->id,
-              t->record.id, added.last_event);
+              t->record.id, added.last_event_id);
     }
   cf_outage_record_send (&x->lane->outage, cf_gateway_now (x->gateway));
   x->target = cf_target_ref (t);
--- a/gateway/exchange-stop.c
+++ b/gateway/exchange-stop.c
@@ -49,7 +49,7 @@
 static void
 log_stop_check (const CfExchange *x, const char *outcome)
 {
-  cf_log (LOG_INFO, CF_EV_STOP_LOOK,
+  cf_log (LOG_INFO, CF_EV_STOP_ESTIMATE,
           "id=%s outcome=%s whole_ms=%" G_GINT64_FORMAT
           " left_ms=%" G_GINT64_FORMAT
           " pause_ms=%.1f answer=%" G_GINT64_FORMAT,
--- a/gateway/forward.c
+++ b/gateway/forward.c
@@ -16,8 +16,8 @@
     case CF_HDR_EXPECT_TARGET:
     case CF_HDR_PRIORITY:
       return TRUE;
-    case CF_HDR_LAST_EVENT:
-      return added->last_event >= 0;
+    case CF_HDR_LAST_EVENT_ID:
+      return added->last_event_id >= 0;
     default:
       return FALSE;
     }
@@ -48,7 +48,7 @@
       if (cf_http_reader_may_forward (r, h) && !is_stripped (h->kind, added))
         g_string_append_printf (out, "%s: %s\r\n", h->name, h->value);
     }
-  cf_platform_forward (out, added);
+  cf_platform_append_forward_headers (out, added);
   if (needs_length (r, body))
     g_string_append_printf (out, "Content-Length: %" G_GSIZE_FORMAT "\r\n",
                             body->len);
--- a/gateway/rank-agent-order.c
+++ b/gateway/rank-agent-order.c
@@ -110,19 +110,20 @@
   /* Also without an answer, since the copy may have begun. */
   if (o->kind == CF_ORDER_PREPARE)
     cf_rank_agent_track_copy (o->agent, o->version);
-  cf_rank_call (o->agent->loop, o->agent->target,
-                cf_platform_rank_report_call (o->agent->set.target_addr),
-                REPORT_TIMEOUT_MS, on_report_after_order, o);
+  cf_rank_call (
+      o->agent->loop, o->agent->target,
+      cf_platform_rank_build_report_request (o->agent->set.target_addr),
+      REPORT_TIMEOUT_MS, on_report_after_order, o);
 }
 
 static void
 send_to_rank (OrderCall *o)
 {
   o->attempts++;
-  cf_rank_call (
-      o->agent->loop, o->agent->target,
-      cf_platform_rank_order_call (o->agent->set.target_addr, o->body, o->n),
-      ORDER_TIMEOUT_MS, on_order_answer, o);
+  cf_rank_call (o->agent->loop, o->agent->target,
+                cf_platform_rank_build_order_request (o->agent->set.target_addr,
+                                                      o->body, o->n),
+                ORDER_TIMEOUT_MS, on_order_answer, o);
 }
 
 /* Sends @o to the rank.  Without doing so, acknowledges it if its token is too
@@ -194,7 +195,7 @@
   order.epoch = m->u.prepare.epoch;
   order.fence = m->u.prepare.fence;
   order.map = map;
-  body = cf_platform_rank_order (&order);
+  body = cf_platform_rank_build_order_body (&order);
   cf_map_history_add (&a->maps, map, order.version);
   return body;
 }
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -141,7 +141,7 @@
   note_rank_reachable (a, status == 200);
   if (status != 200)
     return FALSE;
-  if (cf_platform_rank_status (body->str, body->len, &s) != CF_OK)
+  if (cf_platform_rank_parse_report (body->str, body->len, &s) != CF_OK)
     {
       cf_log (LOG_WARNING, CF_EV_TARGET_FAIL, "target=%s error=\"%s\"",
               a->set.target_addr, cf_last_error ());
@@ -208,7 +208,8 @@
   gint64 incarnation = 0;
 
   if (status == 200
-      && cf_platform_rank_counts (body->str, body->len, &incarnation, &counts)
+      && cf_platform_rank_parse_counts (body->str, body->len, &incarnation,
+                                        &counts)
              != CF_OK)
     cf_log (LOG_WARNING, CF_EV_TARGET_FAIL, "target=%s error=\"%s\"",
             a->set.target_addr, cf_last_error ());
@@ -246,7 +247,7 @@
     }
   else
     cf_rank_call (a->loop, a->target,
-                  cf_platform_rank_counts_call (a->set.target_addr),
+                  cf_platform_rank_build_counts_request (a->set.target_addr),
                   CALL_TIMEOUT_MS, on_counts, a);
 }
 
@@ -264,7 +265,7 @@
     }
   a->read_pending = TRUE;
   cf_rank_call (loop, a->target,
-                cf_platform_rank_report_call (a->set.target_addr),
+                cf_platform_rank_build_report_request (a->set.target_addr),
                 CALL_TIMEOUT_MS, on_report, a);
 }
 
@@ -275,8 +276,8 @@
   CfPeerMsg m = { .kind = CF_PEER_LISTS };
 
   if (status != 200
-      || cf_platform_rank_lists (body->str, body->len, &m.u.lists.version,
-                                 &m.u.lists.experts)
+      || cf_platform_rank_parse_lists (body->str, body->len, &m.u.lists.version,
+                                       &m.u.lists.experts)
              != CF_OK)
     {
       cf_log (LOG_WARNING, CF_EV_TARGET_FAIL,
@@ -390,9 +391,10 @@
         cf_rank_agent_handle_prepare (s, &m);
         break;
       case CF_PEER_REQUEST_LISTS:
-        cf_rank_call (s->agent->loop, s->agent->target,
-                      cf_platform_rank_lists_call (s->agent->set.target_addr),
-                      CALL_TIMEOUT_MS, on_lists, s);
+        cf_rank_call (
+            s->agent->loop, s->agent->target,
+            cf_platform_rank_build_lists_request (s->agent->set.target_addr),
+            CALL_TIMEOUT_MS, on_lists, s);
         break;
       default:
         break;
--- a/gateway/rank-service-order.c
+++ b/gateway/rank-service-order.c
@@ -33,8 +33,8 @@
 
   if (d->wants_ack)
     {
-      cf_map_coordinator_take_ack (c, d->rank,
-                                   cf_platform_rank_ack (d->http_status), now);
+      cf_map_coordinator_take_ack (
+          c, d->rank, cf_platform_rank_ack_from_status (d->http_status), now);
       cf_map_coordinator_tick (c, now);
     }
   g_free (d);
@@ -65,7 +65,7 @@
   CfRankStatus st = { 0 };
 
   if (status == 200
-      && cf_platform_rank_status (body->str, body->len, &st) == CF_OK
+      && cf_platform_rank_parse_report (body->str, body->len, &st) == CF_OK
       && strcmp (st.group, d->group->name) == 0)
     cf_map_coordinator_take_status_as_of (&d->group->coordinator, &st,
                                           token_as_of (d, st.epoch, as_of),
@@ -88,7 +88,7 @@
 
   if (t)
     cf_rank_call (s->gateway->loop, t,
-                  cf_platform_rank_report_call (t->record.addr),
+                  cf_platform_rank_build_report_request (t->record.addr),
                   DIRECT_TIMEOUT_MS, on_direct_report, d);
   else
     on_direct_report (d, 0, NULL);
@@ -115,7 +115,7 @@
 on_direct_blocking_order (void *data, int status, const GString *body)
 {
   DirectCall *d = data;
-  CfRankAck ack = cf_platform_rank_ack (status);
+  CfRankAck ack = cf_platform_rank_ack_from_status (status);
 
   d->http_status = status;
   record_token (d, ack);
@@ -136,7 +136,7 @@
   DirectCall *d = data;
 
   d->http_status = status;
-  record_token (d, cf_platform_rank_ack (status));
+  record_token (d, cf_platform_rank_ack_from_status (status));
   request_report (d);
 }
 
@@ -204,10 +204,10 @@
   CfPrepareOrder *p;
 
   if (o->kind != CF_ORDER_PREPARE)
-    return cf_platform_rank_order (o);
+    return cf_platform_rank_build_order_body (o);
   p = get_prepare_order (g, o);
   if (!p->json)
-    p->json = cf_platform_rank_order (o);
+    p->json = cf_platform_rank_build_order_body (o);
   return g_strdup (p->json);
 }
 
@@ -231,11 +231,11 @@
   d->step = o->step;
   d->fence = o->fence;
   d->wants_ack = wants_ack;
-  cf_rank_call (
-      g->service->gateway->loop, t,
-      cf_platform_rank_order_call (t->record.addr, json, strlen (json)),
-      is_blocking ? HOLD_TIMEOUT_MS : DIRECT_TIMEOUT_MS,
-      is_blocking ? on_direct_blocking_order : on_direct_order, d);
+  cf_rank_call (g->service->gateway->loop, t,
+                cf_platform_rank_build_order_request (t->record.addr, json,
+                                                      strlen (json)),
+                is_blocking ? HOLD_TIMEOUT_MS : DIRECT_TIMEOUT_MS,
+                is_blocking ? on_direct_blocking_order : on_direct_order, d);
   g_free (json);
 }
 
@@ -262,7 +262,7 @@
 send_order (CfLedGroup *g, CfAgentLink *a, const CfRankOrder *o)
 {
   CfPeerMsg m = { .kind = CF_PEER_ORDER };
-  char *json = cf_platform_rank_order (o);
+  char *json = cf_platform_rank_build_order_body (o);
 
   m.u.order.seq = g->service->seq;
   m.u.order.fence = o->fence;
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -396,7 +396,7 @@
                                     m->u.order_ack.fence_seen, now);
   cf_map_coordinator_take_ack (
       &g->coordinator, a->rank,
-      cf_platform_rank_ack ((int)m->u.order_ack.http_status), now);
+      cf_platform_rank_ack_from_status ((int)m->u.order_ack.http_status), now);
   cf_map_coordinator_tick (&g->coordinator, now);
 }
 
--- a/gateway/store-watch.c
+++ b/gateway/store-watch.c
@@ -142,7 +142,7 @@
   CfStoreReply r;
   gboolean has_events;
 
-  if (cf_platform_store_parse (w->body->str, w->body->len, &r) != CF_OK)
+  if (cf_platform_store_parse_reply (w->body->str, w->body->len, &r) != CF_OK)
     {
       fail_call (w, cf_last_error ());
       return;
@@ -261,10 +261,11 @@
 
   w->state = w->has_snapshot ? CF_WATCH_CHANGES : CF_WATCH_RANGE;
   if (w->has_snapshot)
-    request = cf_platform_store_watch (addr, w->prefix, w->as_of,
-                                       current_long_poll_ms (w));
+    request = cf_platform_store_build_watch_request (addr, w->prefix, w->as_of,
+                                                     current_long_poll_ms (w));
   else
-    request = cf_platform_store_range (addr, w->prefix, w->page_after);
+    request = cf_platform_store_build_range_request (addr, w->prefix,
+                                                     w->page_after);
   g_string_assign (w->output, request);
   g_free (request);
   w->output_sent = 0;
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -104,7 +104,7 @@
 static void
 on_item (CfGateway *g, const CfStoreItem *it)
 {
-  const char *id = cf_platform_target_id (it->key);
+  const char *id = cf_platform_target_id_from_key (it->key);
   CfTargetUpdate update = { .id = id };
 
   if (!id)
