--- a/standins/comfrey-fake-platform.c
+++ b/standins/comfrey-fake-platform.c
@@ -83,9 +83,9 @@
                                   i < n_plain ? i : i - n_plain);
 
       if (i < n_plain)
-        fake_target_plain (loop, store, id, "desk", addr, 6, work_ms);
+        fake_target_new_plain (loop, store, id, "desk", addr, 6, work_ms);
       else
-        fake_target_rank (loop, store, g, i - n_plain, id, "llm", addr, 12);
+        fake_target_new_rank (loop, store, g, i - n_plain, id, "llm", addr, 12);
       g_free (addr);
       g_free (id);
     }
--- a/standins/fake-group.c
+++ b/standins/fake-group.c
@@ -73,20 +73,20 @@
                               st->next_event);
 
   if (!st->begun)
-    fake_http_begin (st->c, 200, st->head);
+    fake_http_begin_chunked (st->c, 200, st->head);
   st->begun = TRUE;
   if (st->next_event == st->cut_after)
     {
       FakeConn *c = st->c;
 
-      fake_http_chunk (c, ev, strlen (ev) / 2);
+      fake_http_send_chunk (c, ev, strlen (ev) / 2);
       g_free (ev);
       c->gone (c);
       c->work = NULL;
       fake_http_reset (c);
       return;
     }
-  fake_http_chunk (st->c, ev, strlen (ev));
+  fake_http_send_chunk (st->c, ev, strlen (ev));
   g_free (ev);
   if (st->next_event++ >= st->last_event)
     {
@@ -94,7 +94,7 @@
 
       c->gone (c);
       c->work = NULL;
-      fake_http_end (c);
+      fake_http_end_chunked (c);
     }
 }
 
@@ -189,7 +189,7 @@
 }
 
 void
-fake_group_wake (FakeGroup *g)
+fake_group_start_passes (FakeGroup *g)
 {
   if (ev_is_active (&g->pass))
     return;
@@ -322,7 +322,7 @@
 }
 
 int
-fake_group_order (FakeGroup *g, int rank, const char *json, gsize n)
+fake_group_handle_order (FakeGroup *g, int rank, const char *json, gsize n)
 {
   json_t *o = json_loadb (json, n, 0, NULL);
   const char *op = json_string_value (json_object_get (o, "op"));
@@ -360,7 +360,7 @@
 }
 
 void
-fake_group_restart (FakeGroup *g, int rank)
+fake_group_restart_rank (FakeGroup *g, int rank)
 {
   FakeRank *r = &g->ranks[rank];
 
@@ -383,7 +383,7 @@
       o->s.armed = 0;
       o->s.held = 0;
     }
-  fake_group_wake (g);
+  fake_group_start_passes (g);
 }
 
 FakeGroup *
--- a/standins/fake-group.h
+++ b/standins/fake-group.h
@@ -49,12 +49,12 @@
   double skew_sum;
 };
 
-/** fake_group_order: what a rank does with an order; the HTTP status. */
-int fake_group_order (FakeGroup *g, int rank, const char *json, gsize n);
+/** fake_group_handle_order: what a rank does with an order; the HTTP status. */
+int fake_group_handle_order (FakeGroup *g, int rank, const char *json, gsize n);
 
-/** fake_group_restart: the target of @rank started anew: the group forms
+/** fake_group_restart_rank: the target of @rank started anew: the group forms
  * anew too, with its first map and nothing prepared, armed or held. */
-void fake_group_restart (FakeGroup *g, int rank);
+void fake_group_restart_rank (FakeGroup *g, int rank);
 
-/** fake_group_wake: work came; passes begin if none is running. */
-void fake_group_wake (FakeGroup *g);
+/** fake_group_start_passes: work came; passes begin if none is running. */
+void fake_group_start_passes (FakeGroup *g);
--- a/standins/fake-http.c
+++ b/standins/fake-http.c
@@ -19,7 +19,7 @@
   char *addr;
   ev_io io;
   ev_timer back; /**< ends its absence */
-  FakeRequest request;
+  FakeRequestHandler request;
   void *data;
 };
 
@@ -112,7 +112,7 @@
 }
 
 void
-fake_http_begin (FakeConn *c, int status, const char *headers)
+fake_http_begin_chunked (FakeConn *c, int status, const char *headers)
 {
   c->chunked = TRUE;
   g_string_append_printf (c->out,
@@ -124,7 +124,7 @@
 }
 
 void
-fake_http_chunk (FakeConn *c, const char *data, gsize n)
+fake_http_send_chunk (FakeConn *c, const char *data, gsize n)
 {
   g_string_append_printf (c->out, "%zx\r\n", n);
   g_string_append_len (c->out, data, (gssize)n);
@@ -133,7 +133,7 @@
 }
 
 void
-fake_http_end (FakeConn *c)
+fake_http_end_chunked (FakeConn *c)
 {
   g_string_append (c->out, "0\r\n\r\n");
   next_request (c);
@@ -141,7 +141,7 @@
 }
 
 void
-fake_http_raw (FakeConn *c, const char *data, gsize n)
+fake_http_send_raw (FakeConn *c, const char *data, gsize n)
 {
   g_string_append_len (c->out, data, (gssize)n);
   flush (c);
@@ -261,7 +261,7 @@
 }
 
 FakeListener *
-fake_http_listen (struct ev_loop *loop, const char *addr, FakeRequest fn,
+fake_http_listen (struct ev_loop *loop, const char *addr, FakeRequestHandler fn,
                   void *data)
 {
   FakeListener *l = g_new0 (FakeListener, 1);
@@ -277,7 +277,7 @@
 }
 
 void
-fake_http_leave (FakeListener *l, double s)
+fake_http_close_listener (FakeListener *l, double s)
 {
   if (ev_is_active (&l->back))
     return;
@@ -288,7 +288,7 @@
 }
 
 char *
-fake_http_query (const FakeConn *c, const char *name)
+fake_http_query_param (const FakeConn *c, const char *name)
 {
   const char *q = strchr (cf_http_reader_target (&c->reader), '?');
   char **parts = g_strsplit (q ? q + 1 : "", "&", -1);
@@ -306,7 +306,7 @@
 }
 
 gboolean
-fake_http_is (const FakeConn *c, const char *path)
+fake_http_has_path (const FakeConn *c, const char *path)
 {
   const char *target = cf_http_reader_target (&c->reader);
   gsize n = strcspn (target, "?");
--- a/standins/fake-http.h
+++ b/standins/fake-http.h
@@ -11,7 +11,7 @@
 typedef struct FakeConn FakeConn;
 
 /** Called with each whole request; answer with the calls below. */
-typedef void (*FakeRequest) (void *data, FakeConn *c);
+typedef void (*FakeRequestHandler) (void *data, FakeConn *c);
 
 struct FakeConn
 {
@@ -21,7 +21,7 @@
   GString *body;
   GString *in;
   GString *out;
-  FakeRequest request;
+  FakeRequestHandler request;
   void *data;
   void *work; /**< what is being done for the request; set by the owner */
   void (*gone) (FakeConn *c); /**< the caller left while @work was set */
@@ -37,28 +37,30 @@
 
 /** fake_http_listen: serves @addr; exits the program if it cannot. */
 FakeListener *fake_http_listen (struct ev_loop *loop, const char *addr,
-                                FakeRequest fn, void *data);
+                                FakeRequestHandler fn, void *data);
 
-/** fake_http_leave: refuses connections to its address for @s seconds. */
-void fake_http_leave (FakeListener *l, double s);
+/** fake_http_close_listener: refuses connections to its address for @s seconds.
+ */
+void fake_http_close_listener (FakeListener *l, double s);
 
 /** fake_http_answer: a whole answer; @headers are lines, or %NULL. */
 void fake_http_answer (FakeConn *c, int status, const char *headers,
                        const char *body, gssize n);
 
-/** fake_http_begin: the head of an answer in chunks. */
-void fake_http_begin (FakeConn *c, int status, const char *headers);
-void fake_http_chunk (FakeConn *c, const char *data, gsize n);
-void fake_http_end (FakeConn *c);
+/** fake_http_begin_chunked: the head of an answer in chunks. */
+void fake_http_begin_chunked (FakeConn *c, int status, const char *headers);
+void fake_http_send_chunk (FakeConn *c, const char *data, gsize n);
+void fake_http_end_chunked (FakeConn *c);
 
-/** fake_http_raw: bytes as they are, for answers that are spoiled. */
-void fake_http_raw (FakeConn *c, const char *data, gsize n);
+/** fake_http_send_raw: bytes as they are, for answers that are spoiled. */
+void fake_http_send_raw (FakeConn *c, const char *data, gsize n);
 
 /** fake_http_reset: ends the connection at once, with a reset. */
 void fake_http_reset (FakeConn *c);
 
-/** fake_http_query: (transfer full) (nullable): a parameter of the target. */
-char *fake_http_query (const FakeConn *c, const char *name);
+/** fake_http_query_param: (transfer full) (nullable): a parameter of the
+ * target. */
+char *fake_http_query_param (const FakeConn *c, const char *name);
 
-/** fake_http_is: whether the target's path is @path. */
-gboolean fake_http_is (const FakeConn *c, const char *path);
+/** fake_http_has_path: whether the target's path is @path. */
+gboolean fake_http_has_path (const FakeConn *c, const char *path);
--- a/standins/fake-store.c
+++ b/standins/fake-store.c
@@ -251,8 +251,8 @@
 static void
 answer_range (FakeStore *s, FakeConn *c)
 {
-  char *prefix = fake_http_query (c, "prefix");
-  char *after = fake_http_query (c, "after");
+  char *prefix = fake_http_query_param (c, "prefix");
+  char *after = fake_http_query_param (c, "after");
   RangeCall r = { prefix ? prefix : "", after, json_array (), FALSE };
   json_t *o = json_object ();
 
@@ -268,9 +268,9 @@
 static void
 begin_watch (FakeStore *s, FakeConn *c)
 {
-  char *prefix = fake_http_query (c, "prefix");
-  char *after = fake_http_query (c, "after");
-  char *wait = fake_http_query (c, "wait-ms");
+  char *prefix = fake_http_query_param (c, "prefix");
+  char *after = fake_http_query_param (c, "after");
+  char *wait = fake_http_query_param (c, "wait-ms");
   gint64 from = after ? g_ascii_strtoll (after, NULL, 10) : 0;
   json_t *events = s->mode == MODE_STALE
                        ? json_array ()
@@ -354,25 +354,25 @@
 static gboolean
 steer (FakeStore *s, FakeConn *c)
 {
-  char *key = fake_http_query (c, "key");
-  char *mode = fake_http_query (c, "mode");
+  char *key = fake_http_query_param (c, "key");
+  char *mode = fake_http_query_param (c, "mode");
   gboolean known = TRUE;
   gboolean answered = FALSE;
 
-  if (fake_http_is (c, "/test/put") && key)
+  if (fake_http_has_path (c, "/test/put") && key)
     write_item (s, key, c->body->str);
-  else if (fake_http_is (c, "/test/get") && key)
+  else if (fake_http_has_path (c, "/test/get") && key)
     {
       answer_value (s, c, key);
       answered = TRUE;
     }
-  else if (fake_http_is (c, "/test/put-raw") && key)
+  else if (fake_http_has_path (c, "/test/put-raw") && key)
     write_raw (s, key, c->body->str);
-  else if (fake_http_is (c, "/test/delete") && key)
+  else if (fake_http_has_path (c, "/test/delete") && key)
     write_raw (s, key, NULL);
-  else if (fake_http_is (c, "/test/mode"))
+  else if (fake_http_has_path (c, "/test/mode"))
     set_mode (s, mode);
-  else if (fake_http_is (c, "/test/forget"))
+  else if (fake_http_has_path (c, "/test/forget"))
     forget (s);
   else
     known = FALSE;
@@ -386,9 +386,9 @@
 static void
 answer_call (FakeStore *s, FakeConn *c)
 {
-  if (fake_http_is (c, PF_PATH_RANGE))
+  if (fake_http_has_path (c, PF_PATH_RANGE))
     answer_range (s, c);
-  else if (fake_http_is (c, PF_PATH_WATCH))
+  else if (fake_http_has_path (c, PF_PATH_WATCH))
     begin_watch (s, c);
   else
     fake_http_answer (c, 404, NULL, "", 0);
--- a/standins/fake-target.c
+++ b/standins/fake-target.c
@@ -147,13 +147,13 @@
     {
       text = g_strdup_printf (
           "HTTP/1.1 200 OK\r\n%sContent-Length: 100\r\n\r\nhalf", headers);
-      fake_http_raw (c, text, strlen (text));
+      fake_http_send_raw (c, text, strlen (text));
       fake_http_reset (c);
       g_free (text);
     }
   else if (g_strcmp0 (fault, "garbage") == 0)
     {
-      fake_http_raw (c, "\x01\x02 no answer\r\n\r\n", 15);
+      fake_http_send_raw (c, "\x01\x02 no answer\r\n\r\n", 15);
       fake_http_reset (c);
     }
   else if (g_strcmp0 (fault, "unframed") == 0)
@@ -162,7 +162,7 @@
                               t->id);
       c->close = TRUE;
       c->answering = FALSE;
-      fake_http_raw (c, text, strlen (text));
+      fake_http_send_raw (c, text, strlen (text));
       g_free (text);
     }
   else
@@ -193,7 +193,7 @@
       char *again = g_strdup_printf (
           "HTTP/1.1 200 OK\r\n%sContent-Length: 5\r\n\r\nextra", headers);
 
-      fake_http_raw (c, again, strlen (again));
+      fake_http_send_raw (c, again, strlen (again));
       g_free (again);
     }
   g_free (own);
@@ -289,7 +289,7 @@
   t->busy++;
   t->group->ranks[t->rank].s.running++;
   TAILQ_INSERT_TAIL (&t->group->ranks[t->rank].streams, st, link);
-  fake_group_wake (t->group);
+  fake_group_start_passes (t->group);
 }
 
 /* @faulty: (nullable): the address of the target at fault. */
@@ -419,7 +419,7 @@
 answer_picked (FakeTarget *t, FakeConn *c)
 {
   FakeGroup *g = t->group;
-  char *lists = fake_http_query (c, "lists");
+  char *lists = fake_http_query_param (c, "lists");
   json_t *counts;
 
   if (lists)
@@ -442,7 +442,7 @@
 answer_runs (FakeTarget *t, FakeConn *c)
 {
   const FakeGroup *g = t->group;
-  char *id = fake_http_query (c, "id");
+  char *id = fake_http_query_param (c, "id");
   gint64 times = id ? GPOINTER_TO_INT (g_hash_table_lookup (t->runs, id)) : 0;
 
   g_free (id);
@@ -471,10 +471,10 @@
 static void
 set_fault (FakeTarget *t, FakeConn *c)
 {
-  char *x = fake_http_query (c, "x");
+  char *x = fake_http_query_param (c, "x");
 
   g_free (t->fault);
-  t->fault = fake_http_query (c, "kind");
+  t->fault = fake_http_query_param (c, "kind");
   t->fault_left = x ? atoi (x) : 1;
   g_free (x);
   fake_http_answer (c, 200, NULL, "", 0);
@@ -493,7 +493,7 @@
 {
   LateOrder *o = timer->data;
 
-  fake_group_order (o->t->group, o->t->rank, o->body->str, o->body->len);
+  fake_group_handle_order (o->t->group, o->t->rank, o->body->str, o->body->len);
   g_string_free (o->body, TRUE);
   g_free (o);
 }
@@ -513,7 +513,8 @@
 
   if (!comes_late (t))
     {
-      status = fake_group_order (t->group, t->rank, c->body->str, c->body->len);
+      status = fake_group_handle_order (t->group, t->rank, c->body->str,
+                                        c->body->len);
       if (!t->mute)
         fake_http_answer (c, status, NULL, "", 0);
       return;
@@ -546,7 +547,7 @@
       g_free (old);
     }
   else if (t->group)
-    fake_group_restart (t->group, t->rank);
+    fake_group_restart_rank (t->group, t->rank);
   else
     fall_silent (t);
   t->draining = FALSE;
@@ -577,15 +578,15 @@
     }
   if (c)
     fake_http_reset (c);
-  fake_http_leave (t->listener, DOWN_S);
+  fake_http_close_listener (t->listener, DOWN_S);
   start_anew (t, FALSE, RESTART_MS);
 }
 
 static void
 restart (FakeTarget *t, FakeConn *c)
 {
-  char *same = fake_http_query (c, "same");
-  char *later = fake_http_query (c, "later-ms");
+  char *same = fake_http_query_param (c, "same");
+  char *later = fake_http_query_param (c, "later-ms");
 
   start_anew (t, same != NULL, later ? atoi (later) : RESTART_MS);
   g_free (same);
@@ -597,56 +598,56 @@
 {
   FakeTarget *t = data;
 
-  if (fake_http_is (c, "/test/runs"))
+  if (fake_http_has_path (c, "/test/runs"))
     answer_runs (t, c);
-  else if (fake_http_is (c, "/test/ran"))
+  else if (fake_http_has_path (c, "/test/ran"))
     answer_ran (t, c);
-  else if (fake_http_is (c, "/test/fault"))
+  else if (fake_http_has_path (c, "/test/fault"))
     set_fault (t, c);
-  else if (fake_http_is (c, "/test/crasher"))
+  else if (fake_http_has_path (c, "/test/crasher"))
     {
       g_free (t->crasher);
       t->crasher = g_strdup (c->body->str);
       fake_http_answer (c, 200, NULL, "", 0);
     }
-  else if (fake_http_is (c, "/test/crash"))
+  else if (fake_http_has_path (c, "/test/crash"))
     {
       fake_http_answer (c, 200, NULL, "", 0);
       crash (t, NULL);
     }
-  else if (fake_http_is (c, "/test/limit"))
+  else if (fake_http_has_path (c, "/test/limit"))
     {
       g_free (t->limit);
-      t->limit = fake_http_query (c, "per-s");
+      t->limit = fake_http_query_param (c, "per-s");
       fake_http_answer (c, 200, NULL, "", 0);
     }
-  else if (fake_http_is (c, "/test/drain"))
+  else if (fake_http_has_path (c, "/test/drain"))
     {
       t->draining = TRUE;
       t->drained = ev_now (t->loop);
       publish (t);
       fake_http_answer (c, 200, NULL, "", 0);
     }
-  else if (fake_http_is (c, "/test/restart"))
+  else if (fake_http_has_path (c, "/test/restart"))
     {
       restart (t, c);
       fake_http_answer (c, 200, NULL, "", 0);
     }
-  else if (t->group && fake_http_is (c, PF_PATH_REPORT))
+  else if (t->group && fake_http_has_path (c, PF_PATH_REPORT))
     answer_report (t, c);
-  else if (t->group && fake_http_is (c, PF_PATH_PICKED))
+  else if (t->group && fake_http_has_path (c, PF_PATH_PICKED))
     answer_picked (t, c);
-  else if (t->group && fake_http_is (c, PF_PATH_ORDER))
+  else if (t->group && fake_http_has_path (c, PF_PATH_ORDER))
     take_order (t, c);
-  else if (fake_http_is (c, "/test/late-orders"))
+  else if (fake_http_has_path (c, "/test/late-orders"))
     {
-      char *tenths = fake_http_query (c, "tenths");
+      char *tenths = fake_http_query_param (c, "tenths");
 
       t->late_tenths = tenths ? atoi (tenths) : 0;
       g_free (tenths);
       fake_http_answer (c, 200, NULL, "", 0);
     }
-  else if (fake_http_is (c, "/test/mute-orders"))
+  else if (fake_http_has_path (c, "/test/mute-orders"))
     {
       t->mute = TRUE;
       fake_http_answer (c, 200, NULL, "", 0);
@@ -674,9 +675,9 @@
 }
 
 FakeTarget *
-fake_target_plain (struct ev_loop *loop, FakeStore *store, const char *id,
-                   const char *service, const char *addr, int slots,
-                   int work_ms)
+fake_target_new_plain (struct ev_loop *loop, FakeStore *store, const char *id,
+                       const char *service, const char *addr, int slots,
+                       int work_ms)
 {
   FakeTarget *t = new_target (loop, store, id, service, addr, slots);
 
@@ -686,9 +687,9 @@
 }
 
 FakeTarget *
-fake_target_rank (struct ev_loop *loop, FakeStore *store, FakeGroup *g,
-                  int rank, const char *id, const char *service,
-                  const char *addr, int slots)
+fake_target_new_rank (struct ev_loop *loop, FakeStore *store, FakeGroup *g,
+                      int rank, const char *id, const char *service,
+                      const char *addr, int slots)
 {
   FakeTarget *t = new_target (loop, store, id, service, addr, slots);
 
--- a/standins/fake-target.h
+++ b/standins/fake-target.h
@@ -45,10 +45,10 @@
 typedef struct FakeTarget FakeTarget;
 typedef struct FakeGroup FakeGroup;
 
-/** fake_target_plain: a plain service at @addr that works @work_ms. */
-FakeTarget *fake_target_plain (struct ev_loop *loop, FakeStore *store,
-                               const char *id, const char *service,
-                               const char *addr, int slots, int work_ms);
+/** fake_target_new_plain: a plain service at @addr that works @work_ms. */
+FakeTarget *fake_target_new_plain (struct ev_loop *loop, FakeStore *store,
+                                   const char *id, const char *service,
+                                   const char *addr, int slots, int work_ms);
 
 /** FakeGroupShape: the engine of a rank group. */
 typedef struct
@@ -66,7 +66,8 @@
 
 FakeGroup *fake_group_new (struct ev_loop *loop, const FakeGroupShape *shape);
 
-/** fake_target_rank: rank @rank of @g at @addr. */
-FakeTarget *fake_target_rank (struct ev_loop *loop, FakeStore *store,
-                              FakeGroup *g, int rank, const char *id,
-                              const char *service, const char *addr, int slots);
+/** fake_target_new_rank: rank @rank of @g at @addr. */
+FakeTarget *fake_target_new_rank (struct ev_loop *loop, FakeStore *store,
+                                  FakeGroup *g, int rank, const char *id,
+                                  const char *service, const char *addr,
+                                  int slots);
