--- a/standins/fake-group.c
+++ b/standins/fake-group.c
@@ -6,41 +6,48 @@
 #include <math.h>
 #include <string.h>
 
-/** The part of a pass that the experts take; the rest is each rank's own. */
-#define EXPERT_SHARE 0.85
-/** How often a writing request chooses an expert of a set in a pass. */
-#define PICKS 32
-
-/* Demand: a few experts are popular, others after each shift. */
+/** Fraction of a balanced pass that the experts take.  It grows with the skew;
+ * the rest does not depend on the map. */
+#define EXPERT_TIME_FRACTION 0.85
+/** Experts of one set that a streaming request chooses in a pass; each rank
+ * counts the choices of 100 requests. */
+#define CHOICES_PER_PASS 32
+
+/* The demand for @expert: a few experts of each set are popular, and others
+ * become popular each shape.shift_s seconds. */
 static double
 popularity (const FakeGroup *g, int set, int expert)
 {
-  double t = ev_now (g->loop) - g->started;
-  int shift = g->shape.shift_s > 0 ? (int)(t / g->shape.shift_s) * 7 : 0;
+  double elapsed_s = ev_now (g->loop) - g->start_s;
+  int offset
+      = g->shape.shift_s > 0 ? (int)(elapsed_s / g->shape.shift_s) * 7 : 0;
 
-  return 1.0 / (1 + (expert * 5 + shift + set * 3) % g->shape.experts);
+  return 1.0 / (1 + (expert * 5 + offset + set * 3) % g->shape.experts);
 }
 
+/* The index of @expert in an array of sets x experts. */
 static gsize
-at (const FakeGroup *g, int set, int expert)
+expert_index (const FakeGroup *g, int set, int expert)
 {
   return (gsize)set * g->shape.experts + expert;
 }
 
+/* The load of the busiest rank relative to an even load, as the mean over the
+ * sets, under the map in use and the current demand. */
 static double
-skew (FakeGroup *g)
+current_skew (FakeGroup *g)
 {
   gsize n = (gsize)g->shape.sets * g->shape.experts;
   g_autofree double *tokens = g_new (double, n);
 
   for (int s = 0; s < g->shape.sets; s++)
     for (int e = 0; e < g->shape.experts; e++)
-      tokens[at (g, s, e)] = popularity (g, s, e);
+      tokens[expert_index (g, s, e)] = popularity (g, s, e);
   return cf_group_map_skew (g->map, tokens, NULL);
 }
 
 static void
-count_picks (FakeGroup *g, FakeRank *r)
+count_choices (FakeGroup *g, FakeRank *r)
 {
   double sum = 0;
 
@@ -48,71 +55,73 @@
     sum += 1.0 / (1 + e);
   for (int s = 0; s < g->shape.sets; s++)
     for (int e = 0; e < g->shape.experts; e++)
-      r->counts[at (g, s, e)]
-          += (gint64)lround (PICKS * 100 * popularity (g, s, e) / sum);
+      r->expert_counts[expert_index (g, s, e)] += (gint64)lround (
+          CHOICES_PER_PASS * 100 * popularity (g, s, e) / sum);
 }
 
-/* Rows of the map that a rank switches to. */
+/* Switches @rank to its armed map: copies its rows into the map in use. */
 static void
-switch_rank (FakeGroup *g, int rank)
+switch_rank_map (FakeGroup *g, int rank)
 {
   FakeRank *r = &g->ranks[rank];
 
   for (int s = 0; s < g->shape.sets; s++)
     memcpy (cf_group_map_at (g->map, s, rank),
-            cf_group_map_at (r->next, s, rank),
+            cf_group_map_at (r->next_map, s, rank),
             sizeof (gint16) * g->shape.places);
-  r->s.map = r->s.armed;
-  r->s.armed = 0;
+  r->status.map = r->status.armed;
+  r->status.armed = 0;
 }
 
+/* Sends the next event of @st, which is freed after its last one. */
 static void
 send_event (FakeRank *r, FakeStream *st)
 {
-  char *ev = g_strdup_printf ("id: %d\ndata: token-%d\n\n", st->next_event,
-                              st->next_event);
+  char *event = g_strdup_printf ("id: %d\ndata: token-%d\n\n", st->next_event,
+                                 st->next_event);
 
-  if (!st->begun)
-    fake_http_begin_chunked (st->c, 200, st->head);
-  st->begun = TRUE;
-  if (st->next_event == st->cut_after)
+  if (!st->is_begun)
+    fake_http_begin_chunked (st->conn, 200, st->headers);
+  st->is_begun = TRUE;
+  if (st->next_event == st->cut_event)
     {
-      FakeConn *c = st->c;
+      FakeConn *c = st->conn;
 
-      fake_http_send_chunk (c, ev, strlen (ev) / 2);
-      g_free (ev);
-      c->gone (c);
-      c->work = NULL;
+      fake_http_send_chunk (c, event, strlen (event) / 2);
+      g_free (event);
+      c->on_disconnect (c);
+      c->pending = NULL;
       fake_http_reset (c);
       return;
     }
-  fake_http_send_chunk (st->c, ev, strlen (ev));
-  g_free (ev);
+  fake_http_send_chunk (st->conn, event, strlen (event));
+  g_free (event);
   if (st->next_event++ >= st->last_event)
     {
-      FakeConn *c = st->c;
+      FakeConn *c = st->conn;
 
-      c->gone (c);
-      c->work = NULL;
+      c->on_disconnect (c);
+      c->pending = NULL;
       fake_http_end_chunked (c);
     }
 }
 
-/* A pass at even load, with the streams that its ranks write now. */
+/* Duration of a pass with the current number of streams, if the load of the
+ * experts is even. */
 static double
-even_pass_ms (const FakeGroup *g)
+balanced_pass_ms (const FakeGroup *g)
 {
   const FakeStream *st;
-  int n = 0;
+  int n_streams = 0;
 
   for (int i = 0; i < g->shape.ranks; i++)
     TAILQ_FOREACH (st, &g->ranks[i].streams, link)
-  n++;
-  return g->shape.step_ms + g->shape.per_seq_ms * n / g->shape.ranks;
+  n_streams++;
+  return g->shape.step_ms + g->shape.per_seq_ms * n_streams / g->shape.ranks;
 }
 
 static gboolean
-is_idle (const FakeGroup *g)
+has_no_streams (const FakeGroup *g)
 {
   for (int i = 0; i < g->shape.ranks; i++)
     if (!TAILQ_EMPTY (&g->ranks[i].streams))
@@ -120,44 +129,47 @@
   return TRUE;
 }
 
+/* Begins the next pass: ranks that are armed for it switch their maps. */
 static void
 begin_pass (FakeGroup *g)
 {
-  gint64 step = g->ranks[0].s.step + 1;
+  gint64 step = g->ranks[0].status.step + 1;
 
   for (int i = 0; i < g->shape.ranks; i++)
     {
       FakeRank *r = &g->ranks[i];
 
-      r->s.step = step;
-      if (r->s.armed && r->armed_step == step)
-        switch_rank (g, i);
-      count_picks (g, r);
+      r->status.step = step;
+      if (r->status.armed && r->armed_step == step)
+        switch_rank_map (g, i);
+      count_choices (g, r);
     }
   for (int i = 1; i < g->shape.ranks; i++)
-    if (g->ranks[i].s.map != g->ranks[0].s.map)
+    if (g->ranks[i].status.map != g->ranks[0].status.map)
       {
-        g->mixed++;
+        g->n_mixed++;
         break;
       }
-  g->passes++;
+  g->n_passes++;
 }
 
 static gboolean
-is_held (const FakeGroup *g)
+is_next_pass_held (const FakeGroup *g)
 {
   for (int i = 0; i < g->shape.ranks; i++)
-    if (g->ranks[i].s.held == g->ranks[0].s.step + 1)
+    if (g->ranks[i].status.held == g->ranks[0].status.step + 1)
       return TRUE;
   return FALSE;
 }
 
-/* The end of a pass: what it made goes out, and the next begins. */
+/* Ends a pass: sends the next event of each stream, and begins the next pass.
+ * A pass that a rank holds is tried again a pass time later.  Without streams
+ * the passes stop. */
 static void
-on_pass (struct ev_loop *loop, ev_timer *t, int revents)
+on_pass_end (struct ev_loop *loop, ev_timer *t, int revents)
 {
   FakeGroup *g = t->data;
-  double x;
+  double skew;
 
   for (int i = 0; i < g->shape.ranks; i++)
     {
@@ -167,48 +179,50 @@
         {
           FakeStream *next = TAILQ_NEXT (st, link);
 
-          if (st->idle_passes > 0)
-            st->idle_passes--;
+          if (st->passes_to_start > 0)
+            st->passes_to_start--;
           else
             send_event (&g->ranks[i], st);
           st = next;
         }
     }
-  if (is_idle (g))
+  if (has_no_streams (g))
     {
       ev_timer_stop (loop, t);
       return;
     }
-  x = skew (g);
-  if (!is_held (g))
+  skew = current_skew (g);
+  if (!is_next_pass_held (g))
     begin_pass (g);
-  g->skew_sum += x;
-  ev_timer_set (
-      t, 0, even_pass_ms (g) / 1000 * (1 - EXPERT_SHARE + EXPERT_SHARE * x));
+  g->skew_sum += skew;
+  ev_timer_set (t, 0,
+                balanced_pass_ms (g) / 1000
+                    * (1 - EXPERT_TIME_FRACTION + EXPERT_TIME_FRACTION * skew));
   ev_timer_again (loop, t);
 }
 
 void
 fake_group_start_passes (FakeGroup *g)
 {
-  if (ev_is_active (&g->pass))
+  if (ev_is_active (&g->pass_timer))
     return;
-  ev_timer_set (&g->pass, 0, g->shape.step_ms / 1000);
-  ev_timer_again (g->loop, &g->pass);
+  ev_timer_set (&g->pass_timer, 0, g->shape.step_ms / 1000);
+  ev_timer_again (g->loop, &g->pass_timer);
 }
 
 static void
-on_copied (struct ev_loop *loop, ev_timer *t, int revents)
+on_copy_done (struct ev_loop *loop, ev_timer *t, int revents)
 {
   FakeRank *r = t->data;
 
-  r->s.prepared = r->copying;
-  r->copying = 0;
+  r->status.prepared = r->copying_version;
+  r->copying_version = 0;
 }
 
-/* Reads the rows of "map"; NULL if an expert is on no rank. */
+/* The map that @sets gives as JSON, set by set and rank by rank; NULL if some
+ * expert is on no rank. */
 static CfGroupMap *
-read_map (const FakeGroup *g, const json_t *sets)
+parse_map (const FakeGroup *g, const json_t *sets)
 {
   const CfGroupShape shape = g->map->shape;
   CfGroupMap *m = cf_group_map_new (&shape);
@@ -227,95 +241,100 @@
   return m;
 }
 
+/* The functions for the single orders return the HTTP status of the answer:
+ * 200 if the rank is already in that state, 202 if it accepts the order, 409
+ * if its state does not allow it. */
+
 static int
-prepare (FakeGroup *g, FakeRank *r, gint64 version, const json_t *sets)
+prepare_map (FakeGroup *g, FakeRank *r, gint64 version, const json_t *sets)
 {
   CfGroupMap *m;
-  int added = 0;
+  int n_added = 0;
 
-  if (version == r->had && r->next)
-    return r->s.prepared == version ? 200 : 202;
-  if (version <= r->had || r->s.armed)
+  if (version == r->highest_version && r->next_map)
+    return r->status.prepared == version ? 200 : 202;
+  if (version <= r->highest_version || r->status.armed)
     return 409;
-  m = read_map (g, sets);
+  m = parse_map (g, sets);
   if (!m)
     return 409;
   for (int s = 0; s < g->shape.sets; s++)
     {
-      int here = 0;
+      int n_set_added = 0;
 
       for (int p = 0; p < g->shape.places; p++)
         {
-          int e = cf_group_map_at (m, s, r->s.rank)[p];
+          int e = cf_group_map_at (m, s, r->status.rank)[p];
 
-          if (e >= 0 && !cf_group_map_holds (g->map, s, r->s.rank, e))
-            here++;
+          if (e >= 0 && !cf_group_map_holds (g->map, s, r->status.rank, e))
+            n_set_added++;
         }
-      added += here;
-      if (here > g->shape.spare)
+      n_added += n_set_added;
+      if (n_set_added > g->shape.spare)
         {
           cf_group_map_free (m);
           return 409;
         }
     }
-  r->had = version;
-  cf_group_map_free (r->next);
-  r->next = m;
-  r->s.prepared = 0;
-  r->copying = version;
-  ev_timer_stop (g->loop, &r->copy);
-  ev_timer_set (&r->copy, g->shape.copy_ms * added / 1000, 0);
-  ev_timer_start (g->loop, &r->copy);
+  r->highest_version = version;
+  cf_group_map_free (r->next_map);
+  r->next_map = m;
+  r->status.prepared = 0;
+  r->copying_version = version;
+  ev_timer_stop (g->loop, &r->copy_timer);
+  ev_timer_set (&r->copy_timer, g->shape.copy_ms * n_added / 1000, 0);
+  ev_timer_start (g->loop, &r->copy_timer);
   return 202;
 }
 
 static int
-arm (FakeRank *r, gint64 version, gint64 step)
+arm_map (FakeRank *r, gint64 version, gint64 step)
 {
-  if (r->s.armed == version && r->armed_step == step)
+  if (r->status.armed == version && r->armed_step == step)
     return 200;
-  if (r->s.armed || r->s.prepared != version || step <= r->s.step)
+  if (r->status.armed || r->status.prepared != version
+      || step <= r->status.step)
     return 409;
-  r->s.armed = version;
+  r->status.armed = version;
   r->armed_step = step;
   return 202;
 }
 
 static int
-hold (FakeRank *r, gint64 step)
+hold_pass (FakeRank *r, gint64 step)
 {
-  if (r->s.held == step)
+  if (r->status.held == step)
     return 200;
-  if (r->s.held || step <= r->s.step)
+  if (r->status.held || step <= r->status.step)
     return 409;
-  r->s.held = step;
+  r->status.held = step;
   return 202;
 }
 
 static int
-carry_out (FakeGroup *g, FakeRank *r, const char *op, const json_t *o)
+execute_order (FakeGroup *g, FakeRank *r, const char *op, const json_t *o)
 {
   gint64 version = json_integer_value (json_object_get (o, "version"));
   gint64 step = json_integer_value (json_object_get (o, "step"));
 
   if (strcmp (op, "prepare") == 0)
-    return prepare (g, r, version, json_object_get (o, "map"));
+    return prepare_map (g, r, version, json_object_get (o, "map"));
   if (strcmp (op, "arm") == 0)
-    return arm (r, version, step);
+    return arm_map (r, version, step);
   if (strcmp (op, "hold") == 0)
-    return hold (r, step);
+    return hold_pass (r, step);
   if (strcmp (op, "disarm") == 0)
     {
-      if (r->s.map == version)
+      if (r->status.map == version)
         return 409;
-      if (r->s.armed == version)
-        r->s.armed = 0;
+      if (r->status.armed == version)
+        r->status.armed = 0;
       return 200;
     }
   if (strcmp (op, "go") == 0)
     {
-      if (r->s.held == step)
-        r->s.held = 0;
+      if (r->status.held == step)
+        r->status.held = 0;
       return 200;
     }
   return 400;
@@ -338,15 +357,15 @@
   else if (op)
     {
       r->fence = fence;
-      status = carry_out (g, r, op, o);
+      status = execute_order (g, r, op, o);
     }
   json_decref (o);
   return status;
 }
 
-/* Map 0 assigns experts in turn. */
+/* Map 0 assigns the experts to the ranks round-robin. */
 static void
-first_map (FakeGroup *g)
+assign_initial_map (FakeGroup *g)
 {
   const FakeGroupShape *shape = &g->shape;
   gsize n = (gsize)shape->sets * shape->ranks * shape->places;
@@ -365,23 +384,23 @@
   FakeRank *r = &g->ranks[rank];
 
   g->epoch++;
-  first_map (g);
-  memset (r->counts, 0,
-          sizeof *r->counts * (gsize)(g->shape.sets * g->shape.experts));
+  assign_initial_map (g);
+  memset (r->expert_counts, 0,
+          sizeof *r->expert_counts * (gsize)(g->shape.sets * g->shape.experts));
   r->fence = 0;
   for (int i = 0; i < g->shape.ranks; i++)
     {
-      FakeRank *o = &g->ranks[i];
-
-      ev_timer_stop (g->loop, &o->copy);
-      g_clear_pointer (&o->next, cf_group_map_free);
-      o->copying = 0;
-      o->had = 0;
-      o->s.epoch = g->epoch;
-      o->s.map = 0;
-      o->s.prepared = 0;
-      o->s.armed = 0;
-      o->s.held = 0;
+      FakeRank *other = &g->ranks[i];
+
+      ev_timer_stop (g->loop, &other->copy_timer);
+      g_clear_pointer (&other->next_map, cf_group_map_free);
+      other->copying_version = 0;
+      other->highest_version = 0;
+      other->status.epoch = g->epoch;
+      other->status.map = 0;
+      other->status.prepared = 0;
+      other->status.armed = 0;
+      other->status.held = 0;
     }
   fake_group_start_passes (g);
 }
@@ -399,25 +418,25 @@
   g->loop = loop;
   g->shape = *shape;
   g->epoch = 1;
-  g->started = ev_now (loop);
+  g->start_s = ev_now (loop);
   g->map = cf_group_map_new (&map);
-  first_map (g);
+  assign_initial_map (g);
   g->ranks = g_new0 (FakeRank, shape->ranks);
   for (int i = 0; i < shape->ranks; i++)
     {
       FakeRank *r = &g->ranks[i];
 
-      g_strlcpy (r->s.group, "g0", sizeof r->s.group);
-      r->s.rank = i;
-      r->s.size = shape->ranks;
-      r->s.epoch = 1;
-      r->s.open = TRUE;
-      r->counts = g_new0 (gint64, (gsize)shape->sets * shape->experts);
+      g_strlcpy (r->status.group, "g0", sizeof r->status.group);
+      r->status.rank = i;
+      r->status.size = shape->ranks;
+      r->status.epoch = 1;
+      r->status.open = TRUE;
+      r->expert_counts = g_new0 (gint64, (gsize)shape->sets * shape->experts);
       TAILQ_INIT (&r->streams);
-      ev_timer_init (&r->copy, on_copied, 0, 0);
-      r->copy.data = r;
+      ev_timer_init (&r->copy_timer, on_copy_done, 0, 0);
+      r->copy_timer.data = r;
     }
-  ev_timer_init (&g->pass, on_pass, 0, 0);
-  g->pass.data = g;
+  ev_timer_init (&g->pass_timer, on_pass_end, 0, 0);
+  g->pass_timer.data = g;
   return g;
 }
--- a/standins/fake-group.h
+++ b/standins/fake-group.h
@@ -6,55 +6,62 @@
 
 #include <sys/queue.h>
 
-/** FakeStream: a stream that a rank writes; embedded in the rank's own. */
+/** FakeStream: an event stream that a rank writes, an event each pass. */
 typedef struct FakeStream FakeStream;
 
 struct FakeStream
 {
   TAILQ_ENTRY (FakeStream) link;
-  FakeConn *c;
+  FakeConn *conn;
   int next_event;
   int last_event;
-  gboolean begun;
-  char *head;      /**< the answer's header lines */
-  int cut_after;   /**< breaks off in the middle of this event; -1: not */
-  int idle_passes; /**< passes that it does not write in yet */
+  gboolean is_begun;   /**< the head of the answer was sent */
+  char *headers;       /**< header lines of the answer */
+  int cut_event;       /**< resets the connection half-way through this event;
+                            -1: never */
+  int passes_to_start; /**< passes until it writes its first event */
 };
 
-/** FakeRank: one rank's part of the group. */
+/** FakeRank: the state of one rank of the group. */
 typedef struct
 {
-  CfRankStatus s;
-  gint64 armed_step;
-  gint64 had; /**< highest version it was told to prepare */
-  gint64 fence;
-  gint64 copying; /**< version being copied; 0: none */
-  ev_timer copy;
-  CfGroupMap *next; /**< the map of @copying or of s.prepared */
+  CfRankStatus status;
+  gint64 armed_step;      /**< pass that begins with the armed map */
+  gint64 highest_version; /**< of the maps it was told to prepare */
+  gint64 fence;           /**< highest fencing token of an order */
+  gint64 copying_version; /**< 0: none */
+  ev_timer copy_timer;
+  CfGroupMap *next_map; /**< of @copying_version or status.prepared */
   TAILQ_HEAD (, FakeStream) streams;
-  gint64 *counts; /**< sets x experts */
+  gint64 *expert_counts; /**< sets x experts; times each was chosen */
 } FakeRank;
 
+/** FakeGroup: a rank group, whose ranks make their passes together. */
 struct FakeGroup
 {
   struct ev_loop *loop;
   FakeGroupShape shape;
-  CfGroupMap *map; /**< in use: each rank switches its own rows */
+  CfGroupMap *map; /**< in use; a rank that switches replaces its own rows */
   FakeRank *ranks;
-  ev_timer pass;
-  double started; /**< on the loop's clock */
+  ev_timer pass_timer;
+  double start_s; /**< on the loop's clock */
   gint64 epoch;
-  guint64 mixed; /**< passes begun while two ranks had different maps */
-  guint64 passes;
-  double skew_sum;
+  guint64 n_mixed; /**< passes begun while two ranks had different maps */
+  guint64 n_passes;
+  double skew_sum; /**< of the skew, added up as each pass ends */
 };
 
-/** fake_group_handle_order: what a rank does with an order; the HTTP status. */
+/**
+ * fake_group_handle_order: carries out an order to @rank.
+ * @json: the body of the order, of @n bytes
+ * Returns: the HTTP status of the answer
+ */
 int fake_group_handle_order (FakeGroup *g, int rank, const char *json, gsize n);
 
-/** fake_group_restart_rank: the target of @rank started anew: the group forms
- * anew too, with its first map and nothing prepared, armed or held. */
+/** fake_group_restart_rank: simulates a restart of @rank.  The group forms
+ * anew under the next epoch, with map 0 and nothing prepared, armed or held. */
 void fake_group_restart_rank (FakeGroup *g, int rank);
 
-/** fake_group_start_passes: work came; passes begin if none is running. */
+/** fake_group_start_passes: starts the passes, for a new stream, unless they
+ * run already. */
 void fake_group_start_passes (FakeGroup *g);
--- a/standins/fake-http.c
+++ b/standins/fake-http.c
@@ -9,18 +9,18 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define HEAD_MAX 65536
-#define READ_SIZE 16384
+#define HEAD_MAX_BYTES 65536
+#define READ_BUFFER_BYTES 16384
 
-/** FakeListener: lives as long as the program. */
+/** FakeListener: never freed; it lives as long as the program. */
 struct FakeListener
 {
   struct ev_loop *loop;
   char *addr;
   ev_io io;
-  ev_timer back; /**< ends its absence */
-  FakeRequestHandler request;
-  void *data;
+  ev_timer reopen_timer; /**< reopens the address after a pause */
+  FakeRequestHandler handler;
+  void *handler_data; /**< first argument of @handler */
 };
 
 static void
@@ -28,29 +28,29 @@
 {
   cf_http_reader_clear (&c->reader);
   g_string_free (c->body, TRUE);
-  g_string_free (c->in, TRUE);
-  g_string_free (c->out, TRUE);
+  g_string_free (c->in_buf, TRUE);
+  g_string_free (c->out_buf, TRUE);
   g_free (c);
 }
 
 static void
-shut (FakeConn *c)
+close_conn (FakeConn *c)
 {
-  if (c->dead)
+  if (c->is_closed)
     return;
-  c->dead = TRUE;
+  c->is_closed = TRUE;
   ev_io_stop (c->loop, &c->io);
   close (c->io.fd);
-  if (c->work && c->gone)
-    c->gone (c);
-  if (!c->in_read)
+  if (c->pending && c->on_disconnect)
+    c->on_disconnect (c);
+  if (!c->in_io)
     free_conn (c);
 }
 
 static void
-want (FakeConn *c)
+update_io_events (FakeConn *c)
 {
-  int events = EV_READ | (c->out->len ? EV_WRITE : 0);
+  int events = EV_READ | (c->out_buf->len ? EV_WRITE : 0);
 
   if (events == c->io.events)
     return;
@@ -62,34 +62,36 @@
 static void
 flush (FakeConn *c)
 {
-  while (!c->dead && c->out->len)
+  while (!c->is_closed && c->out_buf->len)
     {
-      ssize_t n = send (c->io.fd, c->out->str, c->out->len, MSG_NOSIGNAL);
+      ssize_t n
+          = send (c->io.fd, c->out_buf->str, c->out_buf->len, MSG_NOSIGNAL);
 
       if (n < 0 && errno == EAGAIN)
         break;
       if (n <= 0)
         {
-          /* The next read ends the connection. */
-          g_string_truncate (c->out, 0);
+          /* The send failed; the next read closes the connection. */
+          g_string_truncate (c->out_buf, 0);
           break;
         }
-      g_string_erase (c->out, 0, n);
+      g_string_erase (c->out_buf, 0, n);
     }
-  if (!c->dead && c->out->len == 0 && c->close && !c->answering)
+  if (!c->is_closed && c->out_buf->len == 0 && c->close_after
+      && !c->is_answering)
     shutdown (c->io.fd, SHUT_WR);
-  if (!c->dead)
-    want (c);
+  if (!c->is_closed)
+    update_io_events (c);
 }
 
 static void
-next_request (FakeConn *c)
+finish_request (FakeConn *c)
 {
-  c->answering = FALSE;
-  c->work = NULL;
+  c->is_answering = FALSE;
+  c->pending = NULL;
   g_string_truncate (c->body, 0);
   cf_http_reader_next (&c->reader);
-  if (c->in->len)
+  if (c->in_buf->len)
     ev_feed_event (c->loop, &c->io, EV_READ);
 }
 
@@ -99,23 +101,23 @@
 {
   gsize len = n < 0 ? strlen (body) : (gsize)n;
 
-  c->close |= !cf_http_reader_keeps (&c->reader);
-  g_string_append_printf (c->out,
+  c->close_after |= !cf_http_reader_keeps (&c->reader);
+  g_string_append_printf (c->out_buf,
                           "HTTP/1.1 %d %s\r\n%s"
                           "Content-Length: %" G_GSIZE_FORMAT "\r\n%s\r\n",
                           status, http_status_str ((enum http_status)status),
                           headers ? headers : "", len,
-                          c->close ? "Connection: close\r\n" : "");
-  g_string_append_len (c->out, body, (gssize)len);
-  next_request (c);
+                          c->close_after ? "Connection: close\r\n" : "");
+  g_string_append_len (c->out_buf, body, (gssize)len);
+  finish_request (c);
   flush (c);
 }
 
 void
 fake_http_begin_chunked (FakeConn *c, int status, const char *headers)
 {
-  c->chunked = TRUE;
-  g_string_append_printf (c->out,
+  c->is_chunked = TRUE;
+  g_string_append_printf (c->out_buf,
                           "HTTP/1.1 %d %s\r\n%s"
                           "Transfer-Encoding: chunked\r\n\r\n",
                           status, http_status_str ((enum http_status)status),
@@ -126,35 +128,36 @@
 void
 fake_http_send_chunk (FakeConn *c, const char *data, gsize n)
 {
-  g_string_append_printf (c->out, "%zx\r\n", n);
-  g_string_append_len (c->out, data, (gssize)n);
-  g_string_append (c->out, "\r\n");
+  g_string_append_printf (c->out_buf, "%zx\r\n", n);
+  g_string_append_len (c->out_buf, data, (gssize)n);
+  g_string_append (c->out_buf, "\r\n");
   flush (c);
 }
 
 void
 fake_http_end_chunked (FakeConn *c)
 {
-  g_string_append (c->out, "0\r\n\r\n");
-  next_request (c);
+  g_string_append (c->out_buf, "0\r\n\r\n");
+  finish_request (c);
   flush (c);
 }
 
 void
 fake_http_send_raw (FakeConn *c, const char *data, gsize n)
 {
-  g_string_append_len (c->out, data, (gssize)n);
+  g_string_append_len (c->out_buf, data, (gssize)n);
   flush (c);
 }
 
 void
 fake_http_reset (FakeConn *c)
 {
-  const struct linger hard = { 1, 0 };
+  const struct linger abort_on_close = { 1, 0 };
 
-  setsockopt (c->io.fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
-  c->work = NULL;
-  shut (c);
+  setsockopt (c->io.fd, SOL_SOCKET, SO_LINGER, &abort_on_close,
+              sizeof abort_on_close);
+  c->pending = NULL;
+  close_conn (c);
 }
 
 static void
@@ -165,41 +168,42 @@
 
 static const CfHttpReaderCalls reader_calls = { NULL, on_body, NULL };
 
-/* Looked at before what came before it is read, as by a target whose VM stood
- * still meanwhile.  An orderly end may be that of a caller which only has
- * nothing more to say. */
+/* Whether the client reset the connection.  Checked before the bytes received
+ * ahead of the reset are read, so that they are dropped, as by a target whose
+ * VM was paused while they came.  An orderly close does not count, since the
+ * client may have shut down only its sending side. */
 static gboolean
-was_reset (const FakeConn *c)
+has_reset (const FakeConn *c)
 {
   return cf_socket_error (c->io.fd) != 0;
 }
 
 static void
-read_some (FakeConn *c)
+read_request (FakeConn *c)
 {
-  char buf[READ_SIZE];
-  ssize_t n = was_reset (c) ? 0 : recv (c->io.fd, buf, sizeof buf, 0);
+  char buf[READ_BUFFER_BYTES];
+  ssize_t n = has_reset (c) ? 0 : recv (c->io.fd, buf, sizeof buf, 0);
   gsize used;
 
   if (n == 0 || (n < 0 && errno != EAGAIN))
     {
-      shut (c);
+      close_conn (c);
       return;
     }
   if (n > 0)
-    g_string_append_len (c->in, buf, n);
-  if (c->answering || c->in->len == 0)
+    g_string_append_len (c->in_buf, buf, n);
+  if (c->is_answering || c->in_buf->len == 0)
     return;
-  if (!cf_http_reader_feed (&c->reader, c->in->str, c->in->len, &used))
+  if (!cf_http_reader_feed (&c->reader, c->in_buf->str, c->in_buf->len, &used))
     {
-      shut (c);
+      close_conn (c);
       return;
     }
-  g_string_erase (c->in, 0, (gssize)used);
+  g_string_erase (c->in_buf, 0, (gssize)used);
   if (!c->reader.is_complete)
     return;
-  c->answering = TRUE;
-  c->request (c->data, c);
+  c->is_answering = TRUE;
+  c->handler (c->handler_data, c);
 }
 
 static void
@@ -207,13 +211,13 @@
 {
   FakeConn *c = w->data;
 
-  c->in_read = TRUE;
+  c->in_io = TRUE;
   if (revents & EV_WRITE)
     flush (c);
-  if (!c->dead && (revents & EV_READ))
-    read_some (c);
-  c->in_read = FALSE;
-  if (c->dead)
+  if (!c->is_closed && (revents & EV_READ))
+    read_request (c);
+  c->in_io = FALSE;
+  if (c->is_closed)
     free_conn (c);
 }
 
@@ -228,12 +232,13 @@
     return;
   c = g_new0 (FakeConn, 1);
   c->loop = loop;
-  c->request = l->request;
-  c->data = l->data;
+  c->handler = l->handler;
+  c->handler_data = l->handler_data;
   c->body = g_string_new (NULL);
-  c->in = g_string_new (NULL);
-  c->out = g_string_new (NULL);
-  cf_http_reader_init (&c->reader, HTTP_REQUEST, &reader_calls, c, HEAD_MAX);
+  c->in_buf = g_string_new (NULL);
+  c->out_buf = g_string_new (NULL);
+  cf_http_reader_init (&c->reader, HTTP_REQUEST, &reader_calls, c,
+                       HEAD_MAX_BYTES);
   ev_io_init (&c->io, on_io, fd, EV_READ);
   c->io.data = c;
   ev_io_start (loop, &c->io);
@@ -255,36 +260,36 @@
 }
 
 static void
-on_back (struct ev_loop *loop, ev_timer *w, int revents)
+on_reopen (struct ev_loop *loop, ev_timer *w, int revents)
 {
   open_listener (w->data);
 }
 
 FakeListener *
-fake_http_listen (struct ev_loop *loop, const char *addr, FakeRequestHandler fn,
-                  void *data)
+fake_http_listen (struct ev_loop *loop, const char *addr,
+                  FakeRequestHandler handler, void *data)
 {
   FakeListener *l = g_new0 (FakeListener, 1);
 
   l->loop = loop;
   l->addr = g_strdup (addr);
-  l->request = fn;
-  l->data = data;
-  ev_timer_init (&l->back, on_back, 0, 0);
-  l->back.data = l;
+  l->handler = handler;
+  l->handler_data = data;
+  ev_timer_init (&l->reopen_timer, on_reopen, 0, 0);
+  l->reopen_timer.data = l;
   open_listener (l);
   return l;
 }
 
 void
-fake_http_close_listener (FakeListener *l, double s)
+fake_http_close_listener (FakeListener *l, double pause_s)
 {
-  if (ev_is_active (&l->back))
+  if (ev_is_active (&l->reopen_timer))
     return;
   ev_io_stop (l->loop, &l->io);
   close (l->io.fd);
-  ev_timer_set (&l->back, s, 0);
-  ev_timer_start (l->loop, &l->back);
+  ev_timer_set (&l->reopen_timer, pause_s, 0);
+  ev_timer_start (l->loop, &l->reopen_timer);
 }
 
 char *
--- a/standins/fake-http.h
+++ b/standins/fake-http.h
@@ -5,62 +5,73 @@
 #include <ev.h>
 
 /**
- * A small HTTP/1.1 server for the stand-ins, on the event loop: one request
- * at a time on a connection, answered at once, later, or in chunks.
+ * A small HTTP/1.1 server for the stand-ins, on the event loop.  A connection
+ * carries one request at a time, which is answered at once, later, or in
+ * chunks.
  */
 typedef struct FakeConn FakeConn;
 
-/** Called with each whole request; answer with the calls below. */
+/** FakeRequestHandler: called with each complete request, which it answers
+ * with the functions below, at once or later. */
 typedef void (*FakeRequestHandler) (void *data, FakeConn *c);
 
+/** FakeConn: a connection of the server and its current request. */
 struct FakeConn
 {
   struct ev_loop *loop;
   ev_io io;
   CfHttpReader reader;
-  GString *body;
-  GString *in;
-  GString *out;
-  FakeRequestHandler request;
-  void *data;
-  void *work; /**< what is being done for the request; set by the owner */
-  void (*gone) (FakeConn *c); /**< the caller left while @work was set */
-  gboolean answering;
-  gboolean chunked;
-  gboolean close;
-  gboolean in_read;
-  gboolean dead;
+  GString *body;    /**< the request's body */
+  GString *in_buf;  /**< received, not yet parsed */
+  GString *out_buf; /**< not yet sent */
+  FakeRequestHandler handler;
+  void *handler_data;                  /**< first argument of @handler */
+  void *pending;                       /**< the handler's state of a request
+                                            that it answers later */
+  void (*on_disconnect) (FakeConn *c); /**< called when the connection closes
+                                            while @pending is set */
+  gboolean is_answering;               /**< the handler has a request that is
+                                            not completely answered */
+  gboolean is_chunked;  /**< the current answer is sent in chunks */
+  gboolean close_after; /**< close after the current answer */
+  gboolean in_io;       /**< on_io() runs and frees the connection itself */
+  gboolean is_closed;
 };
 
-/** FakeListener: an address that is served. */
+/** FakeListener: an address that the server listens on. */
 typedef struct FakeListener FakeListener;
 
 /** fake_http_listen: serves @addr; exits the program if it cannot. */
 FakeListener *fake_http_listen (struct ev_loop *loop, const char *addr,
-                                FakeRequestHandler fn, void *data);
+                                FakeRequestHandler handler, void *data);
 
-/** fake_http_close_listener: refuses connections to its address for @s seconds.
- */
-void fake_http_close_listener (FakeListener *l, double s);
+/** fake_http_close_listener: refuses new connections to the listener's address
+ * for @pause_s seconds; open connections go on. */
+void fake_http_close_listener (FakeListener *l, double pause_s);
 
-/** fake_http_answer: a whole answer; @headers are lines, or %NULL. */
+/**
+ * fake_http_answer: sends a complete answer.
+ * @headers: (nullable): header lines, each with its CRLF
+ * @n: length of @body; -1 if it is a string
+ */
 void fake_http_answer (FakeConn *c, int status, const char *headers,
                        const char *body, gssize n);
 
-/** fake_http_begin_chunked: the head of an answer in chunks. */
+/** fake_http_begin_chunked: sends the head of an answer in chunks. */
 void fake_http_begin_chunked (FakeConn *c, int status, const char *headers);
 void fake_http_send_chunk (FakeConn *c, const char *data, gsize n);
 void fake_http_end_chunked (FakeConn *c);
 
-/** fake_http_send_raw: bytes as they are, for answers that are spoiled. */
+/** fake_http_send_raw: sends bytes unchanged, for malformed answers. */
 void fake_http_send_raw (FakeConn *c, const char *data, gsize n);
 
-/** fake_http_reset: ends the connection at once, with a reset. */
+/** fake_http_reset: closes the connection at once with a TCP reset, without a
+ * call of @on_disconnect. */
 void fake_http_reset (FakeConn *c);
 
-/** fake_http_query_param: (transfer full) (nullable): a parameter of the
- * target. */
+/** fake_http_query_param: (transfer full) (nullable): the value of the query
+ * parameter @name of the request. */
 char *fake_http_query_param (const FakeConn *c, const char *name);
 
-/** fake_http_has_path: whether the target's path is @path. */
+/** fake_http_has_path: whether the path of the request is @path. */
 gboolean fake_http_has_path (const FakeConn *c, const char *path);
--- a/standins/fake-store.c
+++ b/standins/fake-store.c
@@ -5,60 +5,61 @@
 #include <jansson.h>
 #include <string.h>
 
-/** How late a slow store answers. */
-#define SLOW_S 0.3
-/** Keys in one page of a range. */
-#define PAGE 50
+/** Delay of each answer in slow mode. */
+#define SLOW_DELAY_S 0.3
+/** Items in one page of a range. */
+#define PAGE_MAX_ITEMS 50
 
+/** Mode: how the store answers; fake-store.h names them as tests set them. */
 typedef enum
 {
   MODE_UP,
-  MODE_SILENT,
-  MODE_BUSY,
-  MODE_RESET,
-  MODE_SLOW,
-  MODE_SOME,
-  MODE_STALE,
+  MODE_SILENT, /**< does not answer */
+  MODE_BUSY,   /**< answers 503 */
+  MODE_RESET,  /**< resets the connection */
+  MODE_SLOW,   /**< answers after SLOW_DELAY_S */
+  MODE_SOME,   /**< answers 503 to every second call */
+  MODE_STALE,  /**< reports no changes to watches */
 } Mode;
 
-/** Item: a key as written, or as removed if it has no value. */
+/** Item: a revision of a key; without a value if it removed the key. */
 typedef struct
 {
   char *key;
-  char *value; /* base64 */
-  gint64 rev;
-  gint64 created; /* revision of the key's first writing */
+  char *value; /**< (nullable): base64 */
+  gint64 mod_rev;
+  gint64 create_rev; /**< revision that created the key */
 } Item;
 
-/** Waiter: a watch that waits for a change. */
+/** Watch: a watch call that waits for a change. */
 typedef struct
 {
-  FakeStore *s;
-  FakeConn *c;
+  FakeStore *store;
+  FakeConn *conn;
   char *prefix;
-  gint64 after;
-  ev_timer timer;
-} Waiter;
+  gint64 after_rev; /**< reports changes after this revision */
+  ev_timer timer;   /**< ends the wait without a change */
+} Watch;
 
 struct FakeStore
 {
   struct ev_loop *loop;
-  GTree *items;       /* key -> Item */
-  GPtrArray *history; /* of Item, by revision */
+  GTree *items;       /**< key -> Item; keys that exist now */
+  GPtrArray *history; /**< of Item, by revision */
   gint64 rev;
-  gint64 forgotten; /* changes up to here are not known any more */
-  GPtrArray *waiters;
+  gint64 compacted_rev; /**< the history begins after this revision */
+  GPtrArray *watches;   /**< of Watch */
   Mode mode;
-  guint calls;
+  guint n_calls; /**< counted in MODE_SOME */
 };
 
-/** Late: a call that a slow store has not looked at yet. */
+/** DelayedCall: a call that the store answers late, in slow mode. */
 typedef struct
 {
-  FakeStore *s;
-  FakeConn *c;
+  FakeStore *store;
+  FakeConn *conn;
   ev_timer timer;
-} Late;
+} DelayedCall;
 
 static void
 item_free (gpointer p)
@@ -71,28 +72,29 @@
 }
 
 static Item *
-item_new (const char *key, const char *base64, gint64 rev, gint64 created)
+item_new (const char *key, const char *base64, gint64 mod_rev,
+          gint64 create_rev)
 {
   Item *it = g_new0 (Item, 1);
 
   it->key = g_strdup (key);
   it->value = g_strdup (base64);
-  it->rev = rev;
-  it->created = created;
+  it->mod_rev = mod_rev;
+  it->create_rev = create_rev;
   return it;
 }
 
 static json_t *
-item_json (const Item *it)
+item_to_json (const Item *it)
 {
   json_t *o = json_object ();
 
   json_object_set_new (o, "key", json_string (it->key));
-  json_object_set_new (o, "rev", json_integer (it->rev));
+  json_object_set_new (o, "rev", json_integer (it->mod_rev));
   if (it->value)
     {
       json_object_set_new (o, "value", json_string (it->value));
-      json_object_set_new (o, "create-revision", json_integer (it->created));
+      json_object_set_new (o, "create-revision", json_integer (it->create_rev));
       json_object_set_new (o, "lease", json_integer (0));
     }
   else
@@ -110,9 +112,9 @@
   json_decref (o);
 }
 
-/* The changes under @prefix after @after. */
+/* The changes to keys with @prefix after revision @after_rev. */
 static json_t *
-changes (FakeStore *s, const char *prefix, gint64 after)
+changes_after (FakeStore *s, const char *prefix, gint64 after_rev)
 {
   json_t *events = json_array ();
 
@@ -120,8 +122,8 @@
     {
       const Item *it = s->history->pdata[i];
 
-      if (it->rev > after && g_str_has_prefix (it->key, prefix))
-        json_array_append_new (events, item_json (it));
+      if (it->mod_rev > after_rev && g_str_has_prefix (it->key, prefix))
+        json_array_append_new (events, item_to_json (it));
     }
   return events;
 }
@@ -136,115 +138,117 @@
   answer_json (c, o);
 }
 
+/* Whether a waiting watch is told of changes in the present mode. */
 static gboolean
-tells_news (const FakeStore *s)
+delivers_events (const FakeStore *s)
 {
   return s->mode == MODE_UP || s->mode == MODE_SLOW || s->mode == MODE_SOME;
 }
 
 static void
-end_waiter (Waiter *w)
+end_watch (Watch *w)
 {
-  ev_timer_stop (w->s->loop, &w->timer);
-  w->c->work = NULL;
-  g_ptr_array_remove (w->s->waiters, w);
+  ev_timer_stop (w->store->loop, &w->timer);
+  w->conn->pending = NULL;
+  g_ptr_array_remove (w->store->watches, w);
   g_free (w->prefix);
   g_free (w);
 }
 
 static void
-on_waited (struct ev_loop *loop, ev_timer *t, int revents)
+on_watch_timeout (struct ev_loop *loop, ev_timer *t, int revents)
 {
-  Waiter *w = t->data;
-  FakeStore *s = w->s;
-  FakeConn *c = w->c;
+  Watch *w = t->data;
+  FakeStore *s = w->store;
+  FakeConn *c = w->conn;
 
-  end_waiter (w);
-  if (tells_news (s) || s->mode == MODE_STALE)
+  end_watch (w);
+  if (delivers_events (s) || s->mode == MODE_STALE)
     answer_watch (s, c, json_array ());
 }
 
 static void
-on_gone (FakeConn *c)
+on_watch_disconnect (FakeConn *c)
 {
-  end_waiter (c->work);
+  end_watch (c->pending);
 }
 
 static void
-wake_waiters (FakeStore *s)
+notify_watches (FakeStore *s)
 {
-  for (guint i = 0; i < s->waiters->len;)
+  for (guint i = 0; i < s->watches->len;)
     {
-      Waiter *w = s->waiters->pdata[i];
-      json_t *events = changes (s, w->prefix, w->after);
-      FakeConn *c = w->c;
+      Watch *w = s->watches->pdata[i];
+      json_t *events = changes_after (s, w->prefix, w->after_rev);
+      FakeConn *c = w->conn;
 
-      if (json_array_size (events) == 0 || !tells_news (s))
+      if (json_array_size (events) == 0 || !delivers_events (s))
         {
           json_decref (events);
           i++;
           continue;
         }
-      end_waiter (w);
+      end_watch (w);
       answer_watch (s, c, events);
     }
 }
 
-/* @base64: (nullable): what stands for the bytes; NULL removes the key. */
+/* Writes a new revision of @key.  @base64: (nullable): the encoded value, not
+ * checked; NULL removes the key. */
 static void
-write_raw (FakeStore *s, const char *key, const char *base64)
+write_base64 (FakeStore *s, const char *key, const char *base64)
 {
   const Item *old = g_tree_lookup (s->items, key);
-  gint64 created = old ? old->created : s->rev + 1;
+  gint64 create_rev = old ? old->create_rev : s->rev + 1;
 
   s->rev++;
-  g_ptr_array_add (s->history, item_new (key, base64, s->rev, created));
+  g_ptr_array_add (s->history, item_new (key, base64, s->rev, create_rev));
   if (base64)
     g_tree_replace (s->items, g_strdup (key),
-                    item_new (key, base64, s->rev, created));
+                    item_new (key, base64, s->rev, create_rev));
   else
     g_tree_remove (s->items, key);
-  wake_waiters (s);
+  notify_watches (s);
 }
 
 static void
-write_item (FakeStore *s, const char *key, const char *value)
+write_value (FakeStore *s, const char *key, const char *value)
 {
   char *base64 = g_base64_encode ((const guchar *)value, strlen (value));
 
-  write_raw (s, key, base64);
+  write_base64 (s, key, base64);
   g_free (base64);
 }
 
 void
 fake_store_put (FakeStore *s, const char *key, const char *value)
 {
-  write_item (s, key, value);
+  write_value (s, key, value);
 }
 
-/** RangeCall: a range while its page is put together. */
+/** RangePage: one page of a range, as it is collected. */
 typedef struct
 {
   const char *prefix;
-  const char *after;
+  const char *after; /**< (nullable): begins after this key */
   json_t *items;
-  gboolean more;
-} RangeCall;
+  gboolean has_more;
+} RangePage;
 
 static gboolean
-add_to_page (gpointer key, gpointer value, gpointer data)
+add_item_to_page (gpointer key, gpointer value, gpointer data)
 {
-  RangeCall *r = data;
+  RangePage *r = data;
 
   if (!g_str_has_prefix (key, r->prefix)
       || (r->after && strcmp (key, r->after) <= 0))
     return FALSE;
-  if (json_array_size (r->items) == PAGE)
+  if (json_array_size (r->items) == PAGE_MAX_ITEMS)
     {
-      r->more = TRUE;
+      r->has_more = TRUE;
       return TRUE;
     }
-  json_array_append_new (r->items, item_json (value));
+  json_array_append_new (r->items, item_to_json (value));
   return FALSE;
 }
 
@@ -253,12 +257,12 @@
 {
   char *prefix = fake_http_query_param (c, "prefix");
   char *after = fake_http_query_param (c, "after");
-  RangeCall r = { prefix ? prefix : "", after, json_array (), FALSE };
+  RangePage r = { prefix ? prefix : "", after, json_array (), FALSE };
   json_t *o = json_object ();
 
-  g_tree_foreach (s->items, add_to_page, &r);
+  g_tree_foreach (s->items, add_item_to_page, &r);
   json_object_set_new (o, "items", r.items);
-  json_object_set_new (o, "has-more", json_boolean (r.more));
+  json_object_set_new (o, "has-more", json_boolean (r.has_more));
   json_object_set_new (o, "as-of", json_integer (s->rev));
   answer_json (c, o);
   g_free (prefix);
@@ -266,17 +270,17 @@
 }
 
 static void
-begin_watch (FakeStore *s, FakeConn *c)
+start_watch (FakeStore *s, FakeConn *c)
 {
   char *prefix = fake_http_query_param (c, "prefix");
   char *after = fake_http_query_param (c, "after");
-  char *wait = fake_http_query_param (c, "wait-ms");
-  gint64 from = after ? g_ascii_strtoll (after, NULL, 10) : 0;
+  char *wait_ms = fake_http_query_param (c, "wait-ms");
+  gint64 after_rev = after ? g_ascii_strtoll (after, NULL, 10) : 0;
   json_t *events = s->mode == MODE_STALE
                        ? json_array ()
-                       : changes (s, prefix ? prefix : "", from);
+                       : changes_after (s, prefix ? prefix : "", after_rev);
 
-  if (from < s->forgotten)
+  if (after_rev < s->compacted_rev)
     {
       json_decref (events);
       fake_http_answer (c, 410, NULL, "", 0);
@@ -285,24 +289,24 @@
     answer_watch (s, c, events);
   else
     {
-      Waiter *w = g_new0 (Waiter, 1);
+      Watch *w = g_new0 (Watch, 1);
 
       json_decref (events);
-      w->s = s;
-      w->c = c;
+      w->store = s;
+      w->conn = c;
       w->prefix = g_strdup (prefix ? prefix : "");
-      w->after = from;
-      c->work = w;
-      c->gone = on_gone;
-      ev_timer_init (&w->timer, on_waited,
-                     (wait ? g_ascii_strtod (wait, NULL) : 0) / 1000, 0);
+      w->after_rev = after_rev;
+      c->pending = w;
+      c->on_disconnect = on_watch_disconnect;
+      ev_timer_init (&w->timer, on_watch_timeout,
+                     (wait_ms ? g_ascii_strtod (wait_ms, NULL) : 0) / 1000, 0);
       w->timer.data = w;
       ev_timer_start (s->loop, &w->timer);
-      g_ptr_array_add (s->waiters, w);
+      g_ptr_array_add (s->watches, w);
     }
   g_free (prefix);
   g_free (after);
-  g_free (wait);
+  g_free (wait_ms);
 }
 
 static void
@@ -321,20 +325,20 @@
     s->mode = MODE_SOME;
   else if (g_strcmp0 (mode, "stale") == 0)
     s->mode = MODE_STALE;
-  wake_waiters (s);
+  notify_watches (s);
 }
 
 static void
-forget (FakeStore *s)
+compact_history (FakeStore *s)
 {
-  s->forgotten = s->rev;
+  s->compacted_rev = s->rev;
   g_ptr_array_set_size (s->history, 0);
-  while (s->waiters->len)
+  while (s->watches->len)
     {
-      Waiter *w = s->waiters->pdata[0];
-      FakeConn *c = w->c;
+      Watch *w = s->watches->pdata[0];
+      FakeConn *c = w->conn;
 
-      end_waiter (w);
+      end_watch (w);
       fake_http_reset (c);
     }
 }
@@ -350,87 +354,87 @@
   g_free (value);
 }
 
-/* The test's own calls; TRUE if it was one. */
+/* Handles a call under /test/; returns FALSE if @c carries another call. */
 static gboolean
-steer (FakeStore *s, FakeConn *c)
+handle_test_call (FakeStore *s, FakeConn *c)
 {
   char *key = fake_http_query_param (c, "key");
   char *mode = fake_http_query_param (c, "mode");
-  gboolean known = TRUE;
-  gboolean answered = FALSE;
+  gboolean is_test_call = TRUE;
+  gboolean is_answered = FALSE;
 
   if (fake_http_has_path (c, "/test/put") && key)
-    write_item (s, key, c->body->str);
+    write_value (s, key, c->body->str);
   else if (fake_http_has_path (c, "/test/get") && key)
     {
       answer_value (s, c, key);
-      answered = TRUE;
+      is_answered = TRUE;
     }
   else if (fake_http_has_path (c, "/test/put-raw") && key)
-    write_raw (s, key, c->body->str);
+    write_base64 (s, key, c->body->str);
   else if (fake_http_has_path (c, "/test/delete") && key)
-    write_raw (s, key, NULL);
+    write_base64 (s, key, NULL);
   else if (fake_http_has_path (c, "/test/mode"))
     set_mode (s, mode);
   else if (fake_http_has_path (c, "/test/forget"))
-    forget (s);
+    compact_history (s);
   else
-    known = FALSE;
-  if (known && !answered)
+    is_test_call = FALSE;
+  if (is_test_call && !is_answered)
     fake_http_answer (c, 200, NULL, "", 0);
   g_free (key);
   g_free (mode);
-  return known;
+  return is_test_call;
 }
 
 static void
-answer_call (FakeStore *s, FakeConn *c)
+answer_store_call (FakeStore *s, FakeConn *c)
 {
   if (fake_http_has_path (c, PF_PATH_RANGE))
     answer_range (s, c);
   else if (fake_http_has_path (c, PF_PATH_WATCH))
-    begin_watch (s, c);
+    start_watch (s, c);
   else
     fake_http_answer (c, 404, NULL, "", 0);
 }
 
 static void
-end_late (Late *l)
+end_delay (DelayedCall *call)
 {
-  ev_timer_stop (l->s->loop, &l->timer);
-  l->c->work = NULL;
-  g_free (l);
+  ev_timer_stop (call->store->loop, &call->timer);
+  call->conn->pending = NULL;
+  g_free (call);
 }
 
 static void
-on_late (struct ev_loop *loop, ev_timer *t, int revents)
+on_delay_over (struct ev_loop *loop, ev_timer *t, int revents)
 {
-  Late *l = t->data;
-  FakeStore *s = l->s;
-  FakeConn *c = l->c;
+  DelayedCall *call = t->data;
+  FakeStore *s = call->store;
+  FakeConn *c = call->conn;
 
-  end_late (l);
-  answer_call (s, c);
+  end_delay (call);
+  answer_store_call (s, c);
 }
 
 static void
-on_late_gone (FakeConn *c)
+on_delayed_disconnect (FakeConn *c)
 {
-  end_late (c->work);
+  end_delay (c->pending);
 }
 
 static void
-begin_late (FakeStore *s, FakeConn *c)
+delay_call (FakeStore *s, FakeConn *c)
 {
-  Late *l = g_new0 (Late, 1);
+  DelayedCall *call = g_new0 (DelayedCall, 1);
 
-  l->s = s;
-  l->c = c;
-  c->work = l;
-  c->gone = on_late_gone;
-  ev_timer_init (&l->timer, on_late, SLOW_S, 0);
-  l->timer.data = l;
-  ev_timer_start (s->loop, &l->timer);
+  call->store = s;
+  call->conn = c;
+  c->pending = call;
+  c->on_disconnect = on_delayed_disconnect;
+  ev_timer_init (&call->timer, on_delay_over, SLOW_DELAY_S, 0);
+  call->timer.data = call;
+  ev_timer_start (s->loop, &call->timer);
 }
 
 static void
@@ -438,20 +442,20 @@
 {
   FakeStore *s = data;
 
-  if (steer (s, c))
+  if (handle_test_call (s, c))
     return;
   switch (s->mode)
     {
     case MODE_UP:
     case MODE_STALE:
-      answer_call (s, c);
+      answer_store_call (s, c);
       break;
     case MODE_SLOW:
-      begin_late (s, c);
+      delay_call (s, c);
       break;
     case MODE_SOME:
-      if (s->calls++ % 2)
-        answer_call (s, c);
+      if (s->n_calls++ % 2)
+        answer_store_call (s, c);
       else
         fake_http_answer (c, 503, NULL, "", 0);
       break;
@@ -467,7 +471,7 @@
 }
 
 static gint
-by_text (gconstpointer a, gconstpointer b, gpointer unused)
+compare_keys (gconstpointer a, gconstpointer b, gpointer unused)
 {
   return strcmp (a, b);
 }
@@ -478,9 +482,9 @@
   FakeStore *s = g_new0 (FakeStore, 1);
 
   s->loop = loop;
-  s->items = g_tree_new_full (by_text, NULL, g_free, item_free);
+  s->items = g_tree_new_full (compare_keys, NULL, g_free, item_free);
   s->history = g_ptr_array_new_with_free_func (item_free);
-  s->waiters = g_ptr_array_new ();
+  s->watches = g_ptr_array_new ();
   fake_http_listen (loop, addr, on_request, s);
   return s;
 }
--- a/standins/fake-store.h
+++ b/standins/fake-store.h
@@ -3,24 +3,27 @@
 #include "fake-http.h"
 
 /**
- * The stand-in of the platform's metadata store: range in pages, watch,
- * revisions, a history that can be forgotten.  Tests steer it by calls of
- * their own under /test/:
+ * The stand-in of the platform's metadata store, with paged ranges, watches,
+ * revisions and a history that can be compacted.  Tests control it by calls
+ * under /test/:
  *
  *   POST /test/put?key=K        write the body under K
- *   POST /test/put-raw?key=K    the same, as the text that stands for the
- *                               bytes: it need not be base64
- *   GET /test/get?key=K         what was written
+ *   POST /test/put-raw?key=K    the same, but the body is stored as the base64
+ *                               text of the value and need not be valid base64
+ *   GET /test/get?key=K         the value of K
  *   POST /test/delete?key=K
- *   POST /test/mode?mode=M      up, silent, busy (503), reset, slow (each
- *                               answer 300 ms late), some (every second
- *                               call is refused), stale (ranges and watches
- *                               show nothing newer than now)
- *   POST /test/forget           drop the history; waiting watches are cut
+ *   POST /test/mode?mode=M      how the store answers from now on: up, silent
+ *                               (not at all), busy (503), reset, slow (each
+ *                               answer 300 ms late), some (503 to every second
+ *                               call), stale (a watch reports no changes,
+ * though its answer names the current revision; ranges are as in mode up) POST
+ * /test/forget           compact the history up to the current revision and
+ * reset the watches that wait
  */
 typedef struct FakeStore FakeStore;
 
 FakeStore *fake_store_new (struct ev_loop *loop, const char *addr);
 
-/** fake_store_put: as the operator or a target writes. */
+/** fake_store_put: writes @value under @key, as the operator or a target
+ * does. */
 void fake_store_put (FakeStore *s, const char *key, const char *value);
--- a/standins/fake-target.c
+++ b/standins/fake-target.c
@@ -119,7 +119,7 @@
   ev_timer_stop (w->t->loop, &w->timer);
   w->t->busy--;
   w->t->works = g_list_remove (w->t->works, w);
-  w->c->work = NULL;
+  w->c->pending = NULL;
   g_free (w->fault);
   g_free (w);
 }
@@ -127,7 +127,7 @@
 static void
 on_gone (FakeConn *c)
 {
-  Work *w = c->work;
+  Work *w = c->pending;
 
   w->t->n_gone++;
   end_work (w);
@@ -160,8 +160,8 @@
     {
       text = g_strdup_printf ("HTTP/1.1 200 OK\r\n%s\r\nunframed %s", headers,
                               t->id);
-      c->close = TRUE;
-      c->answering = FALSE;
+      c->close_after = TRUE;
+      c->is_answering = FALSE;
       fake_http_send_raw (c, text, strlen (text));
       g_free (text);
     }
@@ -228,8 +228,8 @@
   w->t = t;
   w->c = c;
   w->fault = fault;
-  c->work = w;
-  c->gone = on_gone;
+  c->pending = w;
+  c->on_disconnect = on_gone;
   t->busy++;
   t->works = g_list_prepend (t->works, w);
   ev_timer_init (&w->timer, on_worked, (double)t->work_ms / 1000, 0);
@@ -241,28 +241,28 @@
 static void
 end_stream (FakeConn *c)
 {
-  FakeStream *st = c->work;
-  FakeTarget *t = c->data;
+  FakeStream *st = c->pending;
+  FakeTarget *t = c->handler_data;
 
   TAILQ_REMOVE (&t->group->ranks[t->rank].streams, st, link);
-  t->group->ranks[t->rank].s.running--;
+  t->group->ranks[t->rank].status.running--;
   t->busy--;
-  g_free (st->head);
+  g_free (st->headers);
   g_free (st);
 }
 
 static void
 leave_hung (FakeConn *c)
 {
-  ((FakeTarget *)c->data)->busy--;
+  ((FakeTarget *)c->handler_data)->busy--;
 }
 
 /* A stream that the rank never begins, while its group goes on. */
 static void
 hang_stream (FakeTarget *t, FakeConn *c)
 {
-  c->work = t;
-  c->gone = leave_hung;
+  c->pending = t;
+  c->on_disconnect = leave_hung;
   t->busy++;
 }
 
@@ -274,20 +274,20 @@
   const char *after = cf_http_reader_header (&c->reader, CF_HDR_LAST_EVENT);
   const char *comma = size ? strchr (size, ',') : NULL;
 
-  st->c = c;
+  st->conn = c;
   st->next_event = after ? atoi (after) + 1 : 1;
   st->last_event
       = comma ? (atoi (comma + 1) + TOKENS_PER_EVENT - 1) / TOKENS_PER_EVENT
               : DEFAULT_EVENTS;
-  st->head = answer_headers (t, id, TRUE);
-  st->cut_after = g_strcmp0 (fault, "cut") == 0 ? st->next_event + 2 : -1;
+  st->headers = answer_headers (t, id, TRUE);
+  st->cut_event = g_strcmp0 (fault, "cut") == 0 ? st->next_event + 2 : -1;
   if (g_strcmp0 (fault, "tardy") == 0)
-    st->idle_passes = (int)(TARDY_MS / t->group->shape.step_ms);
+    st->passes_to_start = (int)(TARDY_MS / t->group->shape.step_ms);
   g_free (fault);
-  c->work = st;
-  c->gone = end_stream;
+  c->pending = st;
+  c->on_disconnect = end_stream;
   t->busy++;
-  t->group->ranks[t->rank].s.running++;
+  t->group->ranks[t->rank].status.running++;
   TAILQ_INSERT_TAIL (&t->group->ranks[t->rank].streams, st, link);
   fake_group_start_passes (t->group);
 }
@@ -377,7 +377,7 @@
 static void
 answer_report (FakeTarget *t, FakeConn *c)
 {
-  const CfRankStatus *s = &t->group->ranks[t->rank].s;
+  const CfRankStatus *s = &t->group->ranks[t->rank].status;
 
   answer_json (c, json_pack ("{s:s,s:[],s:b,s:i,s:I,s:I,s:{s:s,s:I,s:i,s:s},"
                              "s:i,s:I,s:I,s:I,s:I,s:I,s:I}",
@@ -409,10 +409,10 @@
         }
       json_array_append_new (sets, row);
     }
-  answer_json (c,
-               json_pack ("{s:{s:I,s:o},s:{s:I,s:[]}}", "map", "version",
-                          g->ranks[t->rank].s.map, "experts", sets, "prepared",
-                          "version", g->ranks[t->rank].s.prepared, "experts"));
+  answer_json (c, json_pack ("{s:{s:I,s:o},s:{s:I,s:[]}}", "map", "version",
+                             g->ranks[t->rank].status.map, "experts", sets,
+                             "prepared", "version",
+                             g->ranks[t->rank].status.prepared, "experts"));
 }
 
 static void
@@ -430,9 +430,10 @@
     }
   counts = json_array ();
   for (int i = 0; i < g->shape.sets * g->shape.experts; i++)
-    json_array_append_new (counts, json_integer (g->ranks[t->rank].counts[i]));
+    json_array_append_new (counts,
+                           json_integer (g->ranks[t->rank].expert_counts[i]));
   answer_json (c, json_pack ("{s:I,s:I,s:o,s:I}", "step",
-                             g->ranks[t->rank].s.step, "epoch", g->epoch,
+                             g->ranks[t->rank].status.step, "epoch", g->epoch,
                              "counts", counts, PF_FIELD_STARTED, t->born));
 }
 
@@ -447,11 +448,12 @@
 
   g_free (id);
   answer_json (
-      c, json_pack ("{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:f}", "runs", t->n_runs,
-                    "times", times, "doubled", t->n_doubled, "gone", t->n_gone,
-                    "late", t->n_late, "crashes", t->n_crashes, "mixed",
-                    g ? g->mixed : 0, "passes", g ? g->passes : 0, "skew",
-                    g && g->passes ? g->skew_sum / (double)g->passes : 0.0));
+      c,
+      json_pack ("{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:f}", "runs", t->n_runs,
+                 "times", times, "doubled", t->n_doubled, "gone", t->n_gone,
+                 "late", t->n_late, "crashes", t->n_crashes, "mixed",
+                 g ? g->n_mixed : 0, "passes", g ? g->n_passes : 0, "skew",
+                 g && g->n_passes ? g->skew_sum / (double)g->n_passes : 0.0));
 }
 
 static void
@@ -570,10 +572,10 @@
     }
   while (t->group && !TAILQ_EMPTY (&t->group->ranks[t->rank].streams))
     {
-      FakeConn *other = TAILQ_FIRST (&t->group->ranks[t->rank].streams)->c;
+      FakeConn *other = TAILQ_FIRST (&t->group->ranks[t->rank].streams)->conn;
 
       end_stream (other);
-      other->work = NULL;
+      other->pending = NULL;
       fake_http_reset (other);
     }
   if (c)
