--- a/standins/fake-group.c
+++ b/standins/fake-group.c
@@ -73,7 +73,8 @@
   r->status.armed = 0;
 }
 
-/* Sends the next event of @st, which is freed after its last one. */
+/* Sends the next event of @st, and frees @st after its last event or if the
+ * event is cut. */
 static void
 send_event (FakeRank *r, FakeStream *st)
 {
--- a/standins/fake-target.c
+++ b/standins/fake-target.c
@@ -7,19 +7,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Events of a stream whose request does not say how many tokens. */
-#define DEFAULT_EVENTS 8
-/** How long a tardy stream takes to begin. */
-#define TARDY_MS 1000
+/** Events of a stream whose request has no token count. */
+#define DEFAULT_STREAM_EVENTS 8
+/** Delay of the first event of a stream with the fault "tardy". */
+#define TARDY_START_MS 1000
 #define TOKENS_PER_EVENT 4
-/** A target that leaves gets no new work after this time. */
-#define DRAIN_S 2.0
-/** When an order that comes late is carried out. */
-#define LATE_ORDER_S 1.0
-/** How long a target that crashed is away. */
-#define DOWN_S 0.2
-/** By the clock, between a start and the next one. */
-#define RESTART_MS 1000
+/** A request that comes to a target later than this after it began to drain is
+ * counted as late. */
+#define DRAIN_GRACE_S 2.0
+/** Delay of an order under /test/late-orders. */
+#define ORDER_DELAY_S 1.0
+/** Time for which a target that crashed refuses connections. */
+#define CRASH_DOWNTIME_S 0.2
+/** How much later the start time of a restarted target is by default. */
+#define RESTART_INTERVAL_MS 1000
 
 struct FakeTarget
 {
@@ -29,48 +30,49 @@
   char *id;
   char *service;
   char *addr;
-  int slots;
-  int work_ms;
+  int slots;   /**< requests at once, as its record says; accepts twice this */
+  int work_ms; /**< time that a plain request takes */
   FakeGroup *group; /**< %NULL for a plain service */
   int rank;
   gboolean draining;
-  double drained; /**< since when, on the loop's clock */
-  gint64 born;    /**< Unix ms of its start */
-  int busy;
-  int late_tenths; /**< of its orders, those that come late */
-  gboolean mute;   /**< its orders are carried out without an answer */
+  double drain_start_s;     /**< on the loop's clock */
+  gint64 started_ms;        /**< Unix time at which this incarnation started */
+  int n_running;            /**< requests */
+  int delayed_order_tenths; /**< of ten orders, this many are delayed */
+  gboolean skips_order_answers; /**< carries out orders without an answer */
   int n_orders;
-  GList *works;  /**< of #Work: plain requests it works on */
-  char *limit;   /**< (nullable): requests a second, as its answers name it */
-  char *crasher; /**< (nullable): a request with this body crashes it */
+  GList *requests;  /**< of #PlainRequest: those that run now */
+  char *rate_limit; /**< (nullable): requests a second that answers carry */
+  char *crash_body; /**< (nullable): a request with this body crashes it */
   guint64 n_crashes;
-  char *fault; /**< what the next @fault_left requests meet */
-  int fault_left;
-  GHashTable *runs; /**< request id -> how often it ran */
+  char *fault; /**< kind of fault that the next @n_faults_left requests meet */
+  int n_faults_left;
+  GHashTable *run_counts; /**< request id -> how often it ran */
   guint64 n_runs;
-  guint64 n_doubled;
-  guint64 n_late; /**< came though it has been leaving for long */
-  guint64 n_gone; /**< callers that left while it worked */
+  guint64 n_repeated;     /**< request ids that ran more than once */
+  guint64 n_after_drain;  /**< came after DRAIN_GRACE_S of draining */
+  guint64 n_disconnected; /**< callers that left while their requests ran */
 };
 
-/** Work: a plain request being worked on. */
+/** PlainRequest: a request that a target of a plain service runs. */
 typedef struct
 {
-  FakeTarget *t;
-  FakeConn *c;
-  ev_timer timer;
-  char *fault;
-} Work;
+  FakeTarget *target;
+  FakeConn *conn;
+  ev_timer timer; /**< ends the work */
+  char *fault;    /**< (nullable): kind of fault that it meets */
+} PlainRequest;
 
+/* Writes the target's record to the store. */
 static void
-publish (FakeTarget *t)
+publish_record (FakeTarget *t)
 {
   char *key = g_strconcat (PF_KEY_TARGETS, t->id, NULL);
   json_t *o = json_pack ("{s:s,s:s,s:s,s:s,s:i,s:s,s:i,s:i,s:I}", "service",
                          t->service, "addr", t->addr, "zone", "dc1", "version",
                          "v1", "slots", t->slots, "state",
                          t->draining ? "draining" : "ready", "cold-left-ms", 0,
-                         "seq", 1, PF_FIELD_STARTED, t->born);
+                         "seq", 1, PF_FIELD_STARTED, t->started_ms);
   char *text = json_dumps (o, JSON_COMPACT);
 
   fake_store_put (t->store, key, text);
@@ -80,62 +82,66 @@
 }
 
 static char *
-answer_headers (const FakeTarget *t, const char *id, gboolean is_signed)
+make_answer_headers (const FakeTarget *t, const char *id, gboolean is_signed)
 {
   GString *h = g_string_new ("Keep-Alive: timeout=5\r\n");
 
   g_string_append_printf (h, PF_HDR_REQUEST_ID ": %s\r\n", id);
   if (is_signed)
     g_string_append_printf (h, PF_HDR_SIGNATURE ": %s\r\n", t->id);
-  if (t->limit)
-    g_string_append_printf (h, PF_HDR_SERVER_LIMIT ": %s\r\n", t->limit);
+  if (t->rate_limit)
+    g_string_append_printf (h, PF_HDR_SERVER_LIMIT ": %s\r\n", t->rate_limit);
   return g_string_free (h, FALSE);
 }
 
-/* Counts a run; the oracle of "at most once". */
+/* Counts a run of request @id.  Tests read the counts to check that a request
+ * runs at most once. */
 static void
 count_run (FakeTarget *t, const char *id)
 {
-  int n = GPOINTER_TO_INT (g_hash_table_lookup (t->runs, id)) + 1;
+  int n = GPOINTER_TO_INT (g_hash_table_lookup (t->run_counts, id)) + 1;
 
-  g_hash_table_replace (t->runs, g_strdup (id), GINT_TO_POINTER (n));
+  g_hash_table_replace (t->run_counts, g_strdup (id), GINT_TO_POINTER (n));
   t->n_runs++;
   if (n == 2)
-    t->n_doubled++;
+    t->n_repeated++;
 }
 
+/* (nullable) (transfer full): the kind of fault that the next request meets. */
 static char *
-take_fault (FakeTarget *t)
+next_fault (FakeTarget *t)
 {
-  if (t->fault_left <= 0)
+  if (t->n_faults_left <= 0)
     return NULL;
-  t->fault_left--;
+  t->n_faults_left--;
   return g_strdup (t->fault);
 }
 
 static void
-end_work (Work *w)
+end_plain_request (PlainRequest *req)
 {
-  ev_timer_stop (w->t->loop, &w->timer);
-  w->t->busy--;
-  w->t->works = g_list_remove (w->t->works, w);
-  w->c->pending = NULL;
-  g_free (w->fault);
-  g_free (w);
+  ev_timer_stop (req->target->loop, &req->timer);
+  req->target->n_running--;
+  req->target->requests = g_list_remove (req->target->requests, req);
+  req->conn->pending = NULL;
+  g_free (req->fault);
+  g_free (req);
 }
 
 static void
-on_gone (FakeConn *c)
+on_plain_disconnect (FakeConn *c)
 {
-  Work *w = c->pending;
+  PlainRequest *req = c->pending;
 
-  w->t->n_gone++;
-  end_work (w);
+  req->target->n_disconnected++;
+  end_plain_request (req);
 }
 
-/* The answer that a fault makes of a good one; TRUE if it was sent. */
+/* Sends an answer spoiled by @fault; returns FALSE, with nothing sent, if
+ * @fault leaves the answer as it is. */
 static gboolean
-spoil (FakeTarget *t, FakeConn *c, const char *fault, const char *headers)
+answer_with_fault (FakeTarget *t, FakeConn *c, const char *fault,
+                   const char *headers)
 {
   char *text;
 
@@ -176,8 +182,8 @@
   const char *id = cf_http_reader_header (&c->reader, CF_HDR_REQUEST_ID);
   const char *org = cf_http_reader_header (&c->reader, CF_HDR_ORG);
   gboolean is_signed = g_strcmp0 (fault, "unsigned") != 0;
-  char *headers = answer_headers (t, id, is_signed);
-  char *own = g_strdup (id);
+  char *headers = make_answer_headers (t, id, is_signed);
+  char *id_copy = g_strdup (id);
   char *body = g_strdup_printf (
       "%s %s %s org=%s key=%s body=%s", t->id,
       http_method_str (c->reader.parser.method),
@@ -185,18 +191,18 @@
       cf_http_reader_header (&c->reader, CF_HDR_API_KEY) ? "shown" : "hidden",
       c->body->str);
 
-  if (!spoil (t, c, fault, headers))
+  if (!answer_with_fault (t, c, fault, headers))
     fake_http_answer (c, 200, headers, body, -1);
   if (g_strcmp0 (fault, "extra") == 0)
     {
-      /* A second answer to a request already answered. */
-      char *again = g_strdup_printf (
+      /* A second answer to the same request. */
+      char *second_answer = g_strdup_printf (
           "HTTP/1.1 200 OK\r\n%sContent-Length: 5\r\n\r\nextra", headers);
 
-      fake_http_send_raw (c, again, strlen (again));
-      g_free (again);
+      fake_http_send_raw (c, second_answer, strlen (second_answer));
+      g_free (second_answer);
     }
-  g_free (own);
+  g_free (id_copy);
   g_free (headers);
   g_free (body);
 }
@@ -204,14 +210,14 @@
 static void crash (FakeTarget *t, FakeConn *c);
 
 static void
-on_worked (struct ev_loop *loop, ev_timer *timer, int revents)
+on_work_done (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  Work *w = timer->data;
-  FakeTarget *t = w->t;
-  FakeConn *c = w->c;
-  char *fault = g_steal_pointer (&w->fault);
+  PlainRequest *req = timer->data;
+  FakeTarget *t = req->target;
+  FakeConn *c = req->conn;
+  char *fault = g_steal_pointer (&req->fault);
 
-  end_work (w);
+  end_plain_request (req);
   if (g_strcmp0 (fault, "crash") == 0)
     crash (t, c);
   else
@@ -220,54 +226,55 @@
 }
 
 static void
-begin_plain (FakeTarget *t, FakeConn *c, char *fault)
+start_plain_request (FakeTarget *t, FakeConn *c, char *fault)
 {
-  Work *w = g_new0 (Work, 1);
-  gboolean hangs = g_strcmp0 (fault, "hang") == 0;
+  PlainRequest *req = g_new0 (PlainRequest, 1);
+  gboolean is_hung = g_strcmp0 (fault, "hang") == 0;
 
-  w->t = t;
-  w->c = c;
-  w->fault = fault;
-  c->pending = w;
-  c->on_disconnect = on_gone;
-  t->busy++;
-  t->works = g_list_prepend (t->works, w);
-  ev_timer_init (&w->timer, on_worked, (double)t->work_ms / 1000, 0);
-  w->timer.data = w;
-  if (!hangs)
-    ev_timer_start (t->loop, &w->timer);
+  req->target = t;
+  req->conn = c;
+  req->fault = fault;
+  c->pending = req;
+  c->on_disconnect = on_plain_disconnect;
+  t->n_running++;
+  t->requests = g_list_prepend (t->requests, req);
+  ev_timer_init (&req->timer, on_work_done, (double)t->work_ms / 1000, 0);
+  req->timer.data = req;
+  if (!is_hung)
+    ev_timer_start (t->loop, &req->timer);
 }
 
+/* Removes the stream of @c from its rank and frees it. */
 static void
-end_stream (FakeConn *c)
+remove_stream (FakeConn *c)
 {
   FakeStream *st = c->pending;
   FakeTarget *t = c->handler_data;
 
   TAILQ_REMOVE (&t->group->ranks[t->rank].streams, st, link);
   t->group->ranks[t->rank].status.running--;
-  t->busy--;
+  t->n_running--;
   g_free (st->headers);
   g_free (st);
 }
 
 static void
-leave_hung (FakeConn *c)
+on_hung_disconnect (FakeConn *c)
 {
-  ((FakeTarget *)c->handler_data)->busy--;
+  ((FakeTarget *)c->handler_data)->n_running--;
 }
 
-/* A stream that the rank never begins, while its group goes on. */
+/* Never answers the request, while the group of the rank goes on. */
 static void
-hang_stream (FakeTarget *t, FakeConn *c)
+hang_request (FakeTarget *t, FakeConn *c)
 {
   c->pending = t;
-  c->on_disconnect = leave_hung;
-  t->busy++;
+  c->on_disconnect = on_hung_disconnect;
+  t->n_running++;
 }
 
 static void
-begin_stream (FakeTarget *t, FakeConn *c, const char *id, char *fault)
+start_stream (FakeTarget *t, FakeConn *c, const char *id, char *fault)
 {
   FakeStream *st = g_new0 (FakeStream, 1);
   const char *size = cf_http_reader_header (&c->reader, CF_HDR_SIZE);
@@ -278,35 +285,37 @@
   st->next_event = after ? atoi (after) + 1 : 1;
   st->last_event
       = comma ? (atoi (comma + 1) + TOKENS_PER_EVENT - 1) / TOKENS_PER_EVENT
-              : DEFAULT_EVENTS;
-  st->headers = answer_headers (t, id, TRUE);
+              : DEFAULT_STREAM_EVENTS;
+  st->headers = make_answer_headers (t, id, TRUE);
   st->cut_event = g_strcmp0 (fault, "cut") == 0 ? st->next_event + 2 : -1;
   if (g_strcmp0 (fault, "tardy") == 0)
-    st->passes_to_start = (int)(TARDY_MS / t->group->shape.step_ms);
+    st->passes_to_start = (int)(TARDY_START_MS / t->group->shape.step_ms);
   g_free (fault);
   c->pending = st;
-  c->on_disconnect = end_stream;
-  t->busy++;
+  c->on_disconnect = remove_stream;
+  t->n_running++;
   t->group->ranks[t->rank].status.running++;
   TAILQ_INSERT_TAIL (&t->group->ranks[t->rank].streams, st, link);
   fake_group_start_passes (t->group);
 }
 
-/* @faulty: (nullable): the address of the target at fault. */
+/* Refuses a request that was not run.  @faulty: (nullable): the address of the
+ * target at fault. */
 static void
 refuse (FakeConn *c, const char *id, int status, const char *faulty)
 {
-  char *h = g_strdup_printf ("%s: %s\r\n%s: 1\r\n%s%s%s", PF_HDR_REQUEST_ID,
-                             id ? id : "-", PF_HDR_NOT_RUN,
-                             faulty ? PF_HDR_AT_SERVER ": " : "",
-                             faulty ? faulty : "", faulty ? "\r\n" : "");
+  char *headers = g_strdup_printf (
+      "%s: %s\r\n%s: 1\r\n%s%s%s", PF_HDR_REQUEST_ID, id ? id : "-",
+      PF_HDR_NOT_RUN, faulty ? PF_HDR_AT_SERVER ": " : "", faulty ? faulty : "",
+      faulty ? "\r\n" : "");
 
-  fake_http_answer (c, status, h, "", 0);
-  g_free (h);
+  fake_http_answer (c, status, headers, "", 0);
+  g_free (headers);
 }
 
+/* Refuses a request, or counts and runs it with the fault that it meets. */
 static void
-take_work (FakeTarget *t, FakeConn *c)
+handle_request (FakeTarget *t, FakeConn *c)
 {
   const char *id = cf_http_reader_header (&c->reader, CF_HDR_REQUEST_ID);
   const char *expect = cf_http_reader_header (&c->reader, CF_HDR_EXPECT_TARGET);
@@ -322,9 +331,9 @@
       fake_http_answer (c, 421, NULL, "", 0);
       return;
     }
-  fault = t->crasher && strcmp (t->crasher, c->body->str) == 0
+  fault = t->crash_body && strcmp (t->crash_body, c->body->str) == 0
               ? g_strdup ("crash")
-              : take_fault (t);
+              : next_fault (t);
   if (g_strcmp0 (fault, "broken") == 0)
     {
       refuse (c, id, 503, t->addr);
@@ -337,18 +346,18 @@
       g_free (fault);
       return;
     }
-  if (t->busy >= t->slots * 2 || g_strcmp0 (fault, "full") == 0)
+  if (t->n_running >= t->slots * 2 || g_strcmp0 (fault, "full") == 0)
     {
       refuse (c, id, 503, NULL);
       g_free (fault);
       return;
     }
   count_run (t, id);
-  if (t->draining && ev_now (t->loop) > t->drained + DRAIN_S)
-    t->n_late++;
+  if (t->draining && ev_now (t->loop) > t->drain_start_s + DRAIN_GRACE_S)
+    t->n_after_drain++;
   if (t->group && g_strcmp0 (fault, "hang") == 0)
     {
-      hang_stream (t, c);
+      hang_request (t, c);
       g_free (fault);
     }
   else if (t->group && g_strcmp0 (fault, "crash") == 0)
@@ -357,12 +366,12 @@
       g_free (fault);
     }
   else if (t->group)
-    begin_stream (t, c, id, fault);
+    start_stream (t, c, id, fault);
   else
-    begin_plain (t, c, fault);
+    start_plain_request (t, c, fault);
 }
 
-/* What a rank tells of itself */
+/* Reports of a rank */
 
 static void
 answer_json (FakeConn *c, json_t *o)
@@ -387,11 +396,11 @@
                              "rank", s->rank, "state", "open", "size", s->size,
                              "step", s->step, "map", s->map, "prepared",
                              s->prepared, "armed", s->armed, "held", s->held,
-                             PF_FIELD_STARTED, t->born));
+                             PF_FIELD_STARTED, t->started_ms));
 }
 
 static void
-answer_lists (FakeTarget *t, FakeConn *c)
+answer_expert_lists (FakeTarget *t, FakeConn *c)
 {
   FakeGroup *g = t->group;
   json_t *sets = json_array ();
@@ -416,7 +425,7 @@
 }
 
 static void
-answer_picked (FakeTarget *t, FakeConn *c)
+answer_expert_counts (FakeTarget *t, FakeConn *c)
 {
   FakeGroup *g = t->group;
   char *lists = fake_http_query_param (c, "lists");
@@ -425,46 +434,49 @@
   if (lists)
     {
       g_free (lists);
-      answer_lists (t, c);
+      answer_expert_lists (t, c);
       return;
     }
   counts = json_array ();
   for (int i = 0; i < g->shape.sets * g->shape.experts; i++)
     json_array_append_new (counts,
                            json_integer (g->ranks[t->rank].expert_counts[i]));
-  answer_json (c, json_pack ("{s:I,s:I,s:o,s:I}", "step",
-                             g->ranks[t->rank].status.step, "epoch", g->epoch,
-                             "counts", counts, PF_FIELD_STARTED, t->born));
+  answer_json (c,
+               json_pack ("{s:I,s:I,s:o,s:I}", "step",
+                          g->ranks[t->rank].status.step, "epoch", g->epoch,
+                          "counts", counts, PF_FIELD_STARTED, t->started_ms));
 }
 
-/* The test's own calls */
+/* Calls under /test/ */
 
 static void
-answer_runs (FakeTarget *t, FakeConn *c)
+answer_run_counters (FakeTarget *t, FakeConn *c)
 {
   const FakeGroup *g = t->group;
   char *id = fake_http_query_param (c, "id");
-  gint64 times = id ? GPOINTER_TO_INT (g_hash_table_lookup (t->runs, id)) : 0;
+  gint64 times
+      = id ? GPOINTER_TO_INT (g_hash_table_lookup (t->run_counts, id)) : 0;
 
   g_free (id);
   answer_json (
       c,
       json_pack ("{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:f}", "runs", t->n_runs,
-                 "times", times, "doubled", t->n_doubled, "gone", t->n_gone,
-                 "late", t->n_late, "crashes", t->n_crashes, "mixed",
-                 g ? g->n_mixed : 0, "passes", g ? g->n_passes : 0, "skew",
+                 "times", times, "doubled", t->n_repeated, "gone",
+                 t->n_disconnected, "late", t->n_after_drain, "crashes",
+                 t->n_crashes, "mixed", g ? g->n_mixed : 0, "passes",
+                 g ? g->n_passes : 0, "skew",
                  g && g->n_passes ? g->skew_sum / (double)g->n_passes : 0.0));
 }
 
 static void
-answer_ran (FakeTarget *t, FakeConn *c)
+answer_run_ids (FakeTarget *t, FakeConn *c)
 {
   json_t *ids = json_object ();
   GHashTableIter it;
   gpointer id;
   gpointer times;
 
-  g_hash_table_iter_init (&it, t->runs);
+  g_hash_table_iter_init (&it, t->run_counts);
   while (g_hash_table_iter_next (&it, &id, &times))
     json_object_set_new (ids, id, json_integer (GPOINTER_TO_INT (times)));
   answer_json (c, ids);
@@ -477,70 +489,75 @@
 
   g_free (t->fault);
   t->fault = fake_http_query_param (c, "kind");
-  t->fault_left = x ? atoi (x) : 1;
+  t->n_faults_left = x ? atoi (x) : 1;
   g_free (x);
   fake_http_answer (c, 200, NULL, "", 0);
 }
 
-/** LateOrder: an order that a rank has not looked at yet. */
+/** DelayedOrder: an order that a rank carries out later. */
 typedef struct
 {
-  FakeTarget *t;
+  FakeTarget *target;
   ev_timer timer;
   GString *body;
-} LateOrder;
+} DelayedOrder;
 
 static void
-on_late_order (struct ev_loop *loop, ev_timer *timer, int revents)
+on_order_delay_over (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  LateOrder *o = timer->data;
+  DelayedOrder *o = timer->data;
 
-  fake_group_handle_order (o->t->group, o->t->rank, o->body->str, o->body->len);
+  fake_group_handle_order (o->target->group, o->target->rank, o->body->str,
+                           o->body->len);
   g_string_free (o->body, TRUE);
   g_free (o);
 }
 
-/* Three of ten in a row would be too regular: multiples of 7 spread them. */
+/* Whether the next order is delayed.  Multiples of 7 modulo 10 spread the
+ * delayed orders over each ten; three in a row, say, would be too regular. */
 static gboolean
-comes_late (FakeTarget *t)
+is_next_order_delayed (FakeTarget *t)
 {
-  return t->n_orders++ * 7 % 10 < t->late_tenths;
+  return t->n_orders++ * 7 % 10 < t->delayed_order_tenths;
 }
 
 static void
-take_order (FakeTarget *t, FakeConn *c)
+handle_order (FakeTarget *t, FakeConn *c)
 {
-  LateOrder *o;
+  DelayedOrder *o;
   int status;
 
-  if (!comes_late (t))
+  if (!is_next_order_delayed (t))
     {
       status = fake_group_handle_order (t->group, t->rank, c->body->str,
                                         c->body->len);
-      if (!t->mute)
+      if (!t->skips_order_answers)
         fake_http_answer (c, status, NULL, "", 0);
       return;
     }
-  o = g_new0 (LateOrder, 1);
-  o->t = t;
+  o = g_new0 (DelayedOrder, 1);
+  o->target = t;
   o->body = g_string_new_len (c->body->str, (gssize)c->body->len);
-  ev_timer_init (&o->timer, on_late_order, LATE_ORDER_S, 0);
+  ev_timer_init (&o->timer, on_order_delay_over, ORDER_DELAY_S, 0);
   o->timer.data = o;
   ev_timer_start (t->loop, &o->timer);
 }
 
-/* What a plain target works on is never answered; on_gone() ends it. */
+/* Leaves the running requests of a plain service without an answer; each ends
+ * in on_plain_disconnect(). */
 static void
-fall_silent (FakeTarget *t)
+silence_plain_requests (FakeTarget *t)
 {
-  for (GList *l = t->works; l; l = l->next)
-    ev_timer_stop (t->loop, &((Work *)l->data)->timer);
+  for (GList *l = t->requests; l; l = l->next)
+    ev_timer_stop (t->loop, &((PlainRequest *)l->data)->timer);
 }
 
+/* Simulates a restart of the process, with a start time that is @later_ms after
+ * the last one. */
 static void
-start_anew (FakeTarget *t, gboolean same_id, int later_ms)
+restart_process (FakeTarget *t, gboolean same_id, int later_ms)
 {
-  t->born += later_ms;
+  t->started_ms += later_ms;
   if (!same_id)
     {
       char *old = t->id;
@@ -551,46 +568,46 @@
   else if (t->group)
     fake_group_restart_rank (t->group, t->rank);
   else
-    fall_silent (t);
+    silence_plain_requests (t);
   t->draining = FALSE;
-  publish (t);
+  publish_record (t);
 }
 
-/* The process ends, and with it all that it works on, also for @c (nullable);
- * it starts anew under another id. */
+/* Simulates a crash: resets the connections of all running requests and @c
+ * (nullable), and restarts under another id. */
 static void
 crash (FakeTarget *t, FakeConn *c)
 {
   t->n_crashes++;
-  while (t->works)
+  while (t->requests)
     {
-      Work *w = t->works->data;
-      FakeConn *other = w->c;
+      PlainRequest *req = t->requests->data;
+      FakeConn *other = req->conn;
 
-      end_work (w);
+      end_plain_request (req);
       fake_http_reset (other);
     }
   while (t->group && !TAILQ_EMPTY (&t->group->ranks[t->rank].streams))
     {
       FakeConn *other = TAILQ_FIRST (&t->group->ranks[t->rank].streams)->conn;
 
-      end_stream (other);
+      remove_stream (other);
       other->pending = NULL;
       fake_http_reset (other);
     }
   if (c)
     fake_http_reset (c);
-  fake_http_close_listener (t->listener, DOWN_S);
-  start_anew (t, FALSE, RESTART_MS);
+  fake_http_close_listener (t->listener, CRASH_DOWNTIME_S);
+  restart_process (t, FALSE, RESTART_INTERVAL_MS);
 }
 
 static void
-restart (FakeTarget *t, FakeConn *c)
+handle_restart (FakeTarget *t, FakeConn *c)
 {
   char *same = fake_http_query_param (c, "same");
   char *later = fake_http_query_param (c, "later-ms");
 
-  start_anew (t, same != NULL, later ? atoi (later) : RESTART_MS);
+  restart_process (t, same != NULL, later ? atoi (later) : RESTART_INTERVAL_MS);
   g_free (same);
   g_free (later);
 }
@@ -601,15 +618,15 @@
   FakeTarget *t = data;
 
   if (fake_http_has_path (c, "/test/runs"))
-    answer_runs (t, c);
+    answer_run_counters (t, c);
   else if (fake_http_has_path (c, "/test/ran"))
-    answer_ran (t, c);
+    answer_run_ids (t, c);
   else if (fake_http_has_path (c, "/test/fault"))
     set_fault (t, c);
   else if (fake_http_has_path (c, "/test/crasher"))
     {
-      g_free (t->crasher);
-      t->crasher = g_strdup (c->body->str);
+      g_free (t->crash_body);
+      t->crash_body = g_strdup (c->body->str);
       fake_http_answer (c, 200, NULL, "", 0);
     }
   else if (fake_http_has_path (c, "/test/crash"))
@@ -619,43 +636,43 @@
     }
   else if (fake_http_has_path (c, "/test/limit"))
     {
-      g_free (t->limit);
-      t->limit = fake_http_query_param (c, "per-s");
+      g_free (t->rate_limit);
+      t->rate_limit = fake_http_query_param (c, "per-s");
       fake_http_answer (c, 200, NULL, "", 0);
     }
   else if (fake_http_has_path (c, "/test/drain"))
     {
       t->draining = TRUE;
-      t->drained = ev_now (t->loop);
-      publish (t);
+      t->drain_start_s = ev_now (t->loop);
+      publish_record (t);
       fake_http_answer (c, 200, NULL, "", 0);
     }
   else if (fake_http_has_path (c, "/test/restart"))
     {
-      restart (t, c);
+      handle_restart (t, c);
       fake_http_answer (c, 200, NULL, "", 0);
     }
   else if (t->group && fake_http_has_path (c, PF_PATH_REPORT))
     answer_report (t, c);
   else if (t->group && fake_http_has_path (c, PF_PATH_PICKED))
-    answer_picked (t, c);
+    answer_expert_counts (t, c);
   else if (t->group && fake_http_has_path (c, PF_PATH_ORDER))
-    take_order (t, c);
+    handle_order (t, c);
   else if (fake_http_has_path (c, "/test/late-orders"))
     {
       char *tenths = fake_http_query_param (c, "tenths");
 
-      t->late_tenths = tenths ? atoi (tenths) : 0;
+      t->delayed_order_tenths = tenths ? atoi (tenths) : 0;
       g_free (tenths);
       fake_http_answer (c, 200, NULL, "", 0);
     }
   else if (fake_http_has_path (c, "/test/mute-orders"))
     {
-      t->mute = TRUE;
+      t->skips_order_answers = TRUE;
       fake_http_answer (c, 200, NULL, "", 0);
     }
   else
-    take_work (t, c);
+    handle_request (t, c);
 }
 
 static FakeTarget *
@@ -670,8 +687,8 @@
   t->service = g_strdup (service);
   t->addr = g_strdup (addr);
   t->slots = slots;
-  t->born = g_get_real_time () / 1000;
-  t->runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  t->started_ms = g_get_real_time () / 1000;
+  t->run_counts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   t->listener = fake_http_listen (loop, addr, on_request, t);
   return t;
 }
@@ -684,7 +701,7 @@
   FakeTarget *t = new_target (loop, store, id, service, addr, slots);
 
   t->work_ms = work_ms;
-  publish (t);
+  publish_record (t);
   return t;
 }
 
@@ -697,6 +714,6 @@
 
   t->group = g;
   t->rank = rank;
-  publish (t);
+  publish_record (t);
   return t;
 }
--- a/standins/fake-target.h
+++ b/standins/fake-target.h
@@ -4,69 +4,93 @@
 
 /**
  * The stand-in of a target: a plain service, or a rank of a model engine's
- * group.  It signs its answers, keeps count of what it ran, and can be told
- * to misbehave.  Tests steer it under /test/:
+ * rank group.  It signs its answers, counts the requests that it runs, and
+ * misbehaves on demand.  Tests control it by calls under /test/:
  *
- * POST /test/fault?kind=K&x=N: the next N requests meet fault K: full,
- * broken (names itself at fault, as a rank whose group is not open does),
- * moved (421, naming itself, as a start at an address reused), fail, lost
- * (run, then reset), truncate, garbage, extra (a second answer),
- * unsigned, unframed, hang, cut (a stream, in an event).
+ * POST /test/fault?kind=K&x=N: the next N requests meet fault K:
+ *   full      refused with 503, as by a target without free slots
+ *   broken    refused with 503; the answer names this target as the one at
+ *             fault, as a rank does whose group is not open
+ *   moved     refused with 421 and this target's address, as by another
+ *             incarnation that took over the address
+ *   fail      answered 500
+ *   lost      run, then the connection is reset
+ *   truncate  the connection is reset within the answer
+ *   garbage   answered with bytes that are not HTTP
+ *   extra     a second answer follows the first
+ *   unsigned  answered without a signature
+ *   unframed  answered without a length; the end of the connection ends it
+ *   hang      never answered
+ *   cut       a stream is reset in the middle of an event
+ *   tardy     a stream begins 1 s late
+ *   crash     the target crashes, as by /test/crash
+ * A rank runs requests normally under a kind that is only for plain services
+ * (from fail to unframed); a plain service does so under cut and tardy.
  *
- * POST /test/crasher: a request with the body of this call crashes the target
- * that runs it: all its work is reset, and it starts anew under another id.
+ * POST /test/crasher: from now on a request with the body of this call crashes
+ * the target that runs it: all its connections in use are reset, and it
+ * restarts under another id.
  *
  * POST /test/crash: it crashes now, in the same way.
  *
- * POST /test/limit?per-s=X: its answers name a limit of X requests a second
- * from now on; without X, none.
+ * POST /test/limit?per-s=X: from now on its answers carry a rate limit of X
+ * requests a second; without X, none.
  *
- * POST /test/late-orders?tenths=N: N in ten orders to a rank get no answer
+ * POST /test/late-orders?tenths=N: N of ten orders to a rank get no answer
  * and are carried out a second later.
  *
- * POST /test/mute-orders: orders to a rank are carried out, and get no answer.
+ * POST /test/mute-orders: orders to a rank are carried out but not answered.
  *
- * POST /test/drain: says that it leaves.
+ * POST /test/drain: its store record says that it is draining.
  *
- * POST /test/restart: starts anew under another id; the entry of the start
- * before stays listed, as after a crash.
+ * POST /test/restart: restarts under another id; the record of the previous
+ * incarnation stays in the store, as after a crash.
  *
- * POST /test/restart?same=1&later-ms=N: starts anew under its id, N ms after
- * the start before by the clock (N may be negative: the clock went back).
- * What it worked on goes silent, as on a VM that lost power; a rank forgets
- * all it held, and its group forms anew at once.
+ * POST /test/restart?same=1&later-ms=N: restarts under the same id, with a
+ * start time N ms after that of the previous incarnation (N may be negative:
+ * the clock was set back).  The running requests of a plain service get
+ * no answer, as from a VM that lost power; a rank loses its state except for
+ * its streams, and its group forms anew at once.
  *
- * GET /test/runs?id=ID: what it ran: runs, doubled (ids that ran again, also
- * after a restart under the same id), gone, late (work that came though it had
- * been leaving for 2 s), crashes, mixed, and how many times ID did.
+ * GET /test/runs?id=ID: counters: runs, doubled (ids that ran again, also
+ * after a restart under the same id), gone (callers that disconnected while
+ * their requests ran), late (requests that came though it had been draining
+ * for 2 s), crashes, mixed (passes begun while ranks had different maps),
+ * passes, skew (mean of the passes), and times (how often ID ran).
  *
  * GET /test/ran: each request id, and how often it ran.
  */
 typedef struct FakeTarget FakeTarget;
 typedef struct FakeGroup FakeGroup;
 
-/** fake_target_new_plain: a plain service at @addr that works @work_ms. */
+/**
+ * fake_target_new_plain: starts a target of a plain service at @addr.
+ * @slots: requests that it runs at once, as its store record says; it accepts
+ *   twice as many
+ * @work_ms: time that a request takes
+ */
 FakeTarget *fake_target_new_plain (struct ev_loop *loop, FakeStore *store,
                                    const char *id, const char *service,
                                    const char *addr, int slots, int work_ms);
 
-/** FakeGroupShape: the engine of a rank group. */
+/** FakeGroupShape: the size and the speed of a rank group. */
 typedef struct
 {
   int ranks;
   int sets;
-  int experts;
-  int places;
-  int spare;
-  double step_ms;    /**< a pass at even load */
-  double per_seq_ms; /**< added to it by each stream of a rank in the mean */
-  double copy_ms;    /**< for one expert */
-  double shift_s;    /**< other experts are in demand each so often; 0: never */
+  int experts;       /**< in a set */
+  int places;        /**< experts that a rank can hold of a set */
+  int spare;         /**< new experts a rank can take of a set in one change */
+  double step_ms;    /**< duration of a pass at even load, without streams */
+  double per_seq_ms; /**< added to it for each stream per rank, on average */
+  double copy_ms;    /**< time to copy one expert */
+  double shift_s;    /**< interval at which demand moves to other experts;
+                          0: it does not */
 } FakeGroupShape;
 
 FakeGroup *fake_group_new (struct ev_loop *loop, const FakeGroupShape *shape);
 
-/** fake_target_new_rank: rank @rank of @g at @addr. */
+/** fake_target_new_rank: starts the target of rank @rank of @g at @addr. */
 FakeTarget *fake_target_new_rank (struct ev_loop *loop, FakeStore *store,
                                   FakeGroup *g, int rank, const char *id,
                                   const char *service, const char *addr,
