--- a/standins/comfrey-callers.c
+++ b/standins/comfrey-callers.c
@@ -1,7 +1,7 @@
 /*
- * Callers of the gateways, for the demo and for trials by hand: a bounded
- * number of requests (streams, orders that run at most once, quotes), each
- * checked, and one closing line.
+ * Callers of the gateways, for the demo and for manual tests.  They send a
+ * given number of requests (streams, orders that may run at most once, and
+ * quotes), check each answer, and print one line with the totals.
  */
 #include "error.h"
 #include "gateway/event-stream.h"
@@ -15,32 +15,37 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Tries of a caller, the first one included. */
-#define TRIES_MAX 3
-/** Latencies of so many requests take 80 MB. */
-#define REQUESTS_MAX 10000000
-/** Each has a connection; more than most limits on descriptors allow. */
-#define CALLERS_MAX 10000
-#define DEADLINE_MS 5000
-/** A try is given up a second after its deadline: by then a gateway has
- * answered, so that nothing comes from one that is silent. */
-#define TRY_LIMIT_S (DEADLINE_MS / 1000.0 + 1)
-/** No gateway asks a caller to come back after its deadline. */
-#define RETRY_MAX_S (DEADLINE_MS / 1000.0)
+/** Attempts of a request, the first one included. */
+#define MAX_ATTEMPTS 3
+/** The latencies of this many requests take 80 MB. */
+#define MAX_REQUESTS 10000000
+/** Each caller has a connection; this is more than most limits on file
+ * descriptors allow. */
+#define MAX_CALLERS 10000
+#define REQUEST_DEADLINE_MS 5000
+/** An attempt is abandoned a second after its deadline: any gateway that still
+ * answers at all has answered by then. */
+#define ATTEMPT_TIMEOUT_S (REQUEST_DEADLINE_MS / 1000.0 + 1)
+/** Upper bound on Retry-After: no gateway asks a caller to retry after its
+ * deadline. */
+#define MAX_RETRY_AFTER_S (REQUEST_DEADLINE_MS / 1000.0)
 #define STREAM_EVENTS 12
 #define STREAM_TOKENS (STREAM_EVENTS * 4)
 
 static int n_requests = 400;
 static int n_callers = 16;
 static char **gateways;
-static char *key;
+static char *api_key;
 
-static const GOptionEntry entries[] = {
-  { "requests", 'n', 0, G_OPTION_ARG_INT, &n_requests, "Requests in all", "N" },
-  { "callers", 'c', 0, G_OPTION_ARG_INT, &n_callers, "Callers at once", "N" },
+static const GOptionEntry option_entries[] = {
+  { "requests", 'n', 0, G_OPTION_ARG_INT, &n_requests, "Number of requests",
+    "N" },
+  { "callers", 'c', 0, G_OPTION_ARG_INT, &n_callers,
+    "Number of concurrent callers", "N" },
   { "gateway", 'g', 0, G_OPTION_ARG_STRING_ARRAY, &gateways,
-    "A gateway's address; may be given again", "IP:PORT" },
-  { "key", 0, 0, G_OPTION_ARG_STRING, &key, "The callers' API key", "KEY" },
+    "Address of a gateway; can be repeated", "IP:PORT" },
+  { "key", 0, 0, G_OPTION_ARG_STRING, &api_key, "API key of the callers",
+    "KEY" },
   { NULL },
 };
 
@@ -50,75 +55,75 @@
   CLASS_ORDER,
   CLASS_QUOTE,
   N_CLASSES,
-} Class;
+} RequestClass;
 
-static const char *const paths[N_CLASSES]
+static const char *const class_paths[N_CLASSES]
     = { "/chat/a", "/order/a", "/quote/a" };
 
 /** Caller: sends one request after another. */
 typedef struct
 {
   int index;
-  Class class;
+  RequestClass class;
   char id[32];
-  int tries;
+  int n_attempts;
   gint64 start_ms;
   int status;
   gboolean is_signed;
-  double retry_s;
+  double retry_after_s; /**< as the last answer asks */
   CfEventStream events;
-  CfTarget *gateway; /**< of the last try */
-  CfUpstream *up;    /**< %NULL between tries */
-  int connect_errno; /**< why the last try has none; 0: it had one */
-  ev_timer pause;
-  ev_timer limit; /**< of a try */
+  CfTarget *gateway;    /**< of the last attempt */
+  CfUpstream *upstream; /**< connection of the attempt; %NULL between them */
+  int connect_errno; /**< why the last attempt got no connection; 0: it did */
+  ev_timer retry_timer;
+  ev_timer attempt_timer;
 } Caller;
 
 static struct ev_loop *loop;
-static CfTarget **targets;
-static guint n_targets;
-static int sent;
-static int running;
-static int answered;
-static int refused;
-static int lost;
-static int wrong;
-static GArray *latencies; /* of gint64, ms */
-static char last_loss[256];
-
-static void start (Caller *c);
-static void send_try (Caller *c);
+static CfTarget **gateway_targets;
+static guint n_gateways;
+static int n_started;
+static int n_running;
+static int n_answered;
+static int n_refused;
+static int n_lost;
+static int n_wrong;
+static GArray *latencies_ms; /* of gint64 */
+static char last_failure[256];
+
+static void start_request (Caller *c);
+static void send_attempt (Caller *c);
 
 static void
-finish (Caller *c)
+finish_request (Caller *c)
 {
   gint64 ms = cf_now_ms () - c->start_ms;
 
-  g_array_append_val (latencies, ms);
+  g_array_append_val (latencies_ms, ms);
   cf_event_stream_clear (&c->events);
-  running--;
-  start (c);
+  n_running--;
+  start_request (c);
 }
 
 static void
-lose (Caller *c, const char *why)
+fail_request (Caller *c, const char *why)
 {
-  lost++;
-  g_snprintf (last_loss, sizeof last_loss, "%s: %s", c->gateway->record.addr,
-              why);
-  finish (c);
+  n_lost++;
+  g_snprintf (last_failure, sizeof last_failure, "%s: %s",
+              c->gateway->record.addr, why);
+  finish_request (c);
 }
 
-/* The try is over; what follows may use its connection again. */
+/* Ends an attempt; the next one may reuse its connection. */
 static void
-end_try (Caller *c)
+end_attempt (Caller *c)
 {
-  ev_timer_stop (loop, &c->limit);
-  c->up = NULL;
+  ev_timer_stop (loop, &c->attempt_timer);
+  c->upstream = NULL;
 }
 
 static gboolean
-is_whole (const Caller *c)
+is_answer_complete (const Caller *c)
 {
   if (!c->is_signed)
     return FALSE;
@@ -132,7 +137,7 @@
 on_head (void *owner, const CfHttpReader *r)
 {
   Caller *c = owner;
-  const char *after = NULL;
+  const char *retry_after = NULL;
 
   c->status = (int)r->parser.status_code;
   c->is_signed = cf_http_reader_header (r, CF_HDR_SIGNATURE) != NULL;
@@ -141,11 +146,12 @@
       const CfHeader *h = &g_array_index (r->headers, CfHeader, i);
 
       if (g_ascii_strcasecmp (h->name, "Retry-After") == 0)
-        after = h->value;
+        retry_after = h->value;
     }
-  c->retry_s = after ? g_ascii_strtod (after, NULL) : 0;
-  /* Written so that what is no number is no pause. */
-  c->retry_s = c->retry_s > 0 ? MIN (c->retry_s, RETRY_MAX_S) : 0;
+  c->retry_after_s = retry_after ? g_ascii_strtod (retry_after, NULL) : 0;
+  /* Written so that NaN gives no delay, too. */
+  c->retry_after_s
+      = c->retry_after_s > 0 ? MIN (c->retry_after_s, MAX_RETRY_AFTER_S) : 0;
 }
 
 static void
@@ -167,115 +173,118 @@
   Caller *c = owner;
   char why[32];
 
-  end_try (c);
-  if (c->status == 503 && c->tries < TRIES_MAX)
+  end_attempt (c);
+  if (c->status == 503 && c->n_attempts < MAX_ATTEMPTS)
     {
-      ev_timer_set (&c->pause, c->retry_s, 0);
-      ev_timer_start (loop, &c->pause);
+      ev_timer_set (&c->retry_timer, c->retry_after_s, 0);
+      ev_timer_start (loop, &c->retry_timer);
       return;
     }
   if (c->status != 503 && c->status != 200)
     {
       g_snprintf (why, sizeof why, "status %d", c->status);
-      lose (c, why);
+      fail_request (c, why);
       return;
     }
   if (c->status == 503)
-    refused++;
-  else if (is_whole (c))
-    answered++;
+    n_refused++;
+  else if (is_answer_complete (c))
+    n_answered++;
   else
-    wrong++;
-  finish (c);
+    n_wrong++;
+  finish_request (c);
 }
 
 static void
 on_fail (void *owner, CfUpstreamFail f)
 {
-  end_try (owner);
-  lose (owner, cf_upstream_fail_name (f));
+  end_attempt (owner);
+  fail_request (owner, cf_upstream_fail_name (f));
 }
 
 static void
-on_limit (struct ev_loop *l, ev_timer *t, int revents)
+on_attempt_timeout (struct ev_loop *l, ev_timer *t, int revents)
 {
   Caller *c = t->data;
 
-  if (c->up)
-    cf_upstream_cancel (c->up);
-  end_try (c);
-  lose (c,
-        c->connect_errno ? g_strerror (c->connect_errno) : "no answer in time");
+  if (c->upstream)
+    cf_upstream_cancel (c->upstream);
+  end_attempt (c);
+  fail_request (c, c->connect_errno ? g_strerror (c->connect_errno)
+                                    : "no answer before the attempt timed out");
 }
 
-static const CfUpstreamCalls calls = { on_head, on_body, on_done, on_fail };
+static const CfUpstreamCalls upstream_callbacks
+    = { on_head, on_body, on_done, on_fail };
 
 static void
-send_try (Caller *c)
+send_attempt (Caller *c)
 {
-  GString *req = g_string_new (NULL);
+  GString *request = g_string_new (NULL);
 
-  c->gateway = targets[(guint)(c->index + c->tries) % n_targets];
-  c->tries++;
+  c->gateway = gateway_targets[(guint)(c->index + c->n_attempts) % n_gateways];
+  c->n_attempts++;
   c->status = 0;
   c->connect_errno = 0;
   g_snprintf (c->id, sizeof c->id, "%08x%08x", g_random_int (),
               g_random_int ());
-  g_string_printf (req,
+  g_string_printf (request,
                    "%s %s HTTP/1.1\r\nHost: demo.example\r\n"
                    "Comfreypost-Request-Id: %s\r\n"
                    "Comfreypost-Deadline-Ms: %d\r\n"
                    "Comfreypost-Token-Count: 100,%d\r\n"
                    "Authorization: Token %s\r\n%s\r\n",
-                   c->class == CLASS_QUOTE ? "GET" : "POST", paths[c->class],
-                   c->id, DEADLINE_MS, STREAM_TOKENS, key ? key : "key-museum",
+                   c->class == CLASS_QUOTE ? "GET" : "POST",
+                   class_paths[c->class], c->id, REQUEST_DEADLINE_MS,
+                   STREAM_TOKENS, api_key ? api_key : "key-museum",
                    c->class == CLASS_QUOTE ? "" : "Content-Length: 0\r\n");
-  c->up = cf_upstream_send (loop, c->gateway, req, c->id, FALSE, &calls, c);
-  if (c->up)
-    ev_timer_set (&c->limit, TRY_LIMIT_S, 0);
+  c->upstream = cf_upstream_send (loop, c->gateway, request, c->id, FALSE,
+                                  &upstream_callbacks, c);
+  if (c->upstream)
+    ev_timer_set (&c->attempt_timer, ATTEMPT_TIMEOUT_S, 0);
   else
     {
-      /* Counted in the loop's next turn: here the next request would begin
-       * on the stack of this one. */
+      /* Counted in the next iteration of the loop: if it were counted here, the
+       * next request would start on the stack of this one. */
       c->connect_errno = errno;
-      ev_timer_set (&c->limit, 0, 0);
+      ev_timer_set (&c->attempt_timer, 0, 0);
     }
-  ev_timer_start (loop, &c->limit);
+  ev_timer_start (loop, &c->attempt_timer);
 }
 
 static void
-on_pause (struct ev_loop *l, ev_timer *t, int revents)
+on_retry_timer (struct ev_loop *l, ev_timer *t, int revents)
 {
-  send_try (t->data);
+  send_attempt (t->data);
 }
 
 static void
-start (Caller *c)
+start_request (Caller *c)
 {
-  if (sent >= n_requests)
+  if (n_started >= n_requests)
     {
-      if (running == 0)
+      if (n_running == 0)
         ev_break (loop, EVBREAK_ALL);
       return;
     }
-  c->class = (Class)(sent++ % N_CLASSES);
-  running++;
-  c->tries = 0;
+  c->class = (RequestClass)(n_started++ % N_CLASSES);
+  n_running++;
+  c->n_attempts = 0;
   c->start_ms = cf_now_ms ();
   cf_event_stream_init (&c->events);
-  send_try (c);
+  send_attempt (c);
 }
 
-/* Returns FALSE after saying which address cannot be read. */
+/* Returns FALSE after printing which address cannot be parsed. */
 static gboolean
-make_targets (void)
+create_gateway_targets (void)
 {
-  n_targets = g_strv_length (gateways);
-  targets = g_new0 (CfTarget *, n_targets);
-  for (guint i = 0; i < n_targets; i++)
+  n_gateways = g_strv_length (gateways);
+  gateway_targets = g_new0 (CfTarget *, n_gateways);
+  for (guint i = 0; i < n_gateways; i++)
     {
-      targets[i] = cf_target_new_at (gateways[i]);
-      if (!targets[i])
+      gateway_targets[i] = cf_target_new_at (gateways[i]);
+      if (!gateway_targets[i])
         {
           fprintf (stderr, "comfrey-callers: %s\n", cf_last_error ());
           return FALSE;
@@ -285,7 +294,7 @@
 }
 
 static int
-by_value (gconstpointer a, gconstpointer b)
+compare_int64 (gconstpointer a, gconstpointer b)
 {
   gint64 x = *(const gint64 *)a;
   gint64 y = *(const gint64 *)b;
@@ -294,49 +303,49 @@
 }
 
 static gint64
-p99 (void)
+p99_latency_ms (void)
 {
-  g_array_sort (latencies, by_value);
-  return latencies->len
-             ? g_array_index (latencies, gint64, latencies->len * 99 / 100)
-             : 0;
+  g_array_sort (latencies_ms, compare_int64);
+  return latencies_ms->len ? g_array_index (latencies_ms, gint64,
+                                            latencies_ms->len * 99 / 100)
+                           : 0;
 }
 
 /* (nullable): what is wrong with the options. */
 static const char *
-options_fault (void)
+check_options (void)
 {
   if (!gateways)
     return "give --gateway IP:PORT";
-  if (n_requests < 1 || n_requests > REQUESTS_MAX)
-    return "give --requests from 1 to " G_STRINGIFY (REQUESTS_MAX);
-  if (n_callers < 1 || n_callers > CALLERS_MAX)
-    return "give --callers from 1 to " G_STRINGIFY (CALLERS_MAX);
+  if (n_requests < 1 || n_requests > MAX_REQUESTS)
+    return "give --requests from 1 to " G_STRINGIFY (MAX_REQUESTS);
+  if (n_callers < 1 || n_callers > MAX_CALLERS)
+    return "give --callers from 1 to " G_STRINGIFY (MAX_CALLERS);
   return NULL;
 }
 
 static gboolean
-read_options (int *argc, char ***argv)
+parse_options (int *argc, char ***argv)
 {
   GOptionContext *ctx = g_option_context_new (NULL);
   g_autoptr (GError) err = NULL;
-  const char *fault;
-  gboolean good;
+  const char *error;
+  gboolean is_parsed;
 
   g_option_context_set_summary (
       ctx, "Sends streams, orders and quotes to gateways and checks each "
            "answer.\nExit status: 0 if all were answered or refused, 1 if "
-           "any was lost or wrong, 2 for options that cannot be used.");
-  g_option_context_add_main_entries (ctx, entries, NULL);
-  good = g_option_context_parse (ctx, argc, argv, &err);
+           "any was lost or answered wrongly, 2 for invalid options.");
+  g_option_context_add_main_entries (ctx, option_entries, NULL);
+  is_parsed = g_option_context_parse (ctx, argc, argv, &err);
   g_option_context_free (ctx);
-  fault = good ? options_fault () : err->message;
-  if (good && *argc > 1)
+  error = is_parsed ? check_options () : err->message;
+  if (is_parsed && *argc > 1)
     fprintf (stderr, "comfrey-callers: unknown argument %s; see --help\n",
              (*argv)[1]);
-  else if (fault)
-    fprintf (stderr, "comfrey-callers: %s; see --help\n", fault);
-  return !fault && *argc == 1;
+  else if (error)
+    fprintf (stderr, "comfrey-callers: %s; see --help\n", error);
+  return !error && *argc == 1;
 }
 
 static Caller *
@@ -349,30 +358,31 @@
       Caller *c = &callers[i];
 
       c->index = i;
-      ev_timer_init (&c->pause, on_pause, 0, 0);
-      c->pause.data = c;
-      ev_timer_init (&c->limit, on_limit, 0, 0);
-      c->limit.data = c;
-      start (c);
+      ev_timer_init (&c->retry_timer, on_retry_timer, 0, 0);
+      c->retry_timer.data = c;
+      ev_timer_init (&c->attempt_timer, on_attempt_timeout, 0, 0);
+      c->attempt_timer.data = c;
+      start_request (c);
     }
   return callers;
 }
 
 static int
-report (void)
+print_report (void)
 {
   printf ("answered=%d refused=%d lost=%d wrong=%d p99_ms=%" G_GINT64_FORMAT
           "\n",
-          answered, refused, lost, wrong, p99 ());
-  if (lost)
-    fprintf (stderr, "comfrey-callers: %d lost, the last at %s\n", lost,
-             last_loss);
-  if (wrong)
-    fprintf (stderr, "comfrey-callers: %d answers are not whole\n", wrong);
-  return lost || wrong;
+          n_answered, n_refused, n_lost, n_wrong, p99_latency_ms ());
+  if (n_lost)
+    fprintf (stderr, "comfrey-callers: %d lost requests, last failure: %s\n",
+             n_lost, last_failure);
+  if (n_wrong)
+    fprintf (stderr, "comfrey-callers: %d incomplete or unsigned answers\n",
+             n_wrong);
+  return n_lost || n_wrong;
 }
 
-/* In place of libev's own, which aborts. */
+/* Replaces libev's own handler, which aborts the program. */
 static void
 on_loop_error (const char *what)
 {
@@ -386,18 +396,18 @@
   Caller *callers;
   int rc;
 
-  if (!read_options (&argc, &argv) || !make_targets ())
+  if (!parse_options (&argc, &argv) || !create_gateway_targets ())
     return 2;
   signal (SIGPIPE, SIG_IGN);
   ev_set_syserr_cb (on_loop_error);
   loop = ev_default_loop (0);
   if (!loop)
     on_loop_error ("no event loop");
-  latencies = g_array_new (FALSE, FALSE, sizeof (gint64));
+  latencies_ms = g_array_new (FALSE, FALSE, sizeof (gint64));
   callers = start_callers ();
   ev_run (loop, 0);
-  rc = report ();
-  g_array_unref (latencies);
+  rc = print_report ();
+  g_array_unref (latencies_ms);
   g_free (callers);
   return rc;
 }
--- a/standins/comfrey-fake-platform.c
+++ b/standins/comfrey-fake-platform.c
@@ -1,8 +1,8 @@
 /*
- * The platform on one loopback address, for the demo and the tests: the
- * metadata store with a first configuration, plain targets and the ranks of
- * one model engine.  Ports: the store's is --port, then the plain targets,
- * then the ranks.
+ * The stand-in of the platform, for the demo and the tests: the metadata store
+ * with an initial configuration, targets of a plain service, and the ranks of
+ * one model engine.  All listen on 127.0.0.1: the store at --port, the plain
+ * targets at the ports after it, and the ranks at the ports after those.
  */
 #include "fake-target.h"
 #include "platform/names.h"
@@ -20,24 +20,24 @@
 static double per_seq_ms = 0;
 static double copy_ms = 20;
 
-static const GOptionEntry entries[] = {
-  { "port", 0, 0, G_OPTION_ARG_INT, &port, "The store's port", "N" },
-  { "plain", 0, 0, G_OPTION_ARG_INT, &n_plain, "Plain targets", "N" },
-  { "ranks", 0, 0, G_OPTION_ARG_INT, &n_ranks, "Ranks of the engine", "N" },
-  { "work-ms", 0, 0, G_OPTION_ARG_INT, &work_ms, "Work of a plain request",
-    "MS" },
+static const GOptionEntry option_entries[] = {
+  { "port", 0, 0, G_OPTION_ARG_INT, &port, "Port of the store", "N" },
+  { "plain", 0, 0, G_OPTION_ARG_INT, &n_plain, "Number of plain targets", "N" },
+  { "ranks", 0, 0, G_OPTION_ARG_INT, &n_ranks, "Number of ranks", "N" },
+  { "work-ms", 0, 0, G_OPTION_ARG_INT, &work_ms,
+    "Time that a plain request takes", "MS" },
   { "copy-ms", 0, 0, G_OPTION_ARG_DOUBLE, &copy_ms,
-    "A rank's copy of one expert", "MS" },
-  { "step-ms", 0, 0, G_OPTION_ARG_DOUBLE, &step_ms, "A pass at even load",
-    "MS" },
+    "Time in which a rank copies one expert", "MS" },
+  { "step-ms", 0, 0, G_OPTION_ARG_DOUBLE, &step_ms,
+    "Duration of a pass at even load, without streams", "MS" },
   { "per-seq-ms", 0, 0, G_OPTION_ARG_DOUBLE, &per_seq_ms,
-    "Added to a pass by each stream of a rank, in the mean", "MS" },
+    "Added to a pass for each stream per rank, on average", "MS" },
   { "shift-s", 0, 0, G_OPTION_ARG_DOUBLE, &shift_s,
-    "Other experts are in demand each so often", "S" },
+    "Interval at which demand moves to other experts; 0: never", "S" },
   { NULL },
 };
 
-static const char first_config[]
+static const char initial_config[]
     = "{\"version\":1,\"routes\":["
       "{\"name\":\"chat\",\"host\":\"demo.example\",\"prefix\":\"/chat/\","
       "\"kind\":\"streaming\",\"timeout-ms\":8000,\"aim-ms\":500,"
@@ -92,7 +92,7 @@
 }
 
 static void
-on_stop (struct ev_loop *loop, ev_signal *w, int revents)
+on_stop_signal (struct ev_loop *loop, ev_signal *w, int revents)
 {
   ev_break (loop, EVBREAK_ALL);
 }
@@ -103,13 +103,14 @@
   GOptionContext *ctx = g_option_context_new (NULL);
   struct ev_loop *loop = ev_default_loop (0);
   GError *err = NULL;
-  ev_signal term;
+  ev_signal stop_signal;
   FakeStore *store;
   char *addr;
 
-  g_option_context_set_summary (ctx, "A stand-in of the platform: the store, "
-                                     "plain targets, a rank group.");
-  g_option_context_add_main_entries (ctx, entries, NULL);
+  g_option_context_set_summary (ctx,
+                                "Runs a stand-in of the platform: the store, "
+                                "plain targets and a rank group.");
+  g_option_context_add_main_entries (ctx, option_entries, NULL);
   if (!g_option_context_parse (ctx, &argc, &argv, &err))
     {
       fprintf (stderr, "comfrey-fake-platform: %s\n", err->message);
@@ -119,9 +120,9 @@
   addr = g_strdup_printf ("127.0.0.1:%d", port);
   store = fake_store_new (loop, addr);
   start_targets (loop, store);
-  fake_store_put (store, PF_KEY_CONFIG, first_config);
-  ev_signal_init (&term, on_stop, SIGTERM);
-  ev_signal_start (loop, &term);
+  fake_store_put (store, PF_KEY_CONFIG, initial_config);
+  ev_signal_init (&stop_signal, on_stop_signal, SIGTERM);
+  ev_signal_start (loop, &stop_signal);
   ev_run (loop, 0);
   return 0;
 }
--- a/standins/comfrey-fault-proxy.c
+++ b/standins/comfrey-fault-proxy.c
@@ -1,12 +1,13 @@
 /*
- * A proxy on the loopback address that harms the connections it passes on,
- * for tests: what a network does that neither end can see.
+ * A TCP proxy on the loopback address, for tests.  It injects network faults
+ * into the connections it forwards, which neither end can see as such.
  *
- * SIGUSR1 lets the connections that are open fall silent for good, both
- * ways and without a reset; new ones work.  SIGUSR2 begins, or ends, a cut
- * of one way: nothing that the far end sends arrives any more, also on new
- * connections; one that has lost bytes so stays cut.  SIGHUP resets all that is
- * open.
+ * SIGUSR1 silences the connections that are open, for good: they forward
+ * nothing in either direction, and are not reset.  New connections work.
+ * SIGUSR2 switches a one-way fault on or off: while it is on, all data from
+ * the upstream end is dropped, also on new connections; a connection that lost
+ * data in this way drops all that follows, also after the fault is switched
+ * off.  SIGHUP resets all open connections.
  */
 #include "gateway/socket.h"
 
@@ -19,60 +20,61 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define READ_SIZE 16384
+#define READ_BUFFER_BYTES 16384
 
-typedef struct Pair Pair;
+typedef struct ProxyConn ProxyConn;
 
-/** End: one of the two connections of a pair. */
+/** Endpoint: one of the two sockets of a #ProxyConn. */
 typedef struct
 {
-  Pair *pair;
+  ProxyConn *conn;
   ev_io io;
-  GString *out; /**< not yet written to it */
-  gboolean is_far;
-} End;
+  GString *out_buf; /**< not yet sent to it */
+  gboolean is_upstream;
+} Endpoint;
 
-/** Pair: a connection that came, and the one made for it. */
-struct Pair
+/** ProxyConn: a client's connection and the one to upstream made for it. */
+struct ProxyConn
 {
-  TAILQ_ENTRY (Pair) link;
-  End near;
-  End far;
-  gboolean silent;
-  gboolean cut; /**< bytes of its far end were lost */
+  TAILQ_ENTRY (ProxyConn) link;
+  Endpoint client;
+  Endpoint upstream;
+  gboolean is_silent; /**< forwards nothing */
+  gboolean is_cut;    /**< drops data from upstream, since some was dropped */
 };
 
 static struct ev_loop *loop;
-static struct sockaddr_in target;
+static struct sockaddr_in upstream_addr;
 static ev_io listener;
-static TAILQ_HEAD (, Pair) pairs = TAILQ_HEAD_INITIALIZER (pairs);
-static gboolean one_way;
+static TAILQ_HEAD (, ProxyConn) conns = TAILQ_HEAD_INITIALIZER (conns);
+static gboolean drop_upstream_data; /* the one-way fault is on */
 
 static void
-close_end (End *e, gboolean reset)
+close_endpoint (Endpoint *e, gboolean reset)
 {
-  const struct linger now = { 1, 0 };
+  const struct linger abort_on_close = { 1, 0 };
 
   ev_io_stop (loop, &e->io);
   if (reset)
-    setsockopt (e->io.fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    setsockopt (e->io.fd, SOL_SOCKET, SO_LINGER, &abort_on_close,
+                sizeof abort_on_close);
   close (e->io.fd);
-  g_string_free (e->out, TRUE);
+  g_string_free (e->out_buf, TRUE);
 }
 
 static void
-end_pair (Pair *p, gboolean reset)
+close_conn (ProxyConn *conn, gboolean reset)
 {
-  TAILQ_REMOVE (&pairs, p, link);
-  close_end (&p->near, reset);
-  close_end (&p->far, reset);
-  g_free (p);
+  TAILQ_REMOVE (&conns, conn, link);
+  close_endpoint (&conn->client, reset);
+  close_endpoint (&conn->upstream, reset);
+  g_free (conn);
 }
 
 static void
-want (End *e)
+update_io_events (Endpoint *e)
 {
-  int events = EV_READ | (e->out->len ? EV_WRITE : 0);
+  int events = EV_READ | (e->out_buf->len ? EV_WRITE : 0);
 
   if (e->io.events == events)
     return;
@@ -81,118 +83,123 @@
   ev_io_start (loop, &e->io);
 }
 
+/* Returns FALSE if @e is closed. */
 static gboolean
-write_some (End *e)
+write_pending (Endpoint *e)
 {
   ssize_t n;
 
-  if (e->out->len == 0)
+  if (e->out_buf->len == 0)
     return TRUE;
-  n = send (e->io.fd, e->out->str, e->out->len, MSG_NOSIGNAL);
+  n = send (e->io.fd, e->out_buf->str, e->out_buf->len, MSG_NOSIGNAL);
   if (n < 0)
     return errno == EAGAIN || errno == EINTR || errno == ENOTCONN;
-  g_string_erase (e->out, 0, n);
-  want (e);
+  g_string_erase (e->out_buf, 0, n);
+  update_io_events (e);
   return TRUE;
 }
 
+/* Queues what @from sent for the other end; returns FALSE if @from is closed.
+ */
 static gboolean
-pass_on (End *from)
+forward (Endpoint *from)
 {
-  End *to = from->is_far ? &from->pair->near : &from->pair->far;
-  char buf[READ_SIZE];
+  Endpoint *to
+      = from->is_upstream ? &from->conn->client : &from->conn->upstream;
+  char buf[READ_BUFFER_BYTES];
   ssize_t n = recv (from->io.fd, buf, sizeof buf, 0);
 
   if (n <= 0)
     return n < 0 && (errno == EAGAIN || errno == EINTR);
-  if (from->is_far)
-    from->pair->cut |= one_way;
-  if (from->pair->silent || (from->pair->cut && from->is_far))
+  if (from->is_upstream)
+    from->conn->is_cut |= drop_upstream_data;
+  if (from->conn->is_silent || (from->conn->is_cut && from->is_upstream))
     return TRUE;
-  g_string_append_len (to->out, buf, n);
-  want (to);
+  g_string_append_len (to->out_buf, buf, n);
+  update_io_events (to);
   return TRUE;
 }
 
 static void
 on_io (struct ev_loop *l, ev_io *w, int revents)
 {
-  End *e = w->data;
-  Pair *p = e->pair;
+  Endpoint *e = w->data;
+  ProxyConn *conn = e->conn;
 
-  if ((revents & EV_WRITE) && !write_some (e))
-    end_pair (p, FALSE);
-  else if ((revents & EV_READ) && !pass_on (e))
+  if ((revents & EV_WRITE) && !write_pending (e))
+    close_conn (conn, FALSE);
+  else if ((revents & EV_READ) && !forward (e))
     {
-      /* A silent connection does not tell that its other end is gone. */
-      if (p->silent)
+      /* A silent connection does not report that one end has closed. */
+      if (conn->is_silent)
         ev_io_stop (l, &e->io);
       else
-        end_pair (p, FALSE);
+        close_conn (conn, FALSE);
     }
 }
 
 static void
-begin_end (Pair *p, End *e, int fd, gboolean is_far)
+init_endpoint (ProxyConn *conn, Endpoint *e, int fd, gboolean is_upstream)
 {
-  e->pair = p;
-  e->is_far = is_far;
-  e->out = g_string_new (NULL);
+  e->conn = conn;
+  e->is_upstream = is_upstream;
+  e->out_buf = g_string_new (NULL);
   ev_io_init (&e->io, on_io, fd, EV_READ);
   e->io.data = e;
   ev_io_start (loop, &e->io);
 }
 
 static void
-on_connection (struct ev_loop *l, ev_io *w, int revents)
+on_accept (struct ev_loop *l, ev_io *w, int revents)
 {
-  int near;
+  int client_fd;
 
-  while ((near = cf_socket_accept (w->fd)) >= 0)
+  while ((client_fd = cf_socket_accept (w->fd)) >= 0)
     {
-      int far = cf_socket_connect (&target);
-      Pair *p;
+      int upstream_fd = cf_socket_connect (&upstream_addr);
+      ProxyConn *conn;
 
-      if (far < 0)
+      if (upstream_fd < 0)
         {
-          close (near);
+          close (client_fd);
           continue;
         }
-      p = g_new0 (Pair, 1);
-      begin_end (p, &p->near, near, FALSE);
-      begin_end (p, &p->far, far, TRUE);
-      TAILQ_INSERT_TAIL (&pairs, p, link);
+      conn = g_new0 (ProxyConn, 1);
+      init_endpoint (conn, &conn->client, client_fd, FALSE);
+      init_endpoint (conn, &conn->upstream, upstream_fd, TRUE);
+      TAILQ_INSERT_TAIL (&conns, conn, link);
     }
 }
 
 static void
 on_silence (struct ev_loop *l, ev_signal *w, int revents)
 {
-  Pair *p;
+  ProxyConn *conn;
 
-  TAILQ_FOREACH (p, &pairs, link)
-  p->silent = TRUE;
+  TAILQ_FOREACH (conn, &conns, link)
+  conn->is_silent = TRUE;
 }
 
 static void
-on_one_way (struct ev_loop *l, ev_signal *w, int revents)
+on_drop_toggle (struct ev_loop *l, ev_signal *w, int revents)
 {
-  one_way = !one_way;
+  drop_upstream_data = !drop_upstream_data;
 }
 
 static void
 on_reset (struct ev_loop *l, ev_signal *w, int revents)
 {
-  Pair *p;
+  ProxyConn *conn;
 
-  while ((p = TAILQ_FIRST (&pairs)))
-    end_pair (p, TRUE);
+  while ((conn = TAILQ_FIRST (&conns)))
+    close_conn (conn, TRUE);
 }
 
-static void catch (ev_signal *w, int sig,
-                   void (*cb) (struct ev_loop *, ev_signal *, int))
+static void
+watch_signal (ev_signal *w, int sig,
+              void (*callback) (struct ev_loop *, ev_signal *, int))
 {
-  ev_signal_init (w, cb, sig);
+  ev_signal_init (w, callback, sig);
   ev_signal_start (loop, w);
 }
 
@@ -211,17 +218,17 @@
       return 2;
     }
   loop = ev_default_loop (0);
-  if (cf_socket_parse (argv[2], &target) != CF_OK
+  if (cf_socket_parse (argv[2], &upstream_addr) != CF_OK
       || cf_socket_listen (argv[1], &fd) != CF_OK)
     {
       fprintf (stderr, "comfrey-fault-proxy: %s\n", cf_last_error ());
       return 1;
     }
-  ev_io_init (&listener, on_connection, fd, EV_READ);
+  ev_io_init (&listener, on_accept, fd, EV_READ);
   ev_io_start (loop, &listener);
-  catch (&usr1, SIGUSR1, on_silence);
-  catch (&usr2, SIGUSR2, on_one_way);
-  catch (&hup, SIGHUP, on_reset);
+  watch_signal (&usr1, SIGUSR1, on_silence);
+  watch_signal (&usr2, SIGUSR2, on_drop_toggle);
+  watch_signal (&hup, SIGHUP, on_reset);
   ev_run (loop, 0);
   return 0;
 }
--- a/t/t-callers.c
+++ b/t/t-callers.c
@@ -1,15 +1,15 @@
 /*
- * The callers' tool ends with a message and a status, whatever it is given
- * and whatever becomes of the gateways it calls.
+ * comfrey-callers ends with a message and an exit status for any options and
+ * for any behaviour of the gateways that it calls.
  *
- * The story.  The tool ended with a signal and no line, so that whoever ran
- * the demo learned nothing of the gateways.
- *
- * Causes, found by reading it after that: the number of callers went
- * unchecked into an allocation; a connection that failed at once began the
- * next request on the same stack, which grew with every request; a gateway
- * that fell silent, or told a caller to come back at no time, was waited for
- * without end.
+ * Guards against failures in which the tool was ended by a signal without its
+ * line of totals, so that a run of the demo showed nothing about the gateways,
+ * or did not end at all.  They had these causes:
+ * - the number of callers was passed unchecked to an allocation;
+ * - after a connect that failed immediately, the next request started on the
+ *   same stack, which grew with every request;
+ * - there was no limit to the wait for a gateway that had stopped answering, or
+ *   whose Retry-After was not a usable time.
  */
 #include "harness.h"
 
@@ -21,58 +21,62 @@
 
 #define TOOL "target/comfrey-callers"
 
-/** Said: how a run of the tool ended. */
+/** RunResult: the outcome of a run of the tool. */
 typedef struct
 {
-  char *line;    /**< of standard output */
-  char *message; /**< of standard error */
-  int status;    /**< of exit; -1 if a signal ended it */
-} Said;
+  char *output;       /**< text on standard output */
+  char *error_output; /**< text on standard error */
+  int status;         /**< exit status; -1 if a signal ended it */
+} RunResult;
 
-static Said
-run_line (const char *command)
+static RunResult
+run_command (const char *command)
 {
   char *argv[] = { "sh", "-c", (char *)command, NULL };
-  Said s = { 0 };
+  RunResult result = { 0 };
   int wait_status;
 
   ck_assert (g_spawn_sync (NULL, argv, NULL, G_SPAWN_SEARCH_PATH, NULL, NULL,
-                           &s.line, &s.message, &wait_status, NULL));
-  s.status = WIFEXITED (wait_status) ? WEXITSTATUS (wait_status) : -1;
-  return s;
+                           &result.output, &result.error_output, &wait_status,
+                           NULL));
+  result.status = WIFEXITED (wait_status) ? WEXITSTATUS (wait_status) : -1;
+  return result;
 }
 
-/* The tool with @args as a shell reads them. */
-static Said
-run (const char *args)
+/* Runs the tool with @args, which a shell splits into words. */
+static RunResult
+run_tool (const char *args)
 {
   g_autofree char *command = g_strdup_printf ("exec " TOOL " %s", args);
 
-  return run_line (command);
+  return run_command (command);
 }
 
 static void
-clear (Said *s)
+clear_result (RunResult *result)
 {
-  g_free (s->line);
-  g_free (s->message);
+  g_free (result->output);
+  g_free (result->error_output);
 }
 
-/* It ended with @status, its line has @line and its message @message. */
+/* Checks that the tool exited with @status, and that its standard output
+ * contains @expected_output and its standard error @expected_errors; frees
+ * @result. */
 static void
-check (Said *s, int status, const char *line, const char *message)
+check_result (RunResult *result, int status, const char *expected_output,
+              const char *expected_errors)
 {
-  ck_assert_msg (s->status == status, "status %d: %s%s", s->status, s->line,
-                 s->message);
-  ck_assert_msg (strstr (s->line, line) != NULL, "\"%s\" lacks \"%s\"", s->line,
-                 line);
-  ck_assert_msg (strstr (s->message, message) != NULL, "\"%s\" lacks \"%s\"",
-                 s->message, message);
-  ck_assert (g_str_has_prefix (s->message, "comfrey-callers: "));
-  clear (s);
+  ck_assert_msg (result->status == status, "status %d: %s%s", result->status,
+                 result->output, result->error_output);
+  ck_assert_msg (strstr (result->output, expected_output) != NULL,
+                 "\"%s\" lacks \"%s\"", result->output, expected_output);
+  ck_assert_msg (strstr (result->error_output, expected_errors) != NULL,
+                 "\"%s\" lacks \"%s\"", result->error_output, expected_errors);
+  ck_assert (g_str_has_prefix (result->error_output, "comfrey-callers: "));
+  clear_result (result);
 }
 
-static const char *const bad_args[][2] = {
+static const char *const invalid_args[][2] = {
   { "", "give --gateway IP:PORT" },
   { "--gateway nowhere", "bad address nowhere" },
   { "--gateway ''", "bad address" },
@@ -93,18 +97,18 @@
   { "--gateway", "gateway" },
 };
 
-START_TEST (bad_arguments_are_named)
+START_TEST (invalid_arguments_are_reported)
 {
-  Said s = run (bad_args[_i][0]);
+  RunResult result = run_tool (invalid_args[_i][0]);
 
-  ck_assert_str_eq (s.line, "");
-  check (&s, 2, "", bad_args[_i][1]);
+  ck_assert_str_eq (result.output, "");
+  check_result (&result, 2, "", invalid_args[_i][1]);
 }
 END_TEST
 
 /* A socket that listens on a free port of the loopback address. */
 static int
-listen_somewhere (int *port)
+listen_on_free_port (int *port)
 {
   struct sockaddr_in sa = { .sin_family = AF_INET };
   socklen_t n = sizeof sa;
@@ -118,49 +122,52 @@
   return fd;
 }
 
-START_TEST (no_gateway_is_there)
+START_TEST (gateway_refuses_connections)
 {
   g_autofree char *args = NULL;
   g_autofree char *addr = NULL;
-  Said s;
+  RunResult result;
   int port;
 
-  close (listen_somewhere (&port));
+  close (listen_on_free_port (&port));
   addr = g_strdup_printf ("127.0.0.1:%d: unsent", port);
   args = g_strdup_printf ("--gateway 127.0.0.1:%d --requests 50", port);
-  s = run (args);
-  check (&s, 1, "answered=0 refused=0 lost=50 wrong=0 ", addr);
+  result = run_tool (args);
+  check_result (&result, 1, "answered=0 refused=0 lost=50 wrong=0 ", addr);
 }
 END_TEST
 
-/* The kernel refuses a connection to this address by itself, at once. */
-START_TEST (connections_that_fail_at_once)
+/* The kernel itself refuses a connect to the broadcast address, at once. */
+START_TEST (connects_fail_immediately)
 {
-  Said s = run ("--gateway 255.255.255.255:9 --requests 300000");
+  RunResult result = run_tool ("--gateway 255.255.255.255:9 --requests 300000");
 
-  check (&s, 1, "answered=0 refused=0 lost=300000 wrong=0 ",
-         "255.255.255.255:9: ");
+  check_result (&result, 1, "answered=0 refused=0 lost=300000 wrong=0 ",
+                "255.255.255.255:9: ");
 }
 END_TEST
 
-/* Too few for an event loop, and too few for connections. */
-START_TEST (no_descriptors_are_left)
+/* First too few for the event loop, then too few for connections. */
+START_TEST (out_of_file_descriptors)
 {
-  Said s = run_line ("ulimit -n 4; exec " TOOL " --gateway 127.0.0.1:9");
-
-  ck_assert_str_eq (s.line, "");
-  check (&s, 1, "", "Too many open files");
-  s = run_line ("ulimit -n 6; exec " TOOL " --gateway 127.0.0.1:9");
-  check (&s, 1, "answered=0 refused=0 lost=400 wrong=0 ", "127.0.0.1:9: ");
+  RunResult result
+      = run_command ("ulimit -n 4; exec " TOOL " --gateway 127.0.0.1:9");
+
+  ck_assert_str_eq (result.output, "");
+  check_result (&result, 1, "", "Too many open files");
+  result = run_command ("ulimit -n 6; exec " TOOL " --gateway 127.0.0.1:9");
+  check_result (&result, 1, "answered=0 refused=0 lost=400 wrong=0 ",
+                "127.0.0.1:9: ");
 }
 END_TEST
 
-/* Answers each connection with the next of @answers and then is gone: the
- * process, what it listens at and the connections. */
+/* Starts a process that answers each connection with the next of @answers and
+ * then resets it.  After the last one the process exits, which closes the
+ * listening socket. */
 static pid_t
-serve (int listener, const char *const *answers)
+serve_answers (int listener, const char *const *answers)
 {
-  const struct linger reset = { 1, 0 };
+  const struct linger abort_on_close = { 1, 0 };
   pid_t pid = fork ();
 
   if (pid != 0)
@@ -176,7 +183,8 @@
       (void)!read (fd, buf, sizeof buf);
       (void)!write (fd, *answers, strlen (*answers));
       usleep (20000);
-      setsockopt (fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
+      setsockopt (fd, SOL_SOCKET, SO_LINGER, &abort_on_close,
+                  sizeof abort_on_close);
       close (fd);
     }
   _exit (0);
@@ -186,61 +194,64 @@
   "HTTP/1.1 200 OK\r\nSignature: a\r\nContent-Type: text/event-stream\r\n"     \
   "Transfer-Encoding: chunked\r\n\r\n"
 
-/* The first request is a stream, and its gateway dies in its midst; it is
- * not there any more for those that follow. */
-START_TEST (a_gateway_goes_away_in_mid_stream)
+/* The first request is a stream, and its gateway dies in the middle of it; the
+ * requests after it cannot connect. */
+START_TEST (gateway_dies_mid_stream)
 {
   static const char *const answers[]
       = { STREAM_HEAD "c\r\nid: 1\ndata: x\n\n\r\n", NULL };
   g_autofree char *args = NULL;
   int port;
-  pid_t pid = serve (listen_somewhere (&port), answers);
-  Said s;
+  pid_t pid = serve_answers (listen_on_free_port (&port), answers);
+  RunResult result;
 
   args = g_strdup_printf ("--gateway 127.0.0.1:%d --requests 40 --callers 1",
                           port);
-  s = run (args);
-  check (&s, 1, "answered=0 refused=0 lost=40 wrong=0 ", "40 lost");
+  result = run_tool (args);
+  check_result (&result, 1, "answered=0 refused=0 lost=40 wrong=0 ", "40 lost");
   waitpid (pid, NULL, 0);
 }
 END_TEST
 
-/* The kernel takes the connections and nobody ever answers on them. */
-START_TEST (a_gateway_falls_silent)
+/* The kernel accepts the connections, and no process answers on them. */
+START_TEST (gateway_never_answers)
 {
   g_autofree char *args = NULL;
   int port;
-  int fd = listen_somewhere (&port);
-  Said s;
+  int fd = listen_on_free_port (&port);
+  RunResult result;
 
   args = g_strdup_printf ("--gateway 127.0.0.1:%d --requests 6 --callers 6",
                           port);
-  s = run (args);
-  check (&s, 1, "answered=0 refused=0 lost=6 wrong=0 ", "no answer");
+  result = run_tool (args);
+  check_result (&result, 1, "answered=0 refused=0 lost=6 wrong=0 ",
+                "no answer");
   close (fd);
 }
 END_TEST
 
-#define BUSY(after)                                                            \
+#define BUSY_ANSWER(after)                                                     \
   "HTTP/1.1 503 Busy\r\nRetry-After: " after "\r\nContent-Length: 0\r\n"       \
   "Connection: close\r\n\r\n"
 
-START_TEST (callers_told_to_come_back_at_no_time)
+START_TEST (retry_after_is_invalid)
 {
   static const char *const answers[]
-      = { BUSY ("nan"), BUSY ("1e300"), BUSY ("-1"), NULL };
+      = { BUSY_ANSWER ("nan"), BUSY_ANSWER ("1e300"), BUSY_ANSWER ("-1"),
+          NULL };
   g_autofree char *args = NULL;
   int port;
-  pid_t pid = serve (listen_somewhere (&port), answers);
-  Said s;
+  pid_t pid = serve_answers (listen_on_free_port (&port), answers);
+  RunResult result;
 
   args = g_strdup_printf ("--gateway 127.0.0.1:%d --requests 1 --callers 1",
                           port);
-  s = run (args);
-  ck_assert_msg (s.status == 0, "status %d: %s", s.status, s.message);
+  result = run_tool (args);
+  ck_assert_msg (result.status == 0, "status %d: %s", result.status,
+                 result.error_output);
   ck_assert_ptr_nonnull (
-      strstr (s.line, "answered=0 refused=1 lost=0 wrong=0 "));
-  clear (&s);
+      strstr (result.output, "answered=0 refused=1 lost=0 wrong=0 "));
+  clear_result (&result);
   waitpid (pid, NULL, 0);
 }
 END_TEST
@@ -252,14 +263,14 @@
   TCase *t = tcase_create ("callers");
 
   tcase_set_timeout (t, 20);
-  tcase_add_loop_test (t, bad_arguments_are_named, 0,
-                       (int)G_N_ELEMENTS (bad_args));
-  tcase_add_test (t, no_gateway_is_there);
-  tcase_add_test (t, connections_that_fail_at_once);
-  tcase_add_test (t, no_descriptors_are_left);
-  tcase_add_test (t, a_gateway_goes_away_in_mid_stream);
-  tcase_add_test (t, a_gateway_falls_silent);
-  tcase_add_test (t, callers_told_to_come_back_at_no_time);
+  tcase_add_loop_test (t, invalid_arguments_are_reported, 0,
+                       (int)G_N_ELEMENTS (invalid_args));
+  tcase_add_test (t, gateway_refuses_connections);
+  tcase_add_test (t, connects_fail_immediately);
+  tcase_add_test (t, out_of_file_descriptors);
+  tcase_add_test (t, gateway_dies_mid_stream);
+  tcase_add_test (t, gateway_never_answers);
+  tcase_add_test (t, retry_after_is_invalid);
   suite_add_tcase (s, t);
   return t_run (s);
 }
