--- a/standins/comfrey-callers.c
+++ b/standins/comfrey-callers.c
@@ -49,6 +49,7 @@
   { NULL },
 };
 
+/** RequestClass: the routes that the callers use in turn. */
 typedef enum
 {
   CLASS_STREAM,
@@ -196,7 +197,7 @@
 }
 
 static void
-on_fail (void *owner, CfUpstreamFail f)
+on_failure (void *owner, CfUpstreamFail f)
 {
   end_attempt (owner);
   fail_request (owner, cf_upstream_fail_name (f));
@@ -215,7 +216,7 @@
 }
 
 static const CfUpstreamCalls upstream_callbacks
-    = { on_head, on_body, on_done, on_fail };
+    = { on_head, on_body, on_done, on_failure };
 
 static void
 send_attempt (Caller *c)
--- a/standins/comfrey-fault-proxy.c
+++ b/standins/comfrey-fault-proxy.c
@@ -40,7 +40,7 @@
   Endpoint client;
   Endpoint upstream;
   gboolean is_silent; /**< forwards nothing */
-  gboolean is_cut;    /**< drops data from upstream, since some was dropped */
+  gboolean is_cut;    /**< the one-way fault has dropped some of its data */
 };
 
 static struct ev_loop *loop;
@@ -99,8 +99,7 @@
   return TRUE;
 }
 
-/* Queues what @from sent for the other end; returns FALSE if @from is closed.
- */
+/* Passes data from @from to the other end; returns FALSE if @from is closed. */
 static gboolean
 forward (Endpoint *from)
 {
--- a/standins/fake-group.c
+++ b/standins/fake-group.c
@@ -410,17 +410,17 @@
 fake_group_new (struct ev_loop *loop, const FakeGroupShape *shape)
 {
   FakeGroup *g = g_new0 (FakeGroup, 1);
-  const CfGroupShape map = { .sets = shape->sets,
-                             .experts = shape->experts,
-                             .ranks = shape->ranks,
-                             .places = shape->places,
-                             .spare = shape->spare };
+  const CfGroupShape map_shape = { .sets = shape->sets,
+                                   .experts = shape->experts,
+                                   .ranks = shape->ranks,
+                                   .places = shape->places,
+                                   .spare = shape->spare };
 
   g->loop = loop;
   g->shape = *shape;
   g->epoch = 1;
   g->start_s = ev_now (loop);
-  g->map = cf_group_map_new (&map);
+  g->map = cf_group_map_new (&map_shape);
   assign_initial_map (g);
   g->ranks = g_new0 (FakeRank, shape->ranks);
   for (int i = 0; i < shape->ranks; i++)
--- a/standins/fake-group.h
+++ b/standins/fake-group.h
@@ -27,7 +27,7 @@
 {
   CfRankStatus status;
   gint64 armed_step;      /**< pass that begins with the armed map */
-  gint64 highest_version; /**< of the maps it was told to prepare */
+  gint64 highest_version; /**< of the maps that it was ordered to prepare */
   gint64 fence;           /**< highest fencing token of an order */
   gint64 copying_version; /**< 0: none */
   ev_timer copy_timer;
@@ -58,8 +58,9 @@
  */
 int fake_group_handle_order (FakeGroup *g, int rank, const char *json, gsize n);
 
-/** fake_group_restart_rank: simulates a restart of @rank.  The group forms
- * anew under the next epoch, with map 0 and nothing prepared, armed or held. */
+/** fake_group_restart_rank: simulates a restart of @rank.  The group
+ * re-forms under the next epoch, with map 0 and nothing prepared, armed or
+ * held. */
 void fake_group_restart_rank (FakeGroup *g, int rank);
 
 /** fake_group_start_passes: starts the passes, for a new stream, unless they
--- a/standins/fake-http.h
+++ b/standins/fake-http.h
@@ -32,9 +32,9 @@
                                             while @pending is set */
   gboolean is_answering;               /**< the handler has a request that is
                                             not completely answered */
-  gboolean is_chunked;  /**< the current answer is sent in chunks */
-  gboolean close_after; /**< close after the current answer */
-  gboolean in_io;       /**< on_io() runs and frees the connection itself */
+  gboolean is_chunked;                 /**< an answer in chunks was begun */
+  gboolean close_after;                /**< close after the current answer */
+  gboolean in_io; /**< on_io() runs and frees the connection itself */
   gboolean is_closed;
 };
 
--- a/standins/fake-store.c
+++ b/standins/fake-store.c
@@ -138,7 +138,7 @@
   answer_json (c, o);
 }
 
-/* Whether a waiting watch is told of changes in the present mode. */
+/* Whether watches that wait get changes in the current mode. */
 static gboolean
 delivers_events (const FakeStore *s)
 {
--- a/standins/fake-store.h
+++ b/standins/fake-store.h
@@ -9,16 +9,20 @@
  *
  *   POST /test/put?key=K        write the body under K
  *   POST /test/put-raw?key=K    the same, but the body is stored as the base64
- *                               text of the value and need not be valid base64
+ *                               text of the value and may be invalid base64
  *   GET /test/get?key=K         the value of K
  *   POST /test/delete?key=K
- *   POST /test/mode?mode=M      how the store answers from now on: up, silent
- *                               (not at all), busy (503), reset, slow (each
- *                               answer 300 ms late), some (503 to every second
- *                               call), stale (a watch reports no changes,
- * though its answer names the current revision; ranges are as in mode up) POST
- * /test/forget           compact the history up to the current revision and
- * reset the watches that wait
+ *   POST /test/forget           compact the history up to the current revision
+ *                               and reset the watches that wait
+ *   POST /test/mode?mode=M      how the store answers from now on:
+ *     up      normally
+ *     silent  not at all
+ *     busy    503
+ *     reset   by a reset of the connection
+ *     slow    each answer 300 ms late
+ *     some    503 to every second call
+ *     stale   a watch reports no changes, though its answer names the current
+ *             revision; ranges are as in mode up
  */
 typedef struct FakeStore FakeStore;
 
--- a/standins/fake-target.c
+++ b/standins/fake-target.c
@@ -12,8 +12,8 @@
 /** Delay of the first event of a stream with the fault "tardy". */
 #define TARDY_START_MS 1000
 #define TOKENS_PER_EVENT 4
-/** A request that comes to a target later than this after it began to drain is
- * counted as late. */
+/** For this long a draining target may get new requests; those that come later
+ * are counted as late. */
 #define DRAIN_GRACE_S 2.0
 /** Delay of an order under /test/late-orders. */
 #define ORDER_DELAY_S 1.0
--- a/standins/fake-target.h
+++ b/standins/fake-target.h
@@ -50,13 +50,13 @@
  * start time N ms after that of the previous incarnation (N may be negative:
  * the clock was set back).  The running requests of a plain service get
  * no answer, as from a VM that lost power; a rank loses its state except for
- * its streams, and its group forms anew at once.
+ * its streams, and its group re-forms at once.
  *
- * GET /test/runs?id=ID: counters: runs, doubled (ids that ran again, also
- * after a restart under the same id), gone (callers that disconnected while
- * their requests ran), late (requests that came though it had been draining
- * for 2 s), crashes, mixed (passes begun while ranks had different maps),
- * passes, skew (mean of the passes), and times (how often ID ran).
+ * GET /test/runs?id=ID: counters: runs, doubled (ids that ran more than once,
+ * also after a restart under the same id), gone (callers that disconnected
+ * while their requests ran), late (requests that came though it had been
+ * draining for 2 s), crashes, mixed (passes begun while ranks had different
+ * maps), passes, skew (mean per pass), and times (how often ID ran).
  *
  * GET /test/ran: each request id, and how often it ran.
  */
