--- a/agent-jobs.c
+++ b/agent-jobs.c
@@ -22,25 +22,25 @@
 } Job;
 
 CfLoad
-cf_agent_load (CfAgent *a)
+cf_agent_get_load (CfAgent *a)
 {
   unsigned int queued = cf_ring_length (&a->work);
   CfLoad l
       = { .in_flight = MAX (ck_pr_load_int (&a->in_flight) - (int)queued, 0),
           .queued = queued,
           .draining = ck_pr_load_int (&a->draining),
-          .quiet_ms = cf_guard_quiet_ms (&a->guard, cf_now_ms ()) };
+          .quiet_ms = cf_guard_remaining_quiet_ms (&a->guard, cf_now_ms ()) };
 
   return l;
 }
 
 /* %CF_ERR_FULL if @m does not fit a frame; nothing is sent then. */
 CfStatus
-cf_agent_reply (CfAgentConn *c, CfMsg *m)
+cf_agent_conn_send (CfAgentConn *c, CfMsg *m)
 {
   CfStatus st;
 
-  m->load = cf_agent_load (c->agent);
+  m->load = cf_agent_get_load (c->agent);
   pthread_mutex_lock (&c->write_lock);
   st = cf_msg_write (c->fd, m);
   /* A failed write means the entry is gone; it will see the link lost. */
@@ -63,7 +63,7 @@
   cf_log (LOG_INFO, CF_EV_AGENT_REFUSE,
           "id=%" G_GUINT64_FORMAT " ran=%s reason=%s", id, cf_ran_name (ran),
           reason);
-  cf_agent_reply (c, &m);
+  cf_agent_conn_send (c, &m);
 }
 
 void
@@ -74,7 +74,7 @@
   m.u.answer.code = code;
   m.u.answer.body = (char *)body;
   ck_pr_inc_64 (&c->agent->served);
-  if (cf_agent_reply (c, &m) == CF_ERR_FULL)
+  if (cf_agent_conn_send (c, &m) == CF_ERR_FULL)
     cf_agent_refuse (c, id, CF_RAN_YES, "answer-too-large", 0);
 }
 
@@ -139,7 +139,7 @@
 
   ck_pr_dec_int (&a->in_flight);
   if (key)
-    cf_guard_forget (&a->guard, key);
+    cf_guard_remove (&a->guard, key);
   cf_agent_refuse (j->conn, j->msg.id, CF_RAN_NO, reason, retry_ms);
 }
 
@@ -191,7 +191,7 @@
       return;
     case CF_ERR_NET:
       if (key)
-        cf_guard_forget (&a->guard, key);
+        cf_guard_remove (&a->guard, key);
       cf_log (LOG_WARNING, CF_EV_TARGET_FAIL,
               "id=%" G_GUINT64_FORMAT " ran=no error=\"%s\"", m->id,
               cf_last_error ());
@@ -234,7 +234,7 @@
 }
 
 void *
-cf_agent_worker (void *data)
+cf_agent_run_worker (void *data)
 {
   CfAgent *a = data;
 
@@ -276,7 +276,7 @@
  * a stale read must not bring the older one back.
  */
 gboolean
-cf_agent_is_behind (CfAgent *a, gint64 version)
+cf_agent_is_config_outdated (CfAgent *a, gint64 version)
 {
   long long now = cf_now_ms ();
   gboolean behind;
@@ -306,7 +306,7 @@
       cf_agent_refuse (c, m->id, CF_RAN_NO, "draining", 1000);
       return FALSE;
     }
-  if (cf_agent_is_behind (a, m->config))
+  if (cf_agent_is_config_outdated (a, m->config))
     {
       cf_agent_refuse (c, m->id, CF_RAN_NO, CF_REASON_CONFIG_BEHIND, 1000);
       return FALSE;
@@ -339,7 +339,7 @@
     case CF_GUARD_QUIET:
       /* It did not run now, but it may have before this agent started. */
       cf_agent_refuse (c, m->id, CF_RAN_UNKNOWN, "guard-quiet",
-                       cf_guard_quiet_ms (&a->guard, cf_now_ms ()));
+                       cf_guard_remaining_quiet_ms (&a->guard, cf_now_ms ()));
       return FALSE;
     }
   return FALSE;
@@ -367,7 +367,7 @@
     {
       ck_pr_dec_int (&a->in_flight);
       if (j->msg.u.request.key)
-        cf_guard_forget (&a->guard, j->msg.u.request.key);
+        cf_guard_remove (&a->guard, j->msg.u.request.key);
       cf_agent_refuse (c, j->msg.id, CF_RAN_NO, "overloaded", 500);
       ck_pr_dec_int (&a->unanswered);
       job_free (j);
--- a/agent-orders.c
+++ b/agent-orders.c
@@ -32,19 +32,19 @@
   g_autofree char *out = NULL;
   long code = 0;
 
-  switch (cf_rank_group_admit (g, m->u.order.op, m->u.order.fence))
+  switch (cf_rank_group_check_fence (g, m->u.order.op, m->u.order.fence))
     {
     case CF_OK:
       break;
     case CF_ERR_STALE:
-      refuse_stale (c, m, cf_rank_group_fence (g));
+      refuse_stale (c, m, cf_rank_group_highest_fence (g));
       return;
     default:
       cf_agent_refuse (c, m->id, CF_RAN_NO, "no-coordinator", 0);
       return;
     }
-  if (cf_rank_group_order (g, m->u.order.op, m->u.order.args, m->u.order.fence,
-                           &code, &out)
+  if (cf_rank_group_run_order (g, m->u.order.op, m->u.order.args,
+                               m->u.order.fence, &code, &out)
       == CF_OK)
     cf_agent_answer (c, m->id, code, out);
   else
@@ -84,14 +84,14 @@
 
   if (m->u.order.op == NULL)
     cf_agent_refuse (c, m->id, CF_RAN_NO, "no-op", 0);
-  else if (cf_rank_group_knows (m->u.order.op)
+  else if (cf_rank_group_is_rank_order (m->u.order.op)
            || g_str_equal (m->u.order.op, "rebalance"))
     {
       if (a->group == NULL)
         cf_agent_refuse (c, m->id, CF_RAN_NO, "no-group", 0);
       else if (g_str_equal (m->u.order.op, "rebalance"))
         {
-          cf_rank_group_rebalance (a->group);
+          cf_rank_group_request_rebalance (a->group);
           cf_agent_answer (c, m->id, 202, "{\"accepted\":true}");
         }
       else
@@ -114,7 +114,7 @@
   cf_log (LOG_INFO, CF_EV_GUARD_CLAIM, "key=%s token=%s runner=%s verdict=%s",
           m->u.claim.key, m->u.claim.token, m->u.claim.runner,
           cf_verdict_name (r.u.claimed.verdict));
-  cf_agent_reply (c, &r);
+  cf_agent_conn_send (c, &r);
 }
 
 void
@@ -127,8 +127,9 @@
   s.u.status.fence = a->fence;
   pthread_mutex_unlock (&a->fence_lock);
   if (a->group)
-    s.u.status.fence = MAX (s.u.status.fence, cf_rank_group_fence (a->group));
+    s.u.status.fence
+        = MAX (s.u.status.fence, cf_rank_group_highest_fence (a->group));
   s.u.status.served = (gint64)ck_pr_load_64 (&a->served);
   s.u.status.refused = (gint64)ck_pr_load_64 (&a->refused);
-  cf_agent_reply (c, &s);
+  cf_agent_conn_send (c, &s);
 }
--- a/agent-parts.h
+++ b/agent-parts.h
@@ -22,8 +22,8 @@
 
 /* Requests */
 
-/** cf_agent_reply: writes @m, with the agent's load, to @c. */
-CfStatus cf_agent_reply (CfAgentConn *c, CfMsg *m);
+/** cf_agent_conn_send: writes @m, with the agent's load, to @c. */
+CfStatus cf_agent_conn_send (CfAgentConn *c, CfMsg *m);
 
 /** cf_agent_refuse: refuses request @id; @ran says what is known of it. */
 void cf_agent_refuse (CfAgentConn *c, guint64 id, CfRan ran, const char *reason,
@@ -33,15 +33,15 @@
 void cf_agent_answer (CfAgentConn *c, guint64 id, gint64 code,
                       const char *body);
 
-/** cf_agent_is_behind: whether @version is too old to be served any more;
- * notes it if it is the newest. */
-gboolean cf_agent_is_behind (CfAgent *a, gint64 version);
+/** cf_agent_is_config_outdated: whether @version is too old to be served any
+ * more; notes it if it is the newest. */
+gboolean cf_agent_is_config_outdated (CfAgent *a, gint64 version);
 
 void cf_agent_take_request (CfAgentConn *c, CfMsg *m);
 void cf_agent_take_cancel (CfAgentConn *c, CfMsg *m);
 
-/** cf_agent_worker: a thread that runs requests; @data is the #CfAgent. */
-void *cf_agent_worker (void *data);
+/** cf_agent_run_worker: a thread that runs requests; @data is the #CfAgent. */
+void *cf_agent_run_worker (void *data);
 
 /** cf_agent_refuse_queued: refuses as not run what no worker has begun. */
 void cf_agent_refuse_queued (CfAgent *a);
--- a/agent.c
+++ b/agent.c
@@ -52,7 +52,7 @@
     return;
   pthread_mutex_lock (&a->conns_lock);
   for (CfAgentConn *c = a->conns; c; c = c->next)
-    cf_agent_reply (c, &s);
+    cf_agent_conn_send (c, &s);
   pthread_mutex_unlock (&a->conns_lock);
 }
 
@@ -81,7 +81,7 @@
           cf_agent_take_status (c, &m);
           break;
         case CF_MSG_PING:
-          cf_agent_is_behind (c->agent, m.config);
+          cf_agent_is_config_outdated (c->agent, m.config);
           cf_agent_take_status (c, &m);
           break;
         case CF_MSG_CLAIM:
@@ -156,7 +156,7 @@
     a->group = cf_rank_group_start (&a->set.group, a->set.target_url);
   for (gint64 i = 0; i < a->set.workers; i++)
     {
-      pthread_create (&t, NULL, cf_agent_worker, a);
+      pthread_create (&t, NULL, cf_agent_run_worker, a);
       pthread_detach (t);
     }
   pthread_create (&t, NULL, accept_thread, a);
--- a/agent.h
+++ b/agent.h
@@ -69,5 +69,5 @@
  */
 void cf_agent_drain (CfAgent *a, const char *why);
 
-/** cf_agent_load: the load reported on every reply. */
-CfLoad cf_agent_load (CfAgent *a);
+/** cf_agent_get_load: the load reported on every reply. */
+CfLoad cf_agent_get_load (CfAgent *a);
--- a/comfrey-bench.c
+++ b/comfrey-bench.c
@@ -56,12 +56,12 @@
 static const Deployment deployments[] = {
   { "aspen",
     DRIFT_SURGES,
-    { CF_PLACE_BOUNDED,
+    { CF_PLACEMENT_BOUNDED,
       { .bounded
         = { .skew_weight = 1.0, .move_weight = 0.004, .max_moves = 16 } } } },
   { "beritba",
     DRIFT_SEASON,
-    { CF_PLACE_BOUNDED,
+    { CF_PLACEMENT_BOUNDED,
       { .bounded
         = { .skew_weight = 1.0, .move_weight = 0.01, .max_moves = 16 } } } },
 };
@@ -74,7 +74,7 @@
   pthread_mutex_t lock; /* the fake ranks want one; there is one thread */
   gint64 turn;          /* of map changes */
   CfExpertMap *next;    /* being copied */
-  CfPopularity seen;
+  CfExpertPopularity seen;
   double counts[EXPERTS];                    /* tokens drawn since the start */
   double reported[EXPERTS];                  /* the report on its way */
   double now, report_at, plan_at, copied_at; /* us */
@@ -160,7 +160,7 @@
   pthread_mutex_init (&g->lock, NULL);
   fake_ranks_init (&g->fake, &g->lock, EXPERTS, ranks,
                    places + MAX (places / 4, 1), 0);
-  cf_popularity_init (&g->seen, EXPERTS);
+  cf_expert_popularity_init (&g->seen, EXPERTS);
   g->left = g_new0 (int, SLOTS_PER_RANK *ranks);
   /* Groups do not all report and plan at the same moment. */
   g->report_at = REPORT_US * index / GROUPS;
@@ -173,7 +173,7 @@
   fake_ranks_clear (&g->fake);
   pthread_mutex_destroy (&g->lock);
   cf_expert_map_free (g->next);
-  cf_popularity_clear (&g->seen);
+  cf_expert_popularity_clear (&g->seen);
   g_free (g->left);
 }
 
@@ -185,29 +185,29 @@
     return;
   g->report_at += REPORT_US;
   if (g->report_sent && gsl_rng_uniform (rng) >= REPORT_LOST)
-    cf_popularity_report (&g->seen, g->reported, REPORT_WEIGHT);
+    cf_expert_popularity_add_report (&g->seen, g->reported, REPORT_WEIGHT);
   memcpy (g->reported, g->counts, sizeof g->counts);
   g->report_sent = TRUE;
 }
 
-static CfRankAck
+static CfRankOpResult
 on_order (void *data, int rank, const CfRankOp *op)
 {
   Group *g = data;
-  json_t *o = cf_rank_op_json (op);
+  json_t *o = cf_rank_op_to_json (op);
   const char *why = fake_ranks_obey (&g->fake, rank, o);
 
   json_decref (o);
-  return why ? CF_ACK_REFUSED : CF_ACK_DONE;
+  return why ? CF_RANK_OP_REFUSED : CF_RANK_OP_DONE;
 }
 
-static CfRankAck
+static CfRankOpResult
 on_report (void *data, int rank, CfRankReport *out)
 {
   Group *g = data;
 
   fake_ranks_read (&g->fake, rank, out);
-  return CF_ACK_DONE;
+  return CF_RANK_OP_DONE;
 }
 
 static gboolean
@@ -230,8 +230,8 @@
 static void
 change_map (Group *g, Totals *t)
 {
-  const CfMapLimits limits
-      = { .prepare_ms = 0, .settle_ms = 0, .lead_steps = 8 };
+  const CfMapChangeLimits limits
+      = { .prepare_ms = 0, .settle_ms = 0, .steps_ahead = 8 };
   CfRankOps ops = { .data = g,
                     .ranks = g->ranks,
                     .order = on_order,
@@ -239,9 +239,9 @@
                     .pause = on_pause,
                     .now = on_now };
 
-  t->changes += cf_map_change (&ops, ++g->turn, fake_ranks_map (&g->fake),
-                               g->next, &limits)
-                == CF_MAP_CHANGED;
+  t->changes += cf_map_change_run (&ops, ++g->turn, fake_ranks_map (&g->fake),
+                                   g->next, &limits)
+                == CF_MAP_CHANGE_DONE;
   g_clear_pointer (&g->next, cf_expert_map_free);
   g->now += SWITCH_HOLD_US;
 }
@@ -300,7 +300,7 @@
       g->counts[e] += drawn[e];
     }
   us = STEP_BASE_US
-       + STEP_PER_TOKEN_US * cf_expert_map_load (map, tokens, load);
+       + STEP_PER_TOKEN_US * cf_expert_map_compute_load (map, tokens, load);
   if (g->next)
     {
       us *= COPY_SLOWDOWN;
@@ -371,20 +371,21 @@
   printf ("%-8s %-8s %8.2f %8.2f %8.2f %8.2f %8" G_GINT64_FORMAT
           " %9.1f %8" G_GINT64_FORMAT " %10" G_GINT64_FORMAT
           " %9" G_GINT64_FORMAT "\n",
-          d->name, cf_placement_name (policy->kind), percentile (t->skew, 50),
-          percentile (t->skew, 99), percentile (t->step, 50),
-          percentile (t->step, 99), t->moved,
+          d->name, cf_placement_kind_name (policy->kind),
+          percentile (t->skew, 50), percentile (t->skew, 99),
+          percentile (t->step, 50), percentile (t->step, 99), t->moved,
           (double)t->moved * EXPERT_MB / 1e3, t->changes, t->copy_steps,
           t->answered);
   if (csv)
-    fprintf (
-        csv,
-        "%s,%s,%.4f,%.4f,%.4f,%.4f,%" G_GINT64_FORMAT ",%.1f,%" G_GINT64_FORMAT
-        ",%" G_GINT64_FORMAT ",%" G_GINT64_FORMAT "\n",
-        d->name, cf_placement_name (policy->kind), percentile (t->skew, 50),
-        percentile (t->skew, 99), percentile (t->step, 50),
-        percentile (t->step, 99), t->moved, (double)t->moved * EXPERT_MB / 1e3,
-        t->changes, t->copy_steps, t->answered);
+    fprintf (csv,
+             "%s,%s,%.4f,%.4f,%.4f,%.4f,%" G_GINT64_FORMAT
+             ",%.1f,%" G_GINT64_FORMAT ",%" G_GINT64_FORMAT ",%" G_GINT64_FORMAT
+             "\n",
+             d->name, cf_placement_kind_name (policy->kind),
+             percentile (t->skew, 50), percentile (t->skew, 99),
+             percentile (t->step, 50), percentile (t->step, 99), t->moved,
+             (double)t->moved * EXPERT_MB / 1e3, t->changes, t->copy_steps,
+             t->answered);
 }
 
 int
@@ -437,8 +438,8 @@
   for (guint i = 0; i < G_N_ELEMENTS (deployments); i++)
     {
       const Deployment *d = &deployments[i];
-      CfPlacement policies[] = { { .kind = CF_PLACE_NONE },
-                                 { .kind = CF_PLACE_GREEDY },
+      CfPlacement policies[] = { { .kind = CF_PLACEMENT_NONE },
+                                 { .kind = CF_PLACEMENT_GREEDY },
                                  d->bounded };
 
       if (move_weight >= 0)
--- a/comfrey-fake-engine.c
+++ b/comfrey-fake-engine.c
@@ -170,7 +170,7 @@
           tokens[e]++;
           eng.counts[e]++;
         }
-      max = cf_expert_map_load (map, tokens, load);
+      max = cf_expert_map_compute_load (map, tokens, load);
       eng.ranks.slowest += max;
       eng.ranks.mean += (double)eng.running / (double)eng.n_ranks;
       pthread_mutex_unlock (&eng.lock);
--- a/comfrey-slopes.c
+++ b/comfrey-slopes.c
@@ -149,7 +149,7 @@
 measure_placement (void)
 {
   CfExpertMap *m = cf_expert_map_new (EXPERTS, RANKS, 2);
-  CfPlacement p = { .kind = CF_PLACE_BOUNDED };
+  CfPlacement p = { .kind = CF_PLACEMENT_BOUNDED };
   double tokens[EXPERTS];
   CfPlacementPlan plan;
   double t0;
--- a/expert-map.c
+++ b/expert-map.c
@@ -52,7 +52,7 @@
 }
 
 gboolean
-cf_expert_map_holds (const CfExpertMap *m, int rank, int expert)
+cf_expert_map_rank_has (const CfExpertMap *m, int rank, int expert)
 {
   for (int p = 0; p < m->places; p++)
     if (m->held[rank * m->places + p] == expert)
@@ -73,7 +73,7 @@
 }
 
 int
-cf_expert_map_added (const CfExpertMap *from, const CfExpertMap *to)
+cf_expert_map_count_added (const CfExpertMap *from, const CfExpertMap *to)
 {
   int added = 0;
 
@@ -82,13 +82,14 @@
       {
         int e = to->held[r * to->places + p];
 
-        added += e >= 0 && !cf_expert_map_holds (from, r, e);
+        added += e >= 0 && !cf_expert_map_rank_has (from, r, e);
       }
   return added;
 }
 
 double
-cf_expert_map_load (const CfExpertMap *m, const double *tokens, double *load)
+cf_expert_map_compute_load (const CfExpertMap *m, const double *tokens,
+                            double *load)
 {
   double max = 0;
 
@@ -149,7 +150,7 @@
     {
       gint64 e = json_is_integer (v) ? json_integer_value (v) : -1;
 
-      if (e < 0 || e >= experts || cf_expert_map_holds (m, (int)r, (int)e))
+      if (e < 0 || e >= experts || cf_expert_map_rank_has (m, (int)r, (int)e))
         {
           st = cf_fail (CF_ERR_RECORD, "name each expert once a rank",
                         "rank %zu place %zu is no expert of 0..%d", r, p,
--- a/expert-map.h
+++ b/expert-map.h
@@ -30,8 +30,8 @@
 CfExpertMap *cf_expert_map_copy (const CfExpertMap *m);
 void cf_expert_map_free (CfExpertMap *m);
 
-/** cf_expert_map_holds: whether @rank holds @expert. */
-gboolean cf_expert_map_holds (const CfExpertMap *m, int rank, int expert);
+/** cf_expert_map_rank_has: whether @rank holds @expert. */
+gboolean cf_expert_map_rank_has (const CfExpertMap *m, int rank, int expert);
 
 /**
  * cf_expert_map_set:
@@ -40,22 +40,22 @@
 void cf_expert_map_set (CfExpertMap *m, int rank, int place, int expert);
 
 /**
- * cf_expert_map_added:
+ * cf_expert_map_count_added:
  * Returns: how many (rank, expert) pairs @to holds that @from does not:
  * the experts to copy for the change.
  */
-int cf_expert_map_added (const CfExpertMap *from, const CfExpertMap *to);
+int cf_expert_map_count_added (const CfExpertMap *from, const CfExpertMap *to);
 
 /**
- * cf_expert_map_load:
+ * cf_expert_map_compute_load:
  * @tokens: experts entries: the tokens routed to each
  * @load: (out): ranks entries: the tokens each rank computes
  *
  * Returns: the largest rank's load, which sets the group's step time since
  * every rank waits for the slowest.
  */
-double cf_expert_map_load (const CfExpertMap *m, const double *tokens,
-                           double *load);
+double cf_expert_map_compute_load (const CfExpertMap *m, const double *tokens,
+                                   double *load);
 
 /** cf_expert_map_to_json: an array of ranks, each an array of experts. */
 json_t *cf_expert_map_to_json (const CfExpertMap *m);
--- a/fake-ranks.c
+++ b/fake-ranks.c
@@ -219,7 +219,7 @@
     {
       int e = m->held[rank * f->places + p];
 
-      added += e >= 0 && !cf_expert_map_holds (k->map, rank, e);
+      added += e >= 0 && !cf_expert_map_rank_has (k->map, rank, e);
     }
   cf_expert_map_free (k->prepared);
   k->prepared = m;
--- a/guard.c
+++ b/guard.c
@@ -128,7 +128,7 @@
 }
 
 gint64
-cf_guard_quiet_ms (CfGuard *g, gint64 now_ms)
+cf_guard_remaining_quiet_ms (CfGuard *g, gint64 now_ms)
 {
   return MAX (g->quiet_until_ms - now_ms, 0);
 }
@@ -196,7 +196,7 @@
 }
 
 void
-cf_guard_forget (CfGuard *g, const char *key)
+cf_guard_remove (CfGuard *g, const char *key)
 {
   pthread_mutex_lock (&g->lock);
   g_hash_table_remove (g->calls, key);
--- a/guard.h
+++ b/guard.h
@@ -65,8 +65,8 @@
 /** cf_guard_release: gives @key back, if @token is what holds it. */
 void cf_guard_release (CfGuard *g, const char *key, const char *token);
 
-/** cf_guard_quiet_ms: how much of the quiet time is left, in ms. */
-gint64 cf_guard_quiet_ms (CfGuard *g, gint64 now_ms);
+/** cf_guard_remaining_quiet_ms: how much of the quiet time is left, in ms. */
+gint64 cf_guard_remaining_quiet_ms (CfGuard *g, gint64 now_ms);
 
 /**
  * cf_guard_begin:
@@ -78,7 +78,7 @@
  *
  * Begins the call of @key here.  Only a %CF_GUARD_NEW result lets the caller
  * run the call, and the caller must then end it with cf_guard_finish() or
- * cf_guard_forget().
+ * cf_guard_remove().
  */
 CfGuardState cf_guard_begin (CfGuard *g, const char *key, CfKeyed keyed,
                              gint64 now_ms, gint64 *code, char **body);
@@ -91,8 +91,8 @@
 void cf_guard_finish (CfGuard *g, const char *key, gboolean known, gint64 code,
                       const char *body, gint64 now_ms);
 
-/** cf_guard_forget: the call surely did not run; the key is free again. */
-void cf_guard_forget (CfGuard *g, const char *key);
+/** cf_guard_remove: the call surely did not run; the key is free again. */
+void cf_guard_remove (CfGuard *g, const char *key);
 
 /** cf_guard_size: how many keys the table holds now. */
 guint cf_guard_size (CfGuard *g);
--- a/map-change.c
+++ b/map-change.c
@@ -9,18 +9,18 @@
 typedef struct
 {
   const CfRankOps *ops;
-  const CfMapLimits *limits;
+  const CfMapChangeLimits *limits;
   gint64 turn;
   CfRankReport *ranks; /**< as last read */
   gboolean fenced;
 } Change;
 
-static CfRankAck
+static CfRankOpResult
 order (Change *c, int rank, const CfRankOp *op)
 {
-  CfRankAck ack = c->ops->order (c->ops->data, rank, op);
+  CfRankOpResult ack = c->ops->order (c->ops->data, rank, op);
 
-  c->fenced |= ack == CF_ACK_FENCED;
+  c->fenced |= ack == CF_RANK_OP_FENCED;
   return ack;
 }
 
@@ -32,10 +32,10 @@
 
   for (int r = 0; r < c->ops->ranks && !c->fenced; r++)
     {
-      CfRankAck ack = c->ops->report (c->ops->data, r, &c->ranks[r]);
+      CfRankOpResult ack = c->ops->report (c->ops->data, r, &c->ranks[r]);
 
-      c->fenced |= ack == CF_ACK_FENCED;
-      whole &= ack == CF_ACK_DONE;
+      c->fenced |= ack == CF_RANK_OP_FENCED;
+      whole &= ack == CF_RANK_OP_DONE;
     }
   return whole && !c->fenced;
 }
@@ -48,10 +48,10 @@
   return c->ops->now (c->ops->data);
 }
 
-static CfMapChange
+static CfMapChangeResult
 cut_short (const Change *c)
 {
-  return c->fenced ? CF_MAP_FENCED : CF_MAP_STUCK;
+  return c->fenced ? CF_MAP_CHANGE_FENCED : CF_MAP_CHANGE_STUCK;
 }
 
 static gint64
@@ -92,7 +92,7 @@
   return s;
 }
 
-static CfRankAck
+static CfRankOpResult
 hold (Change *c, int rank, gint64 step)
 {
   CfRankOp op = { .kind = CF_RANK_HOLD, .u.hold.step = step };
@@ -100,7 +100,7 @@
   return order (c, rank, &op);
 }
 
-static CfRankAck
+static CfRankOpResult
 go (Change *c, int rank, gint64 step)
 {
   CfRankOp op = { .kind = CF_RANK_GO, .u.hold.step = step };
@@ -119,7 +119,7 @@
   CfRankReport *r = &c->ranks[rank];
   CfRankOp op = { .kind = CF_RANK_DISARM, .u.arm.version = r->armed };
 
-  if (r->armed && order (c, rank, &op) != CF_ACK_DONE)
+  if (r->armed && order (c, rank, &op) != CF_RANK_OP_DONE)
     return;
   op.kind = CF_RANK_PREPARE;
   op.u.prepare.version = highest_version (c) + 1;
@@ -168,7 +168,7 @@
       int rank = (int)((c->turn + i) % n);
 
       if (c->ranks[rank].held == 0)
-        return hold (c, rank, step) == CF_ACK_DONE;
+        return hold (c, rank, step) == CF_RANK_OP_DONE;
     }
   /* Every rank holds: no single go can let the step begin. */
   return TRUE;
@@ -206,7 +206,7 @@
 
 /* Undoes what is pending.  The ranks are looked at afresh in each round,
  * since late orders may have changed them. */
-static CfMapChange
+static CfMapChangeResult
 undo (Change *c, gint64 burnt_above, const CfExpertMap *in_use)
 {
   gboolean held = FALSE;
@@ -215,16 +215,17 @@
   while (now_ms (c) - since <= c->limits->settle_ms && !c->fenced)
     {
       if (undo_round (c, burnt_above, in_use, &held))
-        return CF_MAP_ABORTED;
+        return CF_MAP_CHANGE_ABORTED;
       if (!c->ops->pause (c->ops->data, POLL_MS))
         break;
     }
   return cut_short (c);
 }
 
-CfMapChange
-cf_map_settle (const CfRankOps *ops, gint64 turn, const CfExpertMap *in_use,
-               const CfMapLimits *limits)
+CfMapChangeResult
+cf_map_change_settle (const CfRankOps *ops, gint64 turn,
+                      const CfExpertMap *in_use,
+                      const CfMapChangeLimits *limits)
 {
   g_autofree CfRankReport *ranks = g_new0 (CfRankReport, ops->ranks);
   Change c = { .ops = ops, .limits = limits, .turn = turn, .ranks = ranks };
@@ -244,7 +245,7 @@
   op.u.prepare.version = map->version;
   op.u.prepare.map = map;
   for (int r = 0; r < c->ops->ranks; r++)
-    if (order (c, r, &op) == CF_ACK_REFUSED || c->fenced)
+    if (order (c, r, &op) == CF_RANK_OP_REFUSED || c->fenced)
       return FALSE;
   for (;;)
     {
@@ -262,7 +263,7 @@
 static gint64
 hold_ahead (Change *c)
 {
-  int lead = c->limits->lead_steps;
+  int lead = c->limits->steps_ahead;
 
   for (int i = 0; i < HOLD_TRIES; i++, lead *= 4)
     {
@@ -272,23 +273,23 @@
 
       switch (hold (c, (int)(c->turn % c->ops->ranks), step))
         {
-        case CF_ACK_DONE:
+        case CF_RANK_OP_DONE:
           return step;
-        case CF_ACK_REFUSED:
+        case CF_RANK_OP_REFUSED:
           if (!look (c))
             return 0;
           break;
-        case CF_ACK_UNKNOWN:
-        case CF_ACK_FENCED:
+        case CF_RANK_OP_UNKNOWN:
+        case CF_RANK_OP_FENCED:
           return 0;
         }
     }
   return 0;
 }
 
-CfMapChange
-cf_map_change (const CfRankOps *ops, gint64 turn, const CfExpertMap *in_use,
-               CfExpertMap *map, const CfMapLimits *limits)
+CfMapChangeResult
+cf_map_change_run (const CfRankOps *ops, gint64 turn, const CfExpertMap *in_use,
+                   CfExpertMap *map, const CfMapChangeLimits *limits)
 {
   g_autofree CfRankReport *ranks = g_new0 (CfRankReport, ops->ranks);
   Change c = { .ops = ops, .limits = limits, .turn = turn, .ranks = ranks };
@@ -300,7 +301,7 @@
     return cut_short (&c);
   map->version = highest_version (&c) + 1;
   if (!prepare_all (&c, map))
-    return c.fenced ? CF_MAP_FENCED : CF_MAP_ABORTED;
+    return c.fenced ? CF_MAP_CHANGE_FENCED : CF_MAP_CHANGE_ABORTED;
   step = hold_ahead (&c);
   if (step == 0)
     return undo (&c, map->version, in_use);
@@ -308,8 +309,8 @@
   arm.u.arm.version = map->version;
   arm.u.arm.step = step;
   for (int r = 0; r < ops->ranks; r++)
-    if (order (&c, r, &arm) != CF_ACK_DONE)
-      return c.fenced ? CF_MAP_FENCED : undo (&c, map->version, in_use);
+    if (order (&c, r, &arm) != CF_RANK_OP_DONE)
+      return c.fenced ? CF_MAP_CHANGE_FENCED : undo (&c, map->version, in_use);
 
   /* From the first go on the change is decided: it is never undone here. */
   since = now_ms (&c);
@@ -317,11 +318,11 @@
     {
       switch (go (&c, (int)(turn % ops->ranks), step))
         {
-        case CF_ACK_DONE:
-        case CF_ACK_REFUSED: /* not held any more: an earlier go came */
-          return CF_MAP_CHANGED;
-        case CF_ACK_UNKNOWN:
-        case CF_ACK_FENCED:
+        case CF_RANK_OP_DONE:
+        case CF_RANK_OP_REFUSED: /* not held any more: an earlier go came */
+          return CF_MAP_CHANGE_DONE;
+        case CF_RANK_OP_UNKNOWN:
+        case CF_RANK_OP_FENCED:
           break;
         }
       if (!ops->pause (ops->data, POLL_MS))
@@ -331,17 +332,17 @@
 }
 
 const char *
-cf_map_change_name (CfMapChange c)
+cf_map_change_result_name (CfMapChangeResult c)
 {
   switch (c)
     {
-    case CF_MAP_CHANGED:
+    case CF_MAP_CHANGE_DONE:
       return "changed";
-    case CF_MAP_ABORTED:
+    case CF_MAP_CHANGE_ABORTED:
       return "aborted";
-    case CF_MAP_FENCED:
+    case CF_MAP_CHANGE_FENCED:
       return "fenced";
-    case CF_MAP_STUCK:
+    case CF_MAP_CHANGE_STUCK:
       return "stuck";
     }
   return "stuck";
--- a/map-change.h
+++ b/map-change.h
@@ -42,14 +42,15 @@
   } u;
 } CfRankOp;
 
-/** CfRankAck: what is known of an order once the call returns. */
+/** CfRankOpResult: what is known of an order once the call returns. */
 typedef enum
 {
-  CF_ACK_DONE,    /**< carried out */
-  CF_ACK_REFUSED, /**< not carried out, and never will be */
-  CF_ACK_UNKNOWN, /**< no answer: carried out, or not, or yet to be */
-  CF_ACK_FENCED,  /**< refused: a coordinator with a higher token took over */
-} CfRankAck;
+  CF_RANK_OP_DONE,    /**< carried out */
+  CF_RANK_OP_REFUSED, /**< not carried out, and never will be */
+  CF_RANK_OP_UNKNOWN, /**< no answer: carried out, or not, or yet to be */
+  CF_RANK_OP_FENCED,  /**< refused: a coordinator with a higher token took over
+                       */
+} CfRankOpResult;
 
 /** CfRankReport: one rank's state; 0 stands for none. */
 typedef struct
@@ -74,33 +75,34 @@
 {
   void *data;
   int ranks;
-  CfRankAck (*order) (void *data, int rank, const CfRankOp *op);
-  CfRankAck (*report) (void *data, int rank, CfRankReport *out);
+  CfRankOpResult (*order) (void *data, int rank, const CfRankOp *op);
+  CfRankOpResult (*report) (void *data, int rank, CfRankReport *out);
   /** Waits @ms; %FALSE when the coordinator should stop trying. */
   gboolean (*pause) (void *data, int ms);
   /** The time in ms, on a clock that is never set back. */
   gint64 (*now) (void *data);
 } CfRankOps;
 
-/** CfMapChange: how a change ended. */
+/** CfMapChangeResult: how a change ended. */
 typedef enum
 {
-  CF_MAP_CHANGED, /**< every rank switches at one step */
-  CF_MAP_ABORTED, /**< no rank switches */
-  CF_MAP_FENCED,  /**< another coordinator took over; it settles the change */
-  CF_MAP_STUCK,   /**< a rank cannot be reached: settle again, soon */
-} CfMapChange;
+  CF_MAP_CHANGE_DONE,    /**< every rank switches at one step */
+  CF_MAP_CHANGE_ABORTED, /**< no rank switches */
+  CF_MAP_CHANGE_FENCED,  /**< another coordinator took over; it settles the
+                            change */
+  CF_MAP_CHANGE_STUCK,   /**< a rank cannot be reached: settle again, soon */
+} CfMapChangeResult;
 
-/** CfMapLimits: how long a change may take, in ms and steps. */
+/** CfMapChangeLimits: how long a change may take, in ms and steps. */
 typedef struct
 {
-  int prepare_ms; /**< until every rank has copied its experts */
-  int settle_ms;  /**< until every rank is known to have let go */
-  int lead_steps; /**< how far ahead the hold is placed */
-} CfMapLimits;
+  int prepare_ms;  /**< until every rank has copied its experts */
+  int settle_ms;   /**< until every rank is known to have let go */
+  int steps_ahead; /**< how far ahead the hold is placed */
+} CfMapChangeLimits;
 
 /**
- * cf_map_settle:
+ * cf_map_change_settle:
  * @turn: differs between coordinators that follow each other, such as the
  *   round of takeovers; it chooses the rank that holds
  * @in_use: the map the group steps on
@@ -109,22 +111,23 @@
  * whatever an earlier coordinator left half done, so that no rank is armed
  * or held and no order still on its way can arm one.
  *
- * Returns: %CF_MAP_ABORTED once that is so, else %CF_MAP_FENCED or
- * %CF_MAP_STUCK.
+ * Returns: %CF_MAP_CHANGE_ABORTED once that is so, else %CF_MAP_CHANGE_FENCED
+ * or %CF_MAP_CHANGE_STUCK.
  */
-CfMapChange cf_map_settle (const CfRankOps *ops, gint64 turn,
-                           const CfExpertMap *in_use,
-                           const CfMapLimits *limits);
+CfMapChangeResult cf_map_change_settle (const CfRankOps *ops, gint64 turn,
+                                        const CfExpertMap *in_use,
+                                        const CfMapChangeLimits *limits);
 
 /**
- * cf_map_change:
+ * cf_map_change_run:
  * @map: the map to change to; its version is set here, above all others
  *
- * Changes a settled group to @map; call cf_map_settle() first.
+ * Changes a settled group to @map; call cf_map_change_settle() first.
  */
-CfMapChange cf_map_change (const CfRankOps *ops, gint64 turn,
-                           const CfExpertMap *in_use, CfExpertMap *map,
-                           const CfMapLimits *limits);
+CfMapChangeResult cf_map_change_run (const CfRankOps *ops, gint64 turn,
+                                     const CfExpertMap *in_use,
+                                     CfExpertMap *map,
+                                     const CfMapChangeLimits *limits);
 
-/** cf_map_change_name: "changed", "aborted", "fenced" or "stuck". */
-const char *cf_map_change_name (CfMapChange c);
+/** cf_map_change_result_name: "changed", "aborted", "fenced" or "stuck". */
+const char *cf_map_change_result_name (CfMapChangeResult c);
--- a/placement.c
+++ b/placement.c
@@ -8,7 +8,7 @@
 #define NORM 12.0
 
 void
-cf_popularity_init (CfPopularity *p, int experts)
+cf_expert_popularity_init (CfExpertPopularity *p, int experts)
 {
   p->experts = experts;
   p->tokens = g_new0 (double, experts);
@@ -17,14 +17,15 @@
 }
 
 void
-cf_popularity_clear (CfPopularity *p)
+cf_expert_popularity_clear (CfExpertPopularity *p)
 {
   g_free (p->tokens);
   g_free (p->last);
 }
 
 void
-cf_popularity_report (CfPopularity *p, const double *counts, double weight)
+cf_expert_popularity_add_report (CfExpertPopularity *p, const double *counts,
+                                 double weight)
 {
   double w = p->any ? weight : 1.0;
 
@@ -54,7 +55,7 @@
   g_autofree double *load = g_new (double, m->ranks);
   double mean = mean_load (m, tokens);
 
-  return mean > 0 ? cf_expert_map_load (m, tokens, load) / mean : 1.0;
+  return mean > 0 ? cf_expert_map_compute_load (m, tokens, load) / mean : 1.0;
 }
 
 /* A smooth stand-in for the skew; see NORM. */
@@ -86,7 +87,7 @@
   double s;
 
   cf_expert_map_set (m, mv->rank, mv->place, mv->expert);
-  cf_expert_map_load (m, tokens, load);
+  cf_expert_map_compute_load (m, tokens, load);
   s = smooth_skew (load, m->ranks, mean);
   cf_expert_map_set (m, mv->rank, mv->place, old);
   return s;
@@ -105,7 +106,7 @@
   Move best = { .rank = -1 };
   int hot = 0;
 
-  cf_expert_map_load (m, tokens, load);
+  cf_expert_map_compute_load (m, tokens, load);
   best.score = smooth_skew (load, m->ranks, mean);
   for (int r = 1; r < m->ranks; r++)
     if (load[r] > load[hot])
@@ -120,7 +121,7 @@
                       .expert = m->held[hot * m->places + hp] };
 
           if (mv.expert < 0 || load[r] >= mean
-              || cf_expert_map_holds (m, r, mv.expert)
+              || cf_expert_map_rank_has (m, r, mv.expert)
               || (old >= 0 && m->copies[old] < 2))
             continue;
           mv.score = score_move (m, tokens, mean, &mv, scratch);
@@ -145,7 +146,7 @@
 
       if (mv.rank < 0)
         break;
-      cf_expert_map_load (m, tokens, load);
+      cf_expert_map_compute_load (m, tokens, load);
       now = smooth_skew (load, m->ranks, mean);
       if ((now - mv.score) * p->u.bounded.skew_weight
           < p->u.bounded.move_weight)
@@ -200,7 +201,8 @@
   int best = -1;
 
   for (int r = 0; r < m->ranks; r++)
-    if (cf_expert_map_holds (m, r, -1) && !cf_expert_map_holds (m, r, expert)
+    if (cf_expert_map_rank_has (m, r, -1)
+        && !cf_expert_map_rank_has (m, r, expert)
         && (best < 0 || load[r] < load[best]))
       best = r;
   return best;
@@ -260,16 +262,16 @@
     return plan;
   switch (p->kind)
     {
-    case CF_PLACE_NONE:
+    case CF_PLACEMENT_NONE:
       return plan;
-    case CF_PLACE_GREEDY:
+    case CF_PLACEMENT_GREEDY:
       plan.map = plan_greedy (current, tokens);
       break;
-    case CF_PLACE_BOUNDED:
+    case CF_PLACEMENT_BOUNDED:
       plan.map = plan_bounded (p, current, tokens);
       break;
     }
-  plan.moves = cf_expert_map_added (current, plan.map);
+  plan.moves = cf_expert_map_count_added (current, plan.map);
   plan.after = cf_placement_skew (plan.map, tokens);
   if (plan.moves == 0 || plan.after >= plan.before)
     {
@@ -283,7 +285,7 @@
 static const char *const names[] = { "none", "greedy", "bounded" };
 
 CfStatus
-cf_placement_kind (const char *name, CfPlacementKind *out)
+cf_placement_kind_from_name (const char *name, CfPlacementKind *out)
 {
   for (guint i = 0; i < G_N_ELEMENTS (names); i++)
     if (g_str_equal (name, names[i]))
@@ -296,7 +298,7 @@
 }
 
 const char *
-cf_placement_name (CfPlacementKind kind)
+cf_placement_kind_name (CfPlacementKind kind)
 {
   return names[kind];
 }
--- a/placement.h
+++ b/placement.h
@@ -11,9 +11,9 @@
 /** CfPlacementKind: the tag of a #CfPlacement. */
 typedef enum
 {
-  CF_PLACE_NONE,    /**< never rebalance */
-  CF_PLACE_GREEDY,  /**< pack every expert anew, hottest first */
-  CF_PLACE_BOUNDED, /**< a few moves at a time, each worth its cost */
+  CF_PLACEMENT_NONE,    /**< never rebalance */
+  CF_PLACEMENT_GREEDY,  /**< pack every expert anew, hottest first */
+  CF_PLACEMENT_BOUNDED, /**< a few moves at a time, each worth its cost */
 } CfPlacementKind;
 
 /** CfPlacement: a policy and its weights, from the settings. */
@@ -32,7 +32,7 @@
 } CfPlacement;
 
 /**
- * CfPopularity:
+ * CfExpertPopularity:
  * How many tokens each expert draws, as a moving average over reports
  * that come late and with gaps.
  */
@@ -42,7 +42,7 @@
   double *tokens; /**< experts entries: average tokens a report */
   double *last;   /**< the counters of the report before */
   gboolean any;   /**< at least one report came */
-} CfPopularity;
+} CfExpertPopularity;
 
 /** CfPlacementPlan: what a policy decided, for its log line. */
 typedef struct
@@ -53,18 +53,18 @@
   double after;     /**< skew on the new map, as predicted */
 } CfPlacementPlan;
 
-void cf_popularity_init (CfPopularity *p, int experts);
-void cf_popularity_clear (CfPopularity *p);
+void cf_expert_popularity_init (CfExpertPopularity *p, int experts);
+void cf_expert_popularity_clear (CfExpertPopularity *p);
 
 /**
- * cf_popularity_report:
+ * cf_expert_popularity_add_report:
  * @counts: experts entries: counters that only grow while a rank lives
  * @weight: the weight of this report in the average, 0 to 1
  *
  * A counter lower than before (the rank restarted) starts anew.
  */
-void cf_popularity_report (CfPopularity *p, const double *counts,
-                           double weight);
+void cf_expert_popularity_add_report (CfExpertPopularity *p,
+                                      const double *counts, double weight);
 
 /** cf_placement_skew: the slowest rank's load over the mean; 1 is even. */
 double cf_placement_skew (const CfExpertMap *m, const double *tokens);
@@ -74,6 +74,6 @@
                                    const CfExpertMap *current,
                                    const double *tokens);
 
-/** cf_placement_kind: reads "none", "greedy" or "bounded". */
-CfStatus cf_placement_kind (const char *name, CfPlacementKind *out);
-const char *cf_placement_name (CfPlacementKind kind);
+/** cf_placement_kind_from_name: reads "none", "greedy" or "bounded". */
+CfStatus cf_placement_kind_from_name (const char *name, CfPlacementKind *out);
+const char *cf_placement_kind_name (CfPlacementKind kind);
--- a/rank-group.c
+++ b/rank-group.c
@@ -22,7 +22,7 @@
   CfLink **links; /* to each member's agent */
   json_t **lists; /* each rank's experts, as last reported */
   gint64 experts, places;
-  CfPopularity seen;
+  CfExpertPopularity seen;
   gint64 round; /* of our own takeovers */
   gint64 jump;  /* how far to raise @round after being fenced */
   gint64 fence; /* of the change under way */
@@ -51,7 +51,7 @@
   p->u.bounded.skew_weight = o->skew_weight;
   p->u.bounded.move_weight = o->move_weight;
   p->u.bounded.max_moves = (int)o->max_moves;
-  return cf_placement_kind (o->policy, &p->kind);
+  return cf_placement_kind_from_name (o->policy, &p->kind);
 }
 
 static const char *
@@ -74,7 +74,7 @@
 }
 
 gboolean
-cf_rank_group_knows (const char *op)
+cf_rank_group_is_rank_order (const char *op)
 {
   static const char *const ops[]
       = { "report", "prepare", "arm", "disarm", "hold", "go", NULL };
@@ -83,7 +83,7 @@
 }
 
 CfStatus
-cf_rank_group_admit (CfRankGroup *g, const char *op, gint64 fence)
+cf_rank_group_check_fence (CfRankGroup *g, const char *op, gint64 fence)
 {
   gint64 n = g->set.members->len;
   CfStatus st = CF_OK;
@@ -110,7 +110,7 @@
 }
 
 gint64
-cf_rank_group_fence (CfRankGroup *g)
+cf_rank_group_highest_fence (CfRankGroup *g)
 {
   gint64 fence;
 
@@ -121,8 +121,8 @@
 }
 
 CfStatus
-cf_rank_group_order (CfRankGroup *g, const char *op, const char *args,
-                     gint64 fence, long *code, char **out)
+cf_rank_group_run_order (CfRankGroup *g, const char *op, const char *args,
+                         gint64 fence, long *code, char **out)
 {
   g_autofree char *url = NULL;
   g_autofree char *body = NULL;
@@ -150,37 +150,37 @@
 }
 
 /* Sends one order to a rank's agent; @reply is the engine's JSON. */
-static CfRankAck
+static CfRankOpResult
 call_rank (CfRankGroup *g, int rank, const char *op, char *args, json_t **reply)
 {
   CfMsg m = { .kind = CF_MSG_ORDER };
   CfMsg r = { 0 };
-  CfRankAck ack = CF_ACK_UNKNOWN;
+  CfRankOpResult ack = CF_RANK_OP_UNKNOWN;
 
   m.u.order.fence = g->fence;
   m.u.order.op = (char *)op;
   m.u.order.args = args;
   if (cf_link_call (g->links[rank], &m, cf_now_ms () + ORDER_MS + LOCAL_MS, &r)
       != CF_CALL_REPLY)
-    return CF_ACK_UNKNOWN;
+    return CF_RANK_OP_UNKNOWN;
   if (r.kind == CF_MSG_ANSWER)
     {
-      ack = r.u.answer.code < 300   ? CF_ACK_DONE
-            : r.u.answer.code < 500 ? CF_ACK_REFUSED
-                                    : CF_ACK_UNKNOWN;
-      if (reply && ack == CF_ACK_DONE)
+      ack = r.u.answer.code < 300   ? CF_RANK_OP_DONE
+            : r.u.answer.code < 500 ? CF_RANK_OP_REFUSED
+                                    : CF_RANK_OP_UNKNOWN;
+      if (reply && ack == CF_RANK_OP_DONE)
         *reply = json_loads (r.u.answer.body, 0, NULL);
     }
   else if (r.kind == CF_MSG_REFUSAL && r.u.refusal.ran == CF_RAN_NO)
     ack = g_str_equal (r.u.refusal.reason, CF_REASON_STALE_FENCE)
-              ? CF_ACK_FENCED
-              : CF_ACK_REFUSED;
+              ? CF_RANK_OP_FENCED
+              : CF_RANK_OP_REFUSED;
   cf_msg_clear (&r);
   return ack;
 }
 
 json_t *
-cf_rank_op_json (const CfRankOp *op)
+cf_rank_op_to_json (const CfRankOp *op)
 {
   json_t *o = json_pack ("{s:s}", "op", op_name (op->kind));
 
@@ -203,24 +203,24 @@
   return o;
 }
 
-static CfRankAck
+static CfRankOpResult
 on_order (void *data, int rank, const CfRankOp *op)
 {
   CfRankGroup *g = data;
-  json_t *o = cf_rank_op_json (op);
+  json_t *o = cf_rank_op_to_json (op);
   g_autofree char *args = NULL;
-  CfRankAck ack;
+  CfRankOpResult ack;
 
   args = json_dumps (o, JSON_COMPACT);
   json_decref (o);
   ack = call_rank (g, rank, op_name (op->kind), args, NULL);
-  if (ack != CF_ACK_DONE)
+  if (ack != CF_RANK_OP_DONE)
     cf_log (LOG_INFO, CF_EV_RANK_ORDER,
             "rank=%d op=%s fence=%" G_GINT64_FORMAT " ack=%s", rank,
             op_name (op->kind), g->fence,
-            ack == CF_ACK_REFUSED  ? "refused"
-            : ack == CF_ACK_FENCED ? "fenced"
-                                   : "unknown");
+            ack == CF_RANK_OP_REFUSED  ? "refused"
+            : ack == CF_RANK_OP_FENCED ? "fenced"
+                                       : "unknown");
   return ack;
 }
 
@@ -242,16 +242,16 @@
   r->held = int_field (o, "held");
 }
 
-static CfRankAck
+static CfRankOpResult
 on_report (void *data, int rank, CfRankReport *out)
 {
   CfRankGroup *g = data;
   json_t *o = NULL;
-  CfRankAck ack = call_rank (g, rank, "report", NULL, &o);
+  CfRankOpResult ack = call_rank (g, rank, "report", NULL, &o);
 
-  if (ack == CF_ACK_DONE && o == NULL)
-    ack = CF_ACK_UNKNOWN;
-  if (ack != CF_ACK_DONE)
+  if (ack == CF_RANK_OP_DONE && o == NULL)
+    ack = CF_RANK_OP_UNKNOWN;
+  if (ack != CF_RANK_OP_DONE)
     return ack;
   read_report (o, out);
   g->experts = int_field (o, "experts_total");
@@ -306,7 +306,7 @@
 
   for (guint i = 0; i < g->set.members->len; i++)
     {
-      if (on_report (g, (int)i, &r) != CF_ACK_DONE)
+      if (on_report (g, (int)i, &r) != CF_RANK_OP_DONE)
         goto out;
       json_array_append (ranks, g->lists[i]);
     }
@@ -325,50 +325,51 @@
 {
   gint64 n = g->set.members->len;
 
-  g->round = MAX (g->round, cf_rank_group_fence (g) / n) + g->jump;
+  g->round = MAX (g->round, cf_rank_group_highest_fence (g) / n) + g->jump;
   g->fence = g->round * n + g->set.rank;
 }
 
 /* How a round ended; a fenced one tries with a much higher token next, as
  * the others' may be far above what this agent has seen. */
 static void
-end_round (CfRankGroup *g, CfMapChange end)
+end_round (CfRankGroup *g, CfMapChangeResult end)
 {
-  g->jump = end == CF_MAP_FENCED ? MIN (g->jump * 2, ROUND_JUMP_MAX) : 1;
+  g->jump = end == CF_MAP_CHANGE_FENCED ? MIN (g->jump * 2, ROUND_JUMP_MAX) : 1;
 }
 
 /* Fences and settles the group; NULL if that did not succeed, else the map
  * in use. */
 static CfExpertMap *
-take_over (CfRankGroup *g, const CfRankOps *ops, const CfMapLimits *limits,
-           const char *why)
+take_over (CfRankGroup *g, const CfRankOps *ops,
+           const CfMapChangeLimits *limits, const char *why)
 {
-  CfMapChange end = CF_MAP_STUCK;
+  CfMapChangeResult end = CF_MAP_CHANGE_STUCK;
   CfExpertMap *in_use;
 
   connect_members (g);
   next_fence (g);
   in_use = collect_map (g);
   if (in_use)
-    end = cf_map_settle (ops, g->round, in_use, limits);
-  if (in_use == NULL || end != CF_MAP_ABORTED
+    end = cf_map_change_settle (ops, g->round, in_use, limits);
+  if (in_use == NULL || end != CF_MAP_CHANGE_ABORTED
       || !g_str_equal (why, "placement"))
     cf_log (LOG_NOTICE, CF_EV_MAP_SETTLE,
             "reason=%s fence=%" G_GINT64_FORMAT " result=%s", why, g->fence,
-            end == CF_MAP_ABORTED ? "settled" : cf_map_change_name (end));
+            end == CF_MAP_CHANGE_ABORTED ? "settled"
+                                         : cf_map_change_result_name (end));
   /* An unreachable map may be another coordinator's fence: raise ours. */
-  end_round (g, in_use ? end : CF_MAP_FENCED);
-  if (end != CF_MAP_ABORTED)
+  end_round (g, in_use ? end : CF_MAP_CHANGE_FENCED);
+  if (end != CF_MAP_CHANGE_ABORTED)
     g_clear_pointer (&in_use, cf_expert_map_free);
   return in_use;
 }
 
 static void
-decide (CfRankGroup *g, const CfRankOps *ops, const CfMapLimits *limits)
+decide (CfRankGroup *g, const CfRankOps *ops, const CfMapChangeLimits *limits)
 {
   CfExpertMap *in_use = take_over (g, ops, limits, "placement");
   CfPlacementPlan plan = { 0 };
-  CfMapChange end;
+  CfMapChangeResult end;
 
   if (in_use == NULL || g->seen.experts != in_use->experts)
     goto out;
@@ -376,17 +377,17 @@
   cf_log (LOG_INFO, CF_EV_PLACEMENT,
           "policy=%s map=%" G_GINT64_FORMAT
           " skew=%.3f predicted=%.3f moves=%d decision=%s",
-          cf_placement_name (g->set.placement.kind), in_use->version,
+          cf_placement_kind_name (g->set.placement.kind), in_use->version,
           plan.before, plan.after, plan.moves, plan.map ? "change" : "stay");
   if (plan.map == NULL)
     goto out;
-  end = cf_map_change (ops, g->round, in_use, plan.map, limits);
+  end = cf_map_change_run (ops, g->round, in_use, plan.map, limits);
   end_round (g, end);
   cf_log (LOG_NOTICE, CF_EV_MAP_CHANGE,
           "from=%" G_GINT64_FORMAT " to=%" G_GINT64_FORMAT
           " fence=%" G_GINT64_FORMAT " result=%s",
           in_use->version, plan.map->version, g->fence,
-          cf_map_change_name (end));
+          cf_map_change_result_name (end));
 out:
   cf_expert_map_free (plan.map);
   cf_expert_map_free (in_use);
@@ -414,12 +415,12 @@
   o = json_loads (body, 0, NULL);
   a = json_object_get (o, "counts");
   if (g->seen.experts == 0 && json_array_size (a) > 0)
-    cf_popularity_init (&g->seen, (int)json_array_size (a));
+    cf_expert_popularity_init (&g->seen, (int)json_array_size (a));
   if (g->seen.experts > 0 && (int)json_array_size (a) == g->seen.experts)
     {
       counts = g_new (double, g->seen.experts);
       json_array_foreach (a, i, v) counts[i] = json_number_value (v);
-      cf_popularity_report (&g->seen, counts, REPORT_WEIGHT);
+      cf_expert_popularity_add_report (&g->seen, counts, REPORT_WEIGHT);
     }
   json_decref (o);
 }
@@ -438,7 +439,7 @@
   json_t *o;
   long code = 0;
 
-  if (cf_rank_group_order (g, "report", NULL, 0, &code, &body) != CF_OK
+  if (cf_rank_group_run_order (g, "report", NULL, 0, &code, &body) != CF_OK
       || code != 200 || (o = json_loads (body, 0, NULL)) == NULL)
     {
       g->moved_ms = g->held_ms = now;
@@ -481,9 +482,9 @@
                     .report = on_report,
                     .pause = on_pause,
                     .now = on_now };
-  CfMapLimits limits = { .prepare_ms = (int)g->set.prepare_ms,
-                         .settle_ms = SETTLE_MS,
-                         .lead_steps = LEAD_STEPS };
+  CfMapChangeLimits limits = { .prepare_ms = (int)g->set.prepare_ms,
+                               .settle_ms = SETTLE_MS,
+                               .steps_ahead = LEAD_STEPS };
 
   for (;; usleep (TICK_MS * 1000))
     {
@@ -525,7 +526,7 @@
 }
 
 void
-cf_rank_group_rebalance (CfRankGroup *g)
+cf_rank_group_request_rebalance (CfRankGroup *g)
 {
   g_atomic_int_set (&g->rebalance, 1);
 }
--- a/rank-group.h
+++ b/rank-group.h
@@ -48,7 +48,7 @@
                                   const char *target_url);
 
 /**
- * cf_rank_group_order:
+ * cf_rank_group_run_order:
  * Carries out one coordinator's order at this agent's rank, after its
  * fencing token has passed.
  * @op: the order's name: "report" or one of #CfRankOpKind's
@@ -57,28 +57,31 @@
  * @code: (out): the engine's HTTP status
  * @out: (out): the engine's reply
  */
-CfStatus cf_rank_group_order (CfRankGroup *g, const char *op, const char *args,
-                              gint64 fence, long *code, char **out);
+CfStatus cf_rank_group_run_order (CfRankGroup *g, const char *op,
+                                  const char *args, gint64 fence, long *code,
+                                  char **out);
 
 /**
- * cf_rank_op_json: @op as the JSON object that a rank's engine takes, with
+ * cf_rank_op_to_json: @op as the JSON object that a rank's engine takes, with
  * its name and without a fencing token.
  */
-json_t *cf_rank_op_json (const CfRankOp *op);
+json_t *cf_rank_op_to_json (const CfRankOp *op);
 
-/** cf_rank_group_knows: whether @op is an order to a rank. */
-gboolean cf_rank_group_knows (const char *op);
+/** cf_rank_group_is_rank_order: whether @op is an order to a rank. */
+gboolean cf_rank_group_is_rank_order (const char *op);
 
 /**
- * cf_rank_group_admit:
+ * cf_rank_group_check_fence:
  * The fencing rule for orders to the rank; docs/MAP-CHANGE.md.
  * Returns: %CF_OK, %CF_ERR_STALE for a token lower than one seen, or
  * %CF_ERR_USAGE if no coordinator has reported in since this agent started.
  */
-CfStatus cf_rank_group_admit (CfRankGroup *g, const char *op, gint64 fence);
+CfStatus cf_rank_group_check_fence (CfRankGroup *g, const char *op,
+                                    gint64 fence);
 
-/** cf_rank_group_rebalance: decide placement now, on the group's thread. */
-void cf_rank_group_rebalance (CfRankGroup *g);
+/** cf_rank_group_request_rebalance: decide placement now, on the group's
+ * thread. */
+void cf_rank_group_request_rebalance (CfRankGroup *g);
 
-/** cf_rank_group_fence: the highest fencing token seen. */
-gint64 cf_rank_group_fence (CfRankGroup *g);
+/** cf_rank_group_highest_fence: the highest fencing token seen. */
+gint64 cf_rank_group_highest_fence (CfRankGroup *g);
--- a/t/t-guard.c
+++ b/t/t-guard.c
@@ -50,7 +50,7 @@
   ck_assert_int_eq (
       cf_guard_begin (&g, "c", CF_KEYED_UNCLAIMED, 1, &code, &body),
       CF_GUARD_FULL);
-  cf_guard_forget (&g, "b");
+  cf_guard_remove (&g, "b");
   ck_assert_int_eq (
       cf_guard_begin (&g, "c", CF_KEYED_UNCLAIMED, 1, &code, &body),
       CF_GUARD_NEW);
@@ -100,7 +100,7 @@
   CfGuard g;
 
   cf_guard_init (&g, 1000, 4, 100);
-  ck_assert_int_eq (cf_guard_quiet_ms (&g, 40), 60);
+  ck_assert_int_eq (cf_guard_remaining_quiet_ms (&g, 40), 60);
   ck_assert_int_eq (cf_guard_claim (&g, "k", "t1", "a1", 40, &holder),
                     CF_VERDICT_ABSTAIN);
   /* What it heard in the quiet time it holds, and never turns into a grant. */
--- a/t/t-map.c
+++ b/t/t-map.c
@@ -20,8 +20,8 @@
 #define LATE_MAX 64
 #define SEQUENCES 4000
 
-static const CfMapLimits limits
-    = { .prepare_ms = 400, .settle_ms = 1000, .lead_steps = 4 };
+static const CfMapChangeLimits limits
+    = { .prepare_ms = 400, .settle_ms = 1000, .steps_ahead = 4 };
 
 /* An order on its way that nobody waits for any more. */
 typedef struct
@@ -50,7 +50,7 @@
   gint64 steps, switches, mixed, faults;
 } World;
 
-static CfRankAck
+static CfRankOpResult
 carry_out (World *w, int rank, const CfRankOp *op)
 {
   CfRankReport *r = &w->ranks[rank];
@@ -59,44 +59,44 @@
     {
     case CF_RANK_PREPARE:
       if (op->u.prepare.version <= r->newest || r->armed)
-        return CF_ACK_REFUSED;
+        return CF_RANK_OP_REFUSED;
       r->newest = r->prepared = op->u.prepare.version;
-      return CF_ACK_DONE;
+      return CF_RANK_OP_DONE;
     case CF_RANK_ARM:
       if (r->prepared != op->u.arm.version || op->u.arm.step <= r->step)
-        return CF_ACK_REFUSED;
+        return CF_RANK_OP_REFUSED;
       r->armed = op->u.arm.version;
       r->armed_step = op->u.arm.step;
-      return CF_ACK_DONE;
+      return CF_RANK_OP_DONE;
     case CF_RANK_DISARM:
       if (r->map == op->u.arm.version)
-        return CF_ACK_REFUSED;
+        return CF_RANK_OP_REFUSED;
       if (r->armed == op->u.arm.version)
         r->armed = 0;
-      return CF_ACK_DONE;
+      return CF_RANK_OP_DONE;
     case CF_RANK_HOLD:
       if (op->u.hold.step <= r->step || (r->held && r->held != op->u.hold.step))
-        return CF_ACK_REFUSED;
+        return CF_RANK_OP_REFUSED;
       r->held = op->u.hold.step;
-      return CF_ACK_DONE;
+      return CF_RANK_OP_DONE;
     case CF_RANK_GO:
       if (r->held != op->u.hold.step)
-        return CF_ACK_REFUSED;
+        return CF_RANK_OP_REFUSED;
       r->held = 0;
-      return CF_ACK_DONE;
+      return CF_RANK_OP_DONE;
     }
-  return CF_ACK_REFUSED;
+  return CF_RANK_OP_REFUSED;
 }
 
-static CfRankAck
+static CfRankOpResult
 pass_fence (World *w, int rank, gint64 fence)
 {
   if (w->open[rank] && fence < w->fence[rank])
-    return CF_ACK_FENCED;
+    return CF_RANK_OP_FENCED;
   if (!w->open[rank])
-    return CF_ACK_REFUSED;
+    return CF_RANK_OP_REFUSED;
   w->fence[rank] = fence;
-  return CF_ACK_DONE;
+  return CF_RANK_OP_DONE;
 }
 
 static void
@@ -136,7 +136,7 @@
           i++;
           continue;
         }
-      if (!l->at_agent || pass_fence (w, l->rank, l->fence) == CF_ACK_DONE)
+      if (!l->at_agent || pass_fence (w, l->rank, l->fence) == CF_RANK_OP_DONE)
         carry_out (w, l->rank, &l->op);
       *l = w->late[--w->n_late];
     }
@@ -157,12 +157,12 @@
                                  .at_agent = at_agent };
 }
 
-static CfRankAck
+static CfRankOpResult
 fake_order (void *data, int rank, const CfRankOp *op)
 {
   World *w = data;
   int luck = g_rand_int_range (w->rand, 0, 100);
-  CfRankAck fenced;
+  CfRankOpResult fenced;
 
   for (int i = g_rand_int_range (w->rand, 0, 4); i > 0; i--)
     tick (w);
@@ -173,7 +173,7 @@
       w->dies_in = -2;
     }
   if (w->dies_in == -2)
-    return CF_ACK_FENCED;
+    return CF_RANK_OP_FENCED;
   if (w->dies_in > 0)
     w->dies_in--;
   if (!w->calm && g_rand_int_range (w->rand, 0, 60) == 0)
@@ -184,7 +184,7 @@
       w->fence[rank] = 0;
     }
   fenced = pass_fence (w, rank, w->my_fence);
-  if (fenced != CF_ACK_DONE)
+  if (fenced != CF_RANK_OP_DONE)
     return fenced;
   if (w->calm || luck < 88)
     return carry_out (w, rank, op);
@@ -197,10 +197,10 @@
     run_late (w, rank, op, FALSE);
   else
     w->faults++; /* lost */
-  return CF_ACK_UNKNOWN;
+  return CF_RANK_OP_UNKNOWN;
 }
 
-static CfRankAck
+static CfRankOpResult
 fake_report (void *data, int rank, CfRankReport *out)
 {
   World *w = data;
@@ -208,13 +208,13 @@
   tick (w);
   w->now_ms += w->report_ms;
   if (w->dies_in == -2 || (w->open[rank] && w->my_fence < w->fence[rank]))
-    return CF_ACK_FENCED;
+    return CF_RANK_OP_FENCED;
   w->open[rank] = TRUE;
   w->fence[rank] = w->my_fence;
   if (!w->calm && g_rand_int_range (w->rand, 0, 100) < 4)
-    return CF_ACK_UNKNOWN;
+    return CF_RANK_OP_UNKNOWN;
   *out = w->ranks[rank];
-  return CF_ACK_DONE;
+  return CF_RANK_OP_DONE;
 }
 
 static gboolean
@@ -264,8 +264,9 @@
       w.dies_in = g_rand_int_range (w.rand, 0, 2)
                       ? -1
                       : g_rand_int_range (w.rand, 0, 5 * RANKS);
-      if (cf_map_settle (&ops, turn, map, &limits) == CF_MAP_ABORTED)
-        cf_map_change (&ops, turn, map, map, &limits);
+      if (cf_map_change_settle (&ops, turn, map, &limits)
+          == CF_MAP_CHANGE_ABORTED)
+        cf_map_change_run (&ops, turn, map, map, &limits);
       ck_assert_msg (w.mixed == 0,
                      "seed %u: ranks used different maps in step %d (turn %d)",
                      seed, (int)w.ranks[0].step, (int)turn);
@@ -277,11 +278,12 @@
   for (int i = 0; i < 200; i++)
     tick (&w);
   w.my_fence = ++turn;
-  ck_assert_msg (cf_map_settle (&ops, turn, map, &limits) == CF_MAP_ABORTED,
+  ck_assert_msg (cf_map_change_settle (&ops, turn, map, &limits)
+                     == CF_MAP_CHANGE_ABORTED,
                  "seed %u: not settled once the faults were over", seed);
   before = w.ranks[0].map;
-  ck_assert_int_eq (cf_map_change (&ops, turn, map, map, &limits),
-                    CF_MAP_CHANGED);
+  ck_assert_int_eq (cf_map_change_run (&ops, turn, map, map, &limits),
+                    CF_MAP_CHANGE_DONE);
   for (int i = 0; i < 400; i++)
     tick (&w);
   ck_assert_msg (w.ranks[0].map > before, "seed %u: no rank changed", seed);
@@ -310,13 +312,13 @@
 END_TEST
 
 /* Obeys, but its copies never become whole. */
-static CfRankAck
+static CfRankOpResult
 never_ready (void *data, int rank, const CfRankOp *op)
 {
   (void)data;
   (void)rank;
   (void)op;
-  return CF_ACK_DONE;
+  return CF_RANK_OP_DONE;
 }
 
 /* The time that slow ranks take to report counts too: a change that cannot
@@ -334,7 +336,8 @@
   gint64 look_ms = RANKS * w.report_ms;
 
   w.rand = g_rand_new_with_seed (1);
-  ck_assert_int_eq (cf_map_change (&ops, 1, map, map, &limits), CF_MAP_ABORTED);
+  ck_assert_int_eq (cf_map_change_run (&ops, 1, map, map, &limits),
+                    CF_MAP_CHANGE_ABORTED);
   ck_assert_int_ge (w.now_ms, limits.prepare_ms);
   ck_assert_int_le (w.now_ms, limits.prepare_ms + 3 * look_ms);
   cf_expert_map_free (map);
@@ -348,10 +351,10 @@
   double tokens[4] = { 90, 10, 0, 0 };
   double load[2];
 
-  ck_assert_double_eq (cf_expert_map_load (m, tokens, load), 90);
+  ck_assert_double_eq (cf_expert_map_compute_load (m, tokens, load), 90);
   /* Rank 1 takes a copy of expert 0 in its spare place. */
   cf_expert_map_set (m, 1, 2, 0);
-  ck_assert_double_eq (cf_expert_map_load (m, tokens, load), 55);
+  ck_assert_double_eq (cf_expert_map_compute_load (m, tokens, load), 55);
   ck_assert_double_eq (load[0], 45);
   cf_expert_map_free (m);
 }
--- a/t/t-placement.c
+++ b/t/t-placement.c
@@ -11,7 +11,7 @@
 #define RANKS 4
 #define PLACES 5
 
-static const CfPlacement greedy = { .kind = CF_PLACE_GREEDY };
+static const CfPlacement greedy = { .kind = CF_PLACEMENT_GREEDY };
 
 /* Experts 0, 4, 8 and 12 sit on rank 0 of map 1 and draw the most. */
 static void
@@ -24,7 +24,7 @@
 static CfPlacement
 bounded (int max_moves, double move_weight)
 {
-  CfPlacement p = { .kind = CF_PLACE_BOUNDED };
+  CfPlacement p = { .kind = CF_PLACEMENT_BOUNDED };
 
   p.u.bounded.skew_weight = 1.0;
   p.u.bounded.move_weight = move_weight;
@@ -40,7 +40,7 @@
       int copies = 0;
 
       for (int r = 0; r < RANKS; r++)
-        copies += cf_expert_map_holds (m, r, e);
+        copies += cf_expert_map_rank_has (m, r, e);
       ck_assert_int_ge (copies, 1);
       ck_assert_int_eq (copies, m->copies[e]);
     }
@@ -49,7 +49,7 @@
 START_TEST (test_policies_even_out_skew)
 {
   CfExpertMap *m = cf_expert_map_new (EXPERTS, RANKS, PLACES);
-  CfPlacement none = { .kind = CF_PLACE_NONE };
+  CfPlacement none = { .kind = CF_PLACEMENT_NONE };
   CfPlacement few = bounded (3, 0.001);
   CfPlacementPlan p;
   double tokens[EXPERTS];
@@ -98,20 +98,20 @@
 
 START_TEST (test_popularity_follows_late_and_restarted_counters)
 {
-  CfPopularity p;
+  CfExpertPopularity p;
   double first[2] = { 100, 20 };
   double second[2] = { 140, 20 };
   double restarted[2] = { 8, 2 };
 
-  cf_popularity_init (&p, 2);
-  cf_popularity_report (&p, first, 0.5);
+  cf_expert_popularity_init (&p, 2);
+  cf_expert_popularity_add_report (&p, first, 0.5);
   ck_assert_double_eq (p.tokens[0], 100);
-  cf_popularity_report (&p, second, 0.5);
+  cf_expert_popularity_add_report (&p, second, 0.5);
   ck_assert_double_eq (p.tokens[0], 70); /* halfway from 100 to 40 */
   ck_assert_double_eq (p.tokens[1], 10);
-  cf_popularity_report (&p, restarted, 0.5);
+  cf_expert_popularity_add_report (&p, restarted, 0.5);
   ck_assert_double_eq (p.tokens[0], 39); /* halfway from 70 to 8 */
-  cf_popularity_clear (&p);
+  cf_expert_popularity_clear (&p);
 }
 END_TEST
 
