--- a/agent-jobs.c
+++ b/agent-jobs.c
@@ -8,23 +8,23 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/** The longest call of so long is remembered, twice: as long as the usual
- * grace of a stop, so that its last calls are still measured by those before
- * it. */
-#define CALLS_SPAN_MS 30000L
+/* The longest call is kept for this window and the one before.  A window is
+ * as long as the default drain_grace_ms, so that calls made before a drain
+ * still count towards the estimate for the drain's last calls. */
+#define CALL_WINDOW_MS 30000L
 
-/* What lives for one request, from its frame to its reply. */
+/* A request or cancellation, from its frame until its worker is done. */
 typedef struct
 {
   CfAgentConn *conn;
   CfMsg msg;
-  long long deadline_at;
+  long long deadline_at_ms; /* on cf_now_ms()'s clock; requests only */
 } Job;
 
 CfLoad
 cf_agent_get_load (CfAgent *a)
 {
-  unsigned int queued = cf_ring_length (&a->work);
+  unsigned int queued = cf_ring_length (&a->job_queue);
   CfLoad l
       = { .in_flight = MAX (ck_pr_load_int (&a->in_flight) - (int)queued, 0),
           .queued = queued,
@@ -34,7 +34,6 @@
   return l;
 }
 
-/* %CF_ERR_FULL if @m does not fit a frame; nothing is sent then. */
 CfStatus
 cf_agent_conn_send (CfAgentConn *c, CfMsg *m)
 {
@@ -43,7 +42,8 @@
   m->load = cf_agent_get_load (c->agent);
   pthread_mutex_lock (&c->write_lock);
   st = cf_msg_write (c->fd, m);
-  /* A failed write means the entry is gone; it will see the link lost. */
+  /* A failed write means that the entry is gone; the shutdown makes it see
+   * the link as lost. */
   if (st == CF_ERR_NET)
     shutdown (c->fd, SHUT_RDWR);
   pthread_mutex_unlock (&c->write_lock);
@@ -78,62 +78,66 @@
     cf_agent_refuse (c, id, CF_RAN_YES, "answer-too-large", 0);
 }
 
-/* Tells the target to stop work nobody waits for; best effort, since the
- * request's fate is reported as unknown either way. */
+/* Asks the target to stop a request that no caller waits for.  Best effort:
+ * the request is reported as "ran unknown" either way. */
 static void
 cancel_at_target (CfAgent *a, const char *rid)
 {
-  g_autofree char *url
-      = g_strdup_printf ("%s/v1/cancel?request=%s", a->set.target_url, rid);
+  g_autofree char *url = g_strdup_printf ("%s/v1/cancel?request=%s",
+                                          a->settings.target_url, rid);
   long code = 0;
 
   cf_http_call ("POST", url, "", NULL, 500, &code, NULL);
 }
 
+/* Starts a new window once the current one is over.  The caller holds
+ * call_window_lock. */
 static void
-begin_span (CfAgent *a, long long now)
+rotate_call_window (CfAgent *a, long long now)
 {
-  long long age = now - a->calls_span_ms;
+  long long age = now - a->call_window_start_ms;
 
-  if (age < CALLS_SPAN_MS)
+  if (age < CALL_WINDOW_MS)
     return;
-  a->slowest_ms[1] = age < 2 * CALLS_SPAN_MS ? a->slowest_ms[0] : 0;
-  a->slowest_ms[0] = 0;
-  a->calls_span_ms = now;
+  a->slowest_call_ms[1] = age < 2 * CALL_WINDOW_MS ? a->slowest_call_ms[0] : 0;
+  a->slowest_call_ms[0] = 0;
+  a->call_window_start_ms = now;
 }
 
 static void
-remember_call (CfAgent *a, gint64 ms)
+record_call_duration (CfAgent *a, gint64 ms)
 {
-  pthread_mutex_lock (&a->calls_lock);
-  begin_span (a, cf_now_ms ());
-  a->slowest_ms[0] = MAX (a->slowest_ms[0], ms);
-  pthread_mutex_unlock (&a->calls_lock);
+  pthread_mutex_lock (&a->call_window_lock);
+  rotate_call_window (a, cf_now_ms ());
+  a->slowest_call_ms[0] = MAX (a->slowest_call_ms[0], ms);
+  pthread_mutex_unlock (&a->call_window_lock);
 }
 
-/* Whether @j would not end before the process does, should it take as long as
- * the longest call that is remembered: what is cut off at the target may have
- * run, what is refused here can run elsewhere.  Of three calls of 0.8 s with
- * 2 s of grace the last was begun 0.6 s before the end and cut off. */
+/* Whether @j might still run when the process ends, if it takes as long as
+ * the longest recent call.  A call cut off at the target may have run, whereas
+ * one refused here can safely run elsewhere.  Without this check, of three
+ * queued calls of 0.8 s each and a grace of 2 s, the last was started 0.6 s
+ * before the end and cut off. */
 static gboolean
-outlasts_stop (CfAgent *a, const Job *j)
+may_outlast_stop (CfAgent *a, const Job *j)
 {
-  gint64 stop_at = __atomic_load_n (&a->stop_at_ms, __ATOMIC_ACQUIRE);
+  gint64 stop_deadline
+      = __atomic_load_n (&a->stop_deadline_ms, __ATOMIC_ACQUIRE);
   long long now = cf_now_ms ();
   gint64 slowest;
 
-  if (stop_at == 0)
+  if (stop_deadline == 0)
     return FALSE;
-  pthread_mutex_lock (&a->calls_lock);
-  begin_span (a, now);
-  slowest = MAX (a->slowest_ms[0], a->slowest_ms[1]);
-  pthread_mutex_unlock (&a->calls_lock);
-  return now + MIN (slowest, j->deadline_at - now) >= stop_at;
+  pthread_mutex_lock (&a->call_window_lock);
+  rotate_call_window (a, now);
+  slowest = MAX (a->slowest_call_ms[0], a->slowest_call_ms[1]);
+  pthread_mutex_unlock (&a->call_window_lock);
+  return now + MIN (slowest, j->deadline_at_ms - now) >= stop_deadline;
 }
 
-/* Refuses @j, which was accepted but not begun. */
+/* Refuses @j, which was queued but never sent to the target. */
 static void
-refuse_unbegun (CfAgent *a, Job *j, const char *reason, gint64 retry_ms)
+refuse_unstarted (CfAgent *a, Job *j, const char *reason, gint64 retry_ms)
 {
   const char *key = j->msg.u.request.key;
 
@@ -143,44 +147,44 @@
   cf_agent_refuse (j->conn, j->msg.id, CF_RAN_NO, reason, retry_ms);
 }
 
-/* Calls the target; the job counts as in flight until just before its
- * reply, so that the load on the reply no longer includes it. */
+/* Calls the target and replies.  The job leaves in_flight just before its
+ * reply is written, so that the load on the reply does not include it. */
 static void
 run_job (CfAgent *a, Job *j)
 {
   CfMsg *m = &j->msg;
   const char *key = m->u.request.key;
   g_autofree char *url
-      = g_strconcat (a->set.target_url, m->u.request.path, NULL);
+      = g_strconcat (a->settings.target_url, m->u.request.path, NULL);
   g_autofree char *prio = g_strdup_printf (
       "X-Comfrey-Priority: %" G_GINT64_FORMAT, m->u.request.priority);
-  long long left = j->deadline_at - cf_now_ms ();
+  long long remaining_ms = j->deadline_at_ms - cf_now_ms ();
   g_autofree char *rid = g_strdup_printf (
       "X-Request-Id: %s", m->u.request.rid ? m->u.request.rid : "-");
   g_autofree char *deadline
-      = g_strdup_printf ("X-Comfrey-Deadline-Ms: %lld", left);
+      = g_strdup_printf ("X-Comfrey-Deadline-Ms: %lld", remaining_ms);
   g_autofree char *key_header
       = key ? g_strdup_printf ("Idempotency-Key: %s", key) : NULL;
   const char *headers[] = { prio, rid, deadline, key_header, NULL };
   g_autofree char *body = NULL;
   long code = 0;
-  long long began = cf_now_ms ();
+  long long started = cf_now_ms ();
   CfStatus st;
 
-  if (left <= 0)
+  if (remaining_ms <= 0)
     {
-      refuse_unbegun (a, j, "deadline-before-start", 0);
+      refuse_unstarted (a, j, "deadline-before-start", 0);
       return;
     }
-  if (outlasts_stop (a, j))
+  if (may_outlast_stop (a, j))
     {
-      refuse_unbegun (a, j, "draining", 1000);
+      refuse_unstarted (a, j, "draining", 1000);
       return;
     }
-  st = (key ? cf_http_call_once : cf_http_call) ("POST", url, m->u.request.body,
-                                                 headers, left, &code, &body);
+  st = (key ? cf_http_call_once : cf_http_call) (
+      "POST", url, m->u.request.body, headers, remaining_ms, &code, &body);
   if (st != CF_ERR_NET)
-    remember_call (a, cf_now_ms () - began);
+    record_call_duration (a, cf_now_ms () - started);
   ck_pr_dec_int (&a->in_flight);
   switch (st)
     {
@@ -212,7 +216,8 @@
     }
 }
 
-/* A job for the workers, which takes @m over and a reference on @c. */
+/* Creates a job that takes ownership of @m's content and a reference on
+ * @c. */
 static Job *
 job_new (CfAgentConn *c, CfMsg *m)
 {
@@ -240,14 +245,14 @@
 
   for (;;)
     {
-      Job *j = cf_ring_pop (&a->work);
+      Job *j = cf_ring_pop (&a->job_queue);
 
       if (j->msg.kind == CF_MSG_CANCEL)
         cancel_at_target (a, j->msg.u.cancel.rid);
       else
         {
           run_job (a, j);
-          ck_pr_dec_int (&a->unanswered);
+          ck_pr_dec_int (&a->pending_replies);
         }
       job_free (j);
     }
@@ -259,46 +264,46 @@
 {
   Job *j;
 
-  while ((j = cf_ring_try_pop (&a->work)) != NULL)
+  while ((j = cf_ring_try_pop (&a->job_queue)) != NULL)
     {
       if (j->msg.kind == CF_MSG_REQUEST)
         {
-          refuse_unbegun (a, j, "draining", 1000);
-          ck_pr_dec_int (&a->unanswered);
+          refuse_unstarted (a, j, "draining", 1000);
+          ck_pr_dec_int (&a->pending_replies);
         }
       job_free (j);
     }
 }
 
 /*
- * Whether a sender's configuration is so old that every process should
- * have had a newer one for long: a process paused, cut off or started from
- * a stale read must not bring the older one back.
+ * After the grace period every running process should have the newer
+ * configuration.  A process that was paused, partitioned or started from a
+ * stale read must not bring the older one back into use.
  */
 gboolean
 cf_agent_is_config_outdated (CfAgent *a, gint64 version)
 {
   long long now = cf_now_ms ();
-  gboolean behind;
+  gboolean outdated;
 
   pthread_mutex_lock (&a->fence_lock);
-  if (version > a->config)
+  if (version > a->newest_config)
     {
-      a->config = version;
-      a->config_since_ms = now;
+      a->newest_config = version;
+      a->newest_config_seen_ms = now;
     }
-  behind = version > 0 && version < a->config
-           && now - a->config_since_ms >= a->set.config_grace_ms;
+  outdated = version > 0 && version < a->newest_config
+             && now - a->newest_config_seen_ms >= a->settings.config_grace_ms;
   pthread_mutex_unlock (&a->fence_lock);
-  return behind;
+  return outdated;
 }
 
-/* Decides, before queueing, whether a request may run at all. */
+/* Decides before queueing whether a request may run; if not, replies. */
 static gboolean
 admit (CfAgentConn *c, CfMsg *m)
 {
   CfAgent *a = c->agent;
-  g_autofree char *kept = NULL;
+  g_autofree char *stored_answer = NULL;
   gint64 code = 0;
 
   if (ck_pr_load_int (&a->draining))
@@ -314,14 +319,14 @@
   if (m->u.request.key == NULL)
     return TRUE;
   switch (cf_guard_begin (&a->guard, m->u.request.key, m->u.request.keyed,
-                          cf_now_ms (), &code, &kept))
+                          cf_now_ms (), &code, &stored_answer))
     {
     case CF_GUARD_NEW:
       return TRUE;
     case CF_GUARD_DONE:
       cf_log (LOG_INFO, CF_EV_GUARD_DUP, "key=%s outcome=replay",
               m->u.request.key);
-      cf_agent_answer (c, m->id, code, kept);
+      cf_agent_answer (c, m->id, code, stored_answer);
       return FALSE;
     case CF_GUARD_RUNNING:
       cf_log (LOG_INFO, CF_EV_GUARD_DUP, "key=%s outcome=running",
@@ -337,7 +342,7 @@
       cf_agent_refuse (c, m->id, CF_RAN_NO, "guard-full", 1000);
       return FALSE;
     case CF_GUARD_QUIET:
-      /* It did not run now, but it may have before this agent started. */
+      /* It did not run now, but may have run before this agent started. */
       cf_agent_refuse (c, m->id, CF_RAN_UNKNOWN, "guard-quiet",
                        cf_guard_remaining_quiet_ms (&a->guard, cf_now_ms ()));
       return FALSE;
@@ -351,37 +356,38 @@
   CfAgent *a = c->agent;
   Job *j;
 
-  /* Counted before admit() looks whether the agent drains, so that a drain
-   * never ends between that look and the push. */
-  ck_pr_inc_int (&a->unanswered);
+  /* Counted before admit() checks for a drain, so that a drain cannot end
+   * between that check and the push. */
+  ck_pr_inc_int (&a->pending_replies);
   if (!admit (c, m))
     {
-      ck_pr_dec_int (&a->unanswered);
+      ck_pr_dec_int (&a->pending_replies);
       cf_msg_clear (m);
       return;
     }
   j = job_new (c, m);
-  j->deadline_at = cf_now_ms () + j->msg.u.request.deadline_ms;
+  j->deadline_at_ms = cf_now_ms () + j->msg.u.request.deadline_ms;
   ck_pr_inc_int (&a->in_flight);
-  if (!cf_ring_push (&a->work, j))
+  if (!cf_ring_push (&a->job_queue, j))
     {
       ck_pr_dec_int (&a->in_flight);
       if (j->msg.u.request.key)
         cf_guard_remove (&a->guard, j->msg.u.request.key);
       cf_agent_refuse (c, j->msg.id, CF_RAN_NO, "overloaded", 500);
-      ck_pr_dec_int (&a->unanswered);
+      ck_pr_dec_int (&a->pending_replies);
       job_free (j);
     }
 }
 
-/* Nobody waits for a request any more.  The target is told by a worker,
- * which takes the request itself first if it still waits in the ring. */
+/* Handles the cancellation of a request that no caller waits for.  A worker
+ * passes it to the target; if the request is still queued, a worker takes the
+ * request first, since the queue is first in, first out. */
 void
 cf_agent_take_cancel (CfAgentConn *c, CfMsg *m)
 {
   Job *j = job_new (c, m);
 
-  /* A full ring drops it: the request's deadline ends it then. */
-  if (j->msg.u.cancel.rid == NULL || !cf_ring_push (&c->agent->work, j))
+  /* Dropped if the queue is full: the request then ends by its deadline. */
+  if (j->msg.u.cancel.rid == NULL || !cf_ring_push (&c->agent->job_queue, j))
     job_free (j);
 }
--- a/agent-orders.c
+++ b/agent-orders.c
@@ -4,19 +4,20 @@
 #include "log.h"
 #include "net.h"
 
-/* Checks a target order's fencing token on the target's behalf. */
+/* Checks the fencing token of an order to the target and records it if it is
+ * the highest.  The agent does this because the target may not. */
 static gboolean
-pass_fence (CfAgent *a, gint64 fence, gint64 *highest)
+check_target_fence (CfAgent *a, gint64 fence, gint64 *highest)
 {
   pthread_mutex_lock (&a->fence_lock);
-  *highest = a->fence;
-  a->fence = MAX (a->fence, fence);
+  *highest = a->highest_fence;
+  a->highest_fence = MAX (a->highest_fence, fence);
   pthread_mutex_unlock (&a->fence_lock);
   return fence >= *highest;
 }
 
 static void
-refuse_stale (CfAgentConn *c, const CfMsg *m, gint64 highest)
+refuse_stale_order (CfAgentConn *c, const CfMsg *m, gint64 highest)
 {
   cf_log (LOG_WARNING, CF_EV_FENCE_STALE,
           "op=%s fence=%" G_GINT64_FORMAT " highest=%" G_GINT64_FORMAT,
@@ -24,7 +25,7 @@
   cf_agent_refuse (c, m->id, CF_RAN_NO, CF_REASON_STALE_FENCE, 0);
 }
 
-/* An order to the rank this agent stands beside, from a coordinator. */
+/* Runs a coordinator's order at this agent's rank. */
 static void
 take_rank_order (CfAgentConn *c, CfMsg *m)
 {
@@ -37,7 +38,7 @@
     case CF_OK:
       break;
     case CF_ERR_STALE:
-      refuse_stale (c, m, cf_rank_group_highest_fence (g));
+      refuse_stale_order (c, m, cf_rank_group_highest_fence (g));
       return;
     default:
       cf_agent_refuse (c, m->id, CF_RAN_NO, "no-coordinator", 0);
@@ -51,20 +52,21 @@
     cf_agent_refuse (c, m->id, CF_RAN_UNKNOWN, CF_REASON_TARGET_FAILED, 0);
 }
 
-/* An order to the target as a whole, such as to load a model. */
+/* Runs an order to the target as a whole, such as to load a model. */
 static void
 take_target_order (CfAgentConn *c, CfMsg *m)
 {
   CfAgent *a = c->agent;
-  g_autofree char *url = g_strconcat (a->set.target_url, "/v1/order", NULL);
+  g_autofree char *url
+      = g_strconcat (a->settings.target_url, "/v1/order", NULL);
   g_autofree char *body = NULL;
   g_autofree char *out = NULL;
   gint64 highest;
   long code = 0;
 
-  if (!pass_fence (a, m->u.order.fence, &highest))
+  if (!check_target_fence (a, m->u.order.fence, &highest))
     {
-      refuse_stale (c, m, highest);
+      refuse_stale_order (c, m, highest);
       return;
     }
   body = g_strdup_printf ("{\"fence\":%" G_GINT64_FORMAT ",\"op\":\"%s\"}",
@@ -124,7 +126,7 @@
   CfMsg s = { .kind = CF_MSG_STATUS, .id = m->id };
 
   pthread_mutex_lock (&a->fence_lock);
-  s.u.status.fence = a->fence;
+  s.u.status.fence = a->highest_fence;
   pthread_mutex_unlock (&a->fence_lock);
   if (a->group)
     s.u.status.fence
--- a/agent.c
+++ b/agent.c
@@ -6,7 +6,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Several times the way between two processes of a region, in ms. */
+/* Several times the one-way latency between two processes of a region. */
 #define DRAIN_LINGER_MS 100
 
 void
@@ -19,14 +19,14 @@
   g_free (c);
 }
 
-/* Puts @c on the agent's list, or takes it off. */
+/* Adds @c to the agent's list of connections, or removes it. */
 static void
-list_conn (CfAgentConn *c, gboolean open)
+set_conn_listed (CfAgentConn *c, gboolean listed)
 {
   CfAgent *a = c->agent;
 
   pthread_mutex_lock (&a->conns_lock);
-  if (open)
+  if (listed)
     {
       c->next = a->conns;
       a->conns = c;
@@ -41,8 +41,8 @@
   pthread_mutex_unlock (&a->conns_lock);
 }
 
-/* Takes no new work from now on, and says so on every connection, so that
- * entries need not find out by a refusal. */
+/* Stops accepting new work and notifies every connection, so that entries
+ * do not have to learn of the drain from a refusal. */
 static void
 begin_drain (CfAgent *a)
 {
@@ -62,7 +62,7 @@
   CfAgentConn *c = data;
   CfMsg m;
 
-  list_conn (c, TRUE);
+  set_conn_listed (c, TRUE);
   while (cf_msg_read (c->fd, &m) == CF_OK)
     {
       switch (m.kind)
@@ -71,9 +71,9 @@
           cf_agent_take_request (c, &m);
           break;
         case CF_MSG_ORDER:
-          ck_pr_inc_int (&c->agent->unanswered);
+          ck_pr_inc_int (&c->agent->pending_replies);
           cf_agent_take_order (c, &m);
-          ck_pr_dec_int (&c->agent->unanswered);
+          ck_pr_dec_int (&c->agent->pending_replies);
           break;
         case CF_MSG_DRAIN:
           begin_drain (c->agent);
@@ -103,7 +103,7 @@
         }
       cf_msg_clear (&m);
     }
-  list_conn (c, FALSE);
+  set_conn_listed (c, FALSE);
   cf_agent_conn_unref (c);
   return NULL;
 }
@@ -143,54 +143,57 @@
   pthread_t t;
   CfStatus st;
 
-  st = cf_listen_tcp (a->set.listen, &a->listen_fd);
+  st = cf_listen_tcp (a->settings.listen, &a->listen_fd);
   if (st != CF_OK)
     return st;
-  cf_ring_init (&a->work, (unsigned int)a->set.queue);
-  cf_guard_init (&a->guard, a->set.guard_ttl_ms, (guint)a->set.guard_max,
-                 cf_now_ms () + a->set.guard_quiet_ms);
+  cf_ring_init (&a->job_queue, (unsigned int)a->settings.queue);
+  cf_guard_init (&a->guard, a->settings.guard_ttl_ms,
+                 (guint)a->settings.guard_max,
+                 cf_now_ms () + a->settings.guard_quiet_ms);
   pthread_mutex_init (&a->fence_lock, NULL);
   pthread_mutex_init (&a->conns_lock, NULL);
-  pthread_mutex_init (&a->calls_lock, NULL);
-  if (a->set.group.members->len > 0)
-    a->group = cf_rank_group_start (&a->set.group, a->set.target_url);
-  for (gint64 i = 0; i < a->set.workers; i++)
+  pthread_mutex_init (&a->call_window_lock, NULL);
+  if (a->settings.group.members->len > 0)
+    a->group = cf_rank_group_start (&a->settings.group, a->settings.target_url);
+  for (gint64 i = 0; i < a->settings.workers; i++)
     {
       pthread_create (&t, NULL, cf_agent_run_worker, a);
       pthread_detach (t);
     }
   pthread_create (&t, NULL, accept_thread, a);
   pthread_detach (t);
-  cf_log (LOG_INFO, CF_EV_LISTEN, "addr=%s target=%s", a->set.listen,
-          a->set.target_url);
+  cf_log (LOG_INFO, CF_EV_LISTEN, "addr=%s target=%s", a->settings.listen,
+          a->settings.target_url);
   return CF_OK;
 }
 
-/* Until each reply is written, but not beyond @until: a peer that reads
- * slowly takes a while. */
+/* Waits until every reply is written, at most until @until; writing can take
+ * long if the other side reads slowly. */
 static void
 wait_for_replies (CfAgent *a, long long until)
 {
-  while (ck_pr_load_int (&a->unanswered) > 0 && cf_now_ms () < until)
+  while (ck_pr_load_int (&a->pending_replies) > 0 && cf_now_ms () < until)
     usleep (10000);
 }
 
 void
-cf_agent_drain (CfAgent *a, const char *why)
+cf_agent_drain (CfAgent *a, const char *trigger)
 {
-  long long until = cf_now_ms () + a->set.drain_grace_ms;
+  long long until = cf_now_ms () + a->settings.drain_grace_ms;
 
-  __atomic_store_n (&a->stop_at_ms, until, __ATOMIC_RELEASE);
+  __atomic_store_n (&a->stop_deadline_ms, until, __ATOMIC_RELEASE);
   begin_drain (a);
-  cf_log (LOG_NOTICE, CF_EV_DRAIN_BEGIN, "by=%s in_flight=%d queued=%u", why,
-          ck_pr_load_int (&a->in_flight), cf_ring_length (&a->work));
+  cf_log (LOG_NOTICE, CF_EV_DRAIN_BEGIN, "by=%s in_flight=%d queued=%u",
+          trigger, ck_pr_load_int (&a->in_flight),
+          cf_ring_length (&a->job_queue));
   wait_for_replies (a, until);
-  if (ck_pr_load_int (&a->unanswered) > 0)
+  if (ck_pr_load_int (&a->pending_replies) > 0)
     cf_agent_refuse_queued (a);
-  /* Requests sent before the entries knew are still refused as not run, and
-   * orders taken, which a group that changes its map needs. */
+  /* Requests that entries sent before they learned of the drain are still
+   * refused as not run.  Orders are still carried out, since a group that is
+   * changing its expert map needs them. */
   usleep (DRAIN_LINGER_MS * 1000);
   wait_for_replies (a, until);
   cf_log (LOG_NOTICE, CF_EV_DRAIN_DONE, "in_flight=%d queued=%u",
-          ck_pr_load_int (&a->in_flight), cf_ring_length (&a->work));
+          ck_pr_load_int (&a->in_flight), cf_ring_length (&a->job_queue));
 }
--- a/comfrey-agent.c
+++ b/comfrey-agent.c
@@ -13,12 +13,13 @@
   int rc;
 
   rc = cf_daemon_init (&argc, &argv, "comfrey-agent",
-                       "The agent beside one target: forwards requests, "
-                       "guards non-repeatable calls, fences orders, drains.",
+                       "Runs next to one target: forwards requests, runs "
+                       "non-repeatable calls at most once, checks fencing "
+                       "tokens of orders, drains.",
                        cf_agent_defaults, &args, &s);
   if (rc >= 0)
     return rc;
-  if (cf_agent_settings_read (&s, &a.set) != CF_OK)
+  if (cf_agent_settings_read (&s, &a.settings) != CF_OK)
     return cf_daemon_settings_failed ();
   if (cf_daemon_checked (&args, &s))
     return 0;
@@ -27,7 +28,7 @@
       cf_log (LOG_ERR, CF_EV_STOP, "error=\"%s\"", cf_last_error ());
       return 1;
     }
-  cf_log (LOG_INFO, CF_EV_START, "listen=%s", a.set.listen);
+  cf_log (LOG_INFO, CF_EV_START, "listen=%s", a.settings.listen);
   rc = cf_daemon_wait ();
   cf_agent_drain (&a, "signal");
   cf_log (LOG_INFO, CF_EV_STOP, "signal=%d", rc);
--- a/expert-map.c
+++ b/expert-map.c
@@ -3,27 +3,27 @@
 #include <string.h>
 
 static CfExpertMap *
-map_empty (int experts, int ranks, int places)
+new_empty_map (int experts, int ranks, int places)
 {
   CfExpertMap *m = g_new0 (CfExpertMap, 1);
-  gsize cells = (gsize)ranks * (gsize)places;
+  gsize n_places = (gsize)ranks * (gsize)places;
 
   m->version = 1;
   m->experts = experts;
   m->ranks = ranks;
   m->places = places;
   m->copies = g_new0 (int, experts);
-  m->held = g_new (int, cells);
-  /* All bits set is -1, an empty place. */
-  memset (m->held, 0xff, cells * sizeof *m->held);
+  m->held = g_new (int, n_places);
+  /* All bits set makes each int -1, an empty place. */
+  memset (m->held, 0xff, n_places * sizeof *m->held);
   return m;
 }
 
 CfExpertMap *
 cf_expert_map_new (int experts, int ranks, int places)
 {
-  int need = (experts + ranks - 1) / ranks;
-  CfExpertMap *m = map_empty (experts, ranks, MAX (places, need));
+  int min_places = (experts + ranks - 1) / ranks;
+  CfExpertMap *m = new_empty_map (experts, ranks, MAX (places, min_places));
 
   for (int e = 0; e < experts; e++)
     cf_expert_map_set (m, e % ranks, e / ranks, e);
@@ -33,7 +33,7 @@
 CfExpertMap *
 cf_expert_map_copy (const CfExpertMap *m)
 {
-  CfExpertMap *c = map_empty (m->experts, m->ranks, m->places);
+  CfExpertMap *c = new_empty_map (m->experts, m->ranks, m->places);
 
   c->version = m->version;
   memcpy (c->held, m->held, sizeof *m->held * m->ranks * m->places);
@@ -130,7 +130,8 @@
 cf_expert_map_from_json (const json_t *ranks, int experts, int places,
                          gint64 version, CfExpertMap **out)
 {
-  CfExpertMap *m = map_empty (experts, (int)json_array_size (ranks), places);
+  CfExpertMap *m
+      = new_empty_map (experts, (int)json_array_size (ranks), places);
   CfStatus st = CF_OK;
   json_t *held;
   json_t *v;
@@ -141,7 +142,7 @@
   {
     if (json_array_size (held) > (size_t)places)
       {
-        st = cf_fail (CF_ERR_RECORD, "hold fewer experts on that rank",
+        st = cf_fail (CF_ERR_RECORD, "put fewer experts on that rank",
                       "rank %zu has %zu experts for %d places", r,
                       json_array_size (held), places);
         goto out;
@@ -152,9 +153,11 @@
 
       if (e < 0 || e >= experts || cf_expert_map_rank_has (m, (int)r, (int)e))
         {
-          st = cf_fail (CF_ERR_RECORD, "name each expert once a rank",
-                        "rank %zu place %zu is no expert of 0..%d", r, p,
-                        experts - 1);
+          st = cf_fail (CF_ERR_RECORD,
+                        "list each expert once per rank, by its number",
+                        "rank %zu place %zu: not an expert from 0 to %d, or a "
+                        "repeated one",
+                        r, p, experts - 1);
           goto out;
         }
       cf_expert_map_set (m, (int)r, (int)p, (int)e);
@@ -162,7 +165,7 @@
   }
   for (int e = 0; e < experts && st == CF_OK; e++)
     if (m->copies[e] == 0)
-      st = cf_fail (CF_ERR_RECORD, "hold every expert on some rank",
+      st = cf_fail (CF_ERR_RECORD, "put every expert on at least one rank",
                     "expert %d is on no rank", e);
 out:
   if (st == CF_OK)
--- a/guard.c
+++ b/guard.c
@@ -12,7 +12,7 @@
 {
   char *token;
   char *runner;
-  gboolean granted; /* FALSE for one taken in the quiet time */
+  gboolean granted; /* FALSE if made in the quiet period */
   gint64 expires_ms;
 } Claim;
 
@@ -36,7 +36,7 @@
 }
 
 void
-cf_guard_init (CfGuard *g, gint64 ttl_ms, guint max_calls,
+cf_guard_init (CfGuard *g, gint64 ttl_ms, guint max_entries,
                gint64 quiet_until_ms)
 {
   pthread_mutex_init (&g->lock, NULL);
@@ -45,7 +45,7 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_claim);
   g->quiet_until_ms = quiet_until_ms;
   g->ttl_ms = ttl_ms;
-  g->max_calls = max_calls;
+  g->max_entries = max_entries;
 }
 
 void
@@ -57,7 +57,7 @@
 }
 
 static gboolean
-call_expired (gpointer key, gpointer value, gpointer now)
+is_call_expired (gpointer key, gpointer value, gpointer now)
 {
   const Call *c = value;
 
@@ -65,18 +65,19 @@
 }
 
 static gboolean
-claim_expired (gpointer key, gpointer value, gpointer now)
+is_claim_expired (gpointer key, gpointer value, gpointer now)
 {
   return ((Claim *)value)->expires_ms <= *(gint64 *)now;
 }
 
-/* Whether @table can take one more; a full one drops what has expired. */
+/* Whether @table can take one more entry; removes expired entries if it is
+ * full. */
 static gboolean
 has_room (CfGuard *g, GHashTable *table, GHRFunc expired, gint64 now_ms)
 {
-  if (g_hash_table_size (table) >= g->max_calls)
+  if (g_hash_table_size (table) >= g->max_entries)
     g_hash_table_foreach_remove (table, expired, &now_ms);
-  return g_hash_table_size (table) < g->max_calls;
+  return g_hash_table_size (table) < g->max_entries;
 }
 
 CfVerdict
@@ -96,7 +97,7 @@
     }
   if (c == NULL || c->expires_ms <= now_ms)
     {
-      if (!has_room (g, g->claims, claim_expired, now_ms))
+      if (!has_room (g, g->claims, is_claim_expired, now_ms))
         {
           verdict = CF_VERDICT_ABSTAIN;
           goto out;
@@ -163,7 +164,7 @@
       st = keyed == CF_KEYED_REPLAY ? CF_GUARD_UNKNOWN : CF_GUARD_QUIET;
       goto out;
     }
-  if (!has_room (g, g->calls, call_expired, now_ms))
+  if (!has_room (g, g->calls, is_call_expired, now_ms))
     {
       st = CF_GUARD_FULL;
       goto out;
@@ -178,7 +179,7 @@
 }
 
 void
-cf_guard_finish (CfGuard *g, const char *key, gboolean known, gint64 code,
+cf_guard_finish (CfGuard *g, const char *key, gboolean has_answer, gint64 code,
                  const char *body, gint64 now_ms)
 {
   Call *c;
@@ -187,7 +188,7 @@
   c = g_hash_table_lookup (g->calls, key);
   if (c)
     {
-      c->state = known ? CF_GUARD_DONE : CF_GUARD_UNKNOWN;
+      c->state = has_answer ? CF_GUARD_DONE : CF_GUARD_UNKNOWN;
       c->code = code;
       c->body = g_strdup (body);
       c->expires_ms = now_ms + g->ttl_ms;
--- a/guard.h
+++ b/guard.h
@@ -7,29 +7,31 @@
 
 /**
  * CfGuardState:
- * What the at-most-once guard knows of a non-repeatable call.
+ * What the at-most-once guard knows of a non-repeatable call, one that must
+ * not run twice.
  */
 typedef enum
 {
-  CF_GUARD_NEW,     /**< never seen: the caller may run it now */
+  CF_GUARD_NEW,     /**< unknown key: the call may run now */
   CF_GUARD_RUNNING, /**< running now: do not run it again */
-  CF_GUARD_DONE,    /**< ran, and the answer is kept */
-  CF_GUARD_UNKNOWN, /**< sent to the target, fate unknown: never run again */
+  CF_GUARD_DONE,    /**< ran, and the answer is stored */
+  CF_GUARD_UNKNOWN, /**< sent, but it may or may not have run: do not run */
   CF_GUARD_FULL,    /**< the table is full: refuse without running */
-  CF_GUARD_QUIET,   /**< started too lately to know: refuse as unknown */
+  CF_GUARD_QUIET,   /**< in the quiet period: refuse as unknown */
 } CfGuardState;
 
 /**
  * CfGuard:
- * The at-most-once guard beside one target: a table of idempotency keys
- * with the state of each call and its kept answer, for @ttl_ms after it
- * ended, and a table of the claims entries made with it for calls that
- * may run beside other targets (claim.h).
+ * The at-most-once guard of one target's agent.  One table maps idempotency
+ * keys to the state of their calls and keeps the answer for @ttl_ms after a
+ * call ended.  A second table holds the claims that entries make for calls
+ * that may run at any agent (claim.h).
  *
- * Both live in the agent's memory only.  A restart loses them, so a guard
- * is quiet until @quiet_until_ms: it grants no claim and vouches for no
- * key until no caller may still retry a key it could have known, as a
- * restarted lease holder waits out one lease.
+ * Both tables are in memory only and lost at a restart.  A guard therefore
+ * begins with a quiet period, until @quiet_until_ms, in which it grants no
+ * claim and does not report a key as unused.  The period ends when no caller
+ * may still retry a key from before the restart, just as a restarted lease
+ * holder waits for one lease term.
  */
 typedef struct
 {
@@ -38,61 +40,65 @@
   GHashTable *claims; /**< key -> Claim */
   gint64 ttl_ms;
   gint64 quiet_until_ms;
-  guint max_calls; /**< the most entries of each table */
+  guint max_entries; /**< limit of each table */
 } CfGuard;
 
 /**
  * cf_guard_init:
- * @quiet_until_ms: the end of the quiet time, on the clock of @now_ms below
+ * @max_entries: the limit of each table
+ * @quiet_until_ms: the end of the quiet period, on the monotonic clock that
+ *   @now_ms is read from in all functions below
  */
-void cf_guard_init (CfGuard *g, gint64 ttl_ms, guint max_calls,
+void cf_guard_init (CfGuard *g, gint64 ttl_ms, guint max_entries,
                     gint64 quiet_until_ms);
 void cf_guard_clear (CfGuard *g);
 
 /**
  * cf_guard_claim:
- * @token: tells one sending of a call from any other
- * @runner: the agent that the call is to run at
- * @holder: (out): for %CF_VERDICT_HELD, a copy of the holder's runner
+ * @token: identifies one attempt to send a call
+ * @runner: the address of the agent that will run the call
+ * @holder: (out): for %CF_VERDICT_HELD, a copy of the holder's @runner
  *
- * Claims @key for one sending of a call.  The same @token may claim again
- * with another @runner.  A claim asked for in the quiet time is kept too,
+ * Claims @key for one attempt to send a call.  The same @token may claim
+ * again with another @runner.  A claim made in the quiet period is recorded
  * but never granted.
  */
 CfVerdict cf_guard_claim (CfGuard *g, const char *key, const char *token,
                           const char *runner, gint64 now_ms, char **holder);
 
-/** cf_guard_release: gives @key back, if @token is what holds it. */
+/** cf_guard_release: ends the claim of @key if @token holds it. */
 void cf_guard_release (CfGuard *g, const char *key, const char *token);
 
-/** cf_guard_remaining_quiet_ms: how much of the quiet time is left, in ms. */
+/** cf_guard_remaining_quiet_ms: 0 once the quiet period is over. */
 gint64 cf_guard_remaining_quiet_ms (CfGuard *g, gint64 now_ms);
 
 /**
  * cf_guard_begin:
- * @keyed: what the sender knows of the key: without a claim the key is
- *   refused in the quiet time, and a replay never becomes a new call
+ * @keyed: what the sender knows of the key.  An unclaimed key is refused in
+ *   the quiet period, and a replay is never run as a new call.
  * @now_ms: the monotonic clock, in ms
- * @code: (out): for %CF_GUARD_DONE, the kept HTTP status
- * @body: (out): for %CF_GUARD_DONE, a copy of the kept answer
+ * @code: (out): for %CF_GUARD_DONE, the stored HTTP status
+ * @body: (out): for %CF_GUARD_DONE, a copy of the stored answer
  *
- * Begins the call of @key here.  Only a %CF_GUARD_NEW result lets the caller
- * run the call, and the caller must then end it with cf_guard_finish() or
- * cf_guard_remove().
+ * Registers the call of @key at this agent.  Only after %CF_GUARD_NEW may
+ * the caller of this function run the call; it must then end it with
+ * cf_guard_finish() or cf_guard_remove().
  */
 CfGuardState cf_guard_begin (CfGuard *g, const char *key, CfKeyed keyed,
                              gint64 now_ms, gint64 *code, char **body);
 
 /**
  * cf_guard_finish:
- * Keeps the answer of a claimed call; with @known %FALSE (the target may
- * or may not have run it) the key stays %CF_GUARD_UNKNOWN instead.
+ * @has_answer: %FALSE if the target may or may not have run the call
+ *
+ * Ends a registered call and stores its answer.  Without one the key becomes
+ * %CF_GUARD_UNKNOWN.
  */
-void cf_guard_finish (CfGuard *g, const char *key, gboolean known, gint64 code,
-                      const char *body, gint64 now_ms);
+void cf_guard_finish (CfGuard *g, const char *key, gboolean has_answer,
+                      gint64 code, const char *body, gint64 now_ms);
 
-/** cf_guard_remove: the call surely did not run; the key is free again. */
+/** cf_guard_remove: frees @key, since its call certainly did not run. */
 void cf_guard_remove (CfGuard *g, const char *key);
 
-/** cf_guard_size: how many keys the table holds now. */
+/** cf_guard_size: the number of keys in the table of calls. */
 guint cf_guard_size (CfGuard *g);
--- a/placement.c
+++ b/placement.c
@@ -3,40 +3,42 @@
 #include <math.h>
 #include <string.h>
 
-/* A norm this high follows the slowest rank closely, yet still sees gain
- * in relieving one of several equally slow ranks. */
-#define NORM 12.0
+/* The exponent of the power mean that smooth_skew() uses.  It is high enough
+ * to follow the most loaded rank closely, yet the mean still improves when
+ * only one of several equally loaded ranks is relieved. */
+#define SKEW_NORM 12.0
 
 void
 cf_expert_popularity_init (CfExpertPopularity *p, int experts)
 {
   p->experts = experts;
   p->tokens = g_new0 (double, experts);
-  p->last = g_new0 (double, experts);
-  p->any = FALSE;
+  p->last_counts = g_new0 (double, experts);
+  p->has_reports = FALSE;
 }
 
 void
 cf_expert_popularity_clear (CfExpertPopularity *p)
 {
   g_free (p->tokens);
-  g_free (p->last);
+  g_free (p->last_counts);
 }
 
 void
 cf_expert_popularity_add_report (CfExpertPopularity *p, const double *counts,
                                  double weight)
 {
-  double w = p->any ? weight : 1.0;
+  double w = p->has_reports ? weight : 1.0;
 
   for (int e = 0; e < p->experts; e++)
     {
-      double fresh = counts[e] - (counts[e] < p->last[e] ? 0 : p->last[e]);
+      double new_tokens
+          = counts[e] - (counts[e] < p->last_counts[e] ? 0 : p->last_counts[e]);
 
-      p->tokens[e] += w * (fresh - p->tokens[e]);
-      p->last[e] = counts[e];
+      p->tokens[e] += w * (new_tokens - p->tokens[e]);
+      p->last_counts[e] = counts[e];
     }
-  p->any = TRUE;
+  p->has_reports = TRUE;
 }
 
 static double
@@ -58,30 +60,30 @@
   return mean > 0 ? cf_expert_map_compute_load (m, tokens, load) / mean : 1.0;
 }
 
-/* A smooth stand-in for the skew; see NORM. */
+/* A smooth approximation of the skew: a power mean instead of the maximum. */
 static double
 smooth_skew (const double *load, int ranks, double mean)
 {
   double sum = 0;
 
   for (int r = 0; r < ranks; r++)
-    sum += pow (load[r] / mean, NORM);
-  return pow (sum / ranks, 1.0 / NORM);
+    sum += pow (load[r] / mean, SKEW_NORM);
+  return pow (sum / ranks, 1.0 / SKEW_NORM);
 }
 
-/* One candidate move: put @expert in @place of @rank. */
+/* A candidate copy: put @expert in @place of @rank. */
 typedef struct
 {
   int rank;
   int place;
   int expert;
-  double score;
+  double score; /* the smooth skew after it */
 } Move;
 
-/* What the smooth skew would be after @mv; @load is scratch. */
+/* Returns the smooth skew after @mv; uses @load as scratch space. */
 static double
-score_move (CfExpertMap *m, const double *tokens, double mean, const Move *mv,
-            double *load)
+skew_after_move (CfExpertMap *m, const double *tokens, double mean,
+                 const Move *mv, double *load)
 {
   int old = m->held[mv->rank * m->places + mv->place];
   double s;
@@ -94,37 +96,37 @@
 }
 
 /*
- * The best single copy of an expert of the slowest rank to one of the
- * lighter half of the ranks, in an empty place or over a copy that other
- * ranks hold too.
+ * Finds the best copy of one expert of the most loaded rank to a rank with
+ * less than the mean load, into an empty place or one whose expert another
+ * rank holds too.  Returns rank -1 if no copy reduces the smooth skew.
  */
 static Move
-best_move (CfExpertMap *m, const double *tokens, double mean)
+find_best_move (CfExpertMap *m, const double *tokens, double mean)
 {
   g_autofree double *load = g_new (double, m->ranks);
   g_autofree double *scratch = g_new (double, m->ranks);
   Move best = { .rank = -1 };
-  int hot = 0;
+  int busiest = 0;
 
   cf_expert_map_compute_load (m, tokens, load);
   best.score = smooth_skew (load, m->ranks, mean);
   for (int r = 1; r < m->ranks; r++)
-    if (load[r] > load[hot])
-      hot = r;
-  for (int hp = 0; hp < m->places; hp++)
+    if (load[r] > load[busiest])
+      busiest = r;
+  for (int source_place = 0; source_place < m->places; source_place++)
     for (int r = 0; r < m->ranks; r++)
       for (int p = 0; p < m->places; p++)
         {
           int old = m->held[r * m->places + p];
           Move mv = { .rank = r,
                       .place = p,
-                      .expert = m->held[hot * m->places + hp] };
+                      .expert = m->held[busiest * m->places + source_place] };
 
           if (mv.expert < 0 || load[r] >= mean
               || cf_expert_map_rank_has (m, r, mv.expert)
               || (old >= 0 && m->copies[old] < 2))
             continue;
-          mv.score = score_move (m, tokens, mean, &mv, scratch);
+          mv.score = skew_after_move (m, tokens, mean, &mv, scratch);
           if (mv.score < best.score)
             best = mv;
         }
@@ -141,7 +143,7 @@
 
   for (int i = 0; i < p->u.bounded.max_moves; i++)
     {
-      Move mv = best_move (m, tokens, mean);
+      Move mv = find_best_move (m, tokens, mean);
       double now;
 
       if (mv.rank < 0)
@@ -156,7 +158,7 @@
   return m;
 }
 
-/* One copy of an expert, to be packed. */
+/* One copy of an expert and its share of the expert's tokens. */
 typedef struct
 {
   int expert;
@@ -164,7 +166,7 @@
 } Copy;
 
 static int
-heavier_first (gconstpointer a, gconstpointer b)
+compare_load_descending (gconstpointer a, gconstpointer b)
 {
   const Copy *x = a;
   const Copy *y = b;
@@ -174,29 +176,32 @@
   return x->expert - y->expert;
 }
 
-/* Gives each spare place to the expert whose copies are most loaded. */
+/* Chooses the number of copies of each expert: one, and each spare place
+ * goes to the expert with the most tokens per copy. */
 static void
-count_copies (const CfExpertMap *m, const double *tokens, int *copies)
+choose_copy_counts (const CfExpertMap *m, const double *tokens, int *copies)
 {
   for (int e = 0; e < m->experts; e++)
     copies[e] = 1;
   for (int spare = m->ranks * m->places - m->experts; spare > 0; spare--)
     {
-      int hot = -1;
+      int busiest = -1;
 
       for (int e = 0; e < m->experts; e++)
         if (copies[e] < m->ranks
-            && (hot < 0 || tokens[e] / copies[e] > tokens[hot] / copies[hot]))
-          hot = e;
-      if (hot < 0)
+            && (busiest < 0
+                || tokens[e] / copies[e] > tokens[busiest] / copies[busiest]))
+          busiest = e;
+      if (busiest < 0)
         return;
-      copies[hot]++;
+      copies[busiest]++;
     }
 }
 
-/* The lightest rank with an empty place that does not hold @expert. */
+/* Returns the least loaded rank that has an empty place and does not hold
+ * @expert, or -1. */
 static int
-lightest (const CfExpertMap *m, const double *load, int expert)
+find_least_loaded_rank (const CfExpertMap *m, const double *load, int expert)
 {
   int best = -1;
 
@@ -219,7 +224,7 @@
   for (int r = 0; r < m->ranks; r++)
     for (int p = 0; p < m->places; p++)
       cf_expert_map_set (m, r, p, -1);
-  count_copies (m, tokens, copies);
+  choose_copy_counts (m, tokens, copies);
   for (int e = 0; e < m->experts; e++)
     for (int i = 0; i < copies[e]; i++)
       {
@@ -227,11 +232,11 @@
 
         g_array_append_val (all, c);
       }
-  g_array_sort (all, heavier_first);
+  g_array_sort (all, compare_load_descending);
   for (guint i = 0; i < all->len; i++)
     {
       const Copy *c = &g_array_index (all, Copy, i);
-      int r = lightest (m, load, c->expert);
+      int r = find_least_loaded_rank (m, load, c->expert);
       int p = 0;
 
       if (r < 0)
@@ -241,7 +246,8 @@
       cf_expert_map_set (m, r, p, c->expert);
       load[r] += c->load;
     }
-  /* Every rank with room may already have held an expert's only copy. */
+  /* Keep the current map if no rank with room could take the first copy of
+   * an expert. */
   for (int e = 0; e < m->experts; e++)
     if (m->copies[e] == 0)
       {
@@ -257,7 +263,7 @@
 {
   CfPlacementPlan plan = { 0 };
 
-  plan.before = plan.after = cf_placement_skew (current, tokens);
+  plan.skew_before = plan.skew_after = cf_placement_skew (current, tokens);
   if (mean_load (current, tokens) <= 0)
     return plan;
   switch (p->kind)
@@ -272,33 +278,33 @@
       break;
     }
   plan.moves = cf_expert_map_count_added (current, plan.map);
-  plan.after = cf_placement_skew (plan.map, tokens);
-  if (plan.moves == 0 || plan.after >= plan.before)
+  plan.skew_after = cf_placement_skew (plan.map, tokens);
+  if (plan.moves == 0 || plan.skew_after >= plan.skew_before)
     {
       g_clear_pointer (&plan.map, cf_expert_map_free);
       plan.moves = 0;
-      plan.after = plan.before;
+      plan.skew_after = plan.skew_before;
     }
   return plan;
 }
 
-static const char *const names[] = { "none", "greedy", "bounded" };
+static const char *const kind_names[] = { "none", "greedy", "bounded" };
 
 CfStatus
 cf_placement_kind_from_name (const char *name, CfPlacementKind *out)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (names); i++)
-    if (g_str_equal (name, names[i]))
+  for (guint i = 0; i < G_N_ELEMENTS (kind_names); i++)
+    if (g_str_equal (name, kind_names[i]))
       {
         *out = (CfPlacementKind)i;
         return CF_OK;
       }
   return cf_fail (CF_ERR_SETTINGS, "write none, greedy or bounded",
-                  "'%s' is no placement policy", name);
+                  "'%s' is not a placement policy", name);
 }
 
 const char *
 cf_placement_kind_name (CfPlacementKind kind)
 {
-  return names[kind];
+  return kind_names[kind];
 }
--- a/placement.h
+++ b/placement.h
@@ -3,17 +3,18 @@
 #include "expert-map.h"
 
 /**
- * Expert placement: from the popularity of experts as last seen, which
- * experts to copy or move between the ranks of a group, and whether it is
- * worth it.  docs/PLACEMENT.md weighs the policies and has the figures.
+ * Expert placement: decides from the observed popularity of experts which of
+ * them to copy or move between the ranks of a group, and whether the gain
+ * justifies the copying.  docs/PLACEMENT.md compares the policies, with
+ * figures.
  */
 
 /** CfPlacementKind: the tag of a #CfPlacement. */
 typedef enum
 {
   CF_PLACEMENT_NONE,    /**< never rebalance */
-  CF_PLACEMENT_GREEDY,  /**< pack every expert anew, hottest first */
-  CF_PLACEMENT_BOUNDED, /**< a few moves at a time, each worth its cost */
+  CF_PLACEMENT_GREEDY,  /**< reassign every expert, most loaded first */
+  CF_PLACEMENT_BOUNDED, /**< a few copies at a time, each worth its cost */
 } CfPlacementKind;
 
 /** CfPlacement: a policy and its weights, from the settings. */
@@ -24,33 +25,33 @@
   {
     struct
     {
-      double skew_weight; /**< worth of one whole unit of skew taken away */
+      double skew_weight; /**< value of reducing the skew by 1.0 */
       double move_weight; /**< cost of copying one expert */
-      int max_moves;      /**< experts copied at most in one change */
+      int max_moves;      /**< limit of experts copied in one change */
     } bounded;
   } u;
 } CfPlacement;
 
 /**
  * CfExpertPopularity:
- * How many tokens each expert draws, as a moving average over reports
- * that come late and with gaps.
+ * The tokens routed to each expert, as an exponentially weighted moving
+ * average over reports, which may come late and with gaps.
  */
 typedef struct
 {
   int experts;
-  double *tokens; /**< experts entries: average tokens a report */
-  double *last;   /**< the counters of the report before */
-  gboolean any;   /**< at least one report came */
+  double *tokens;      /**< [experts]: average tokens per report */
+  double *last_counts; /**< [experts]: the counters of the last report */
+  gboolean has_reports;
 } CfExpertPopularity;
 
-/** CfPlacementPlan: what a policy decided, for its log line. */
+/** CfPlacementPlan: the decision of a policy. */
 typedef struct
 {
-  CfExpertMap *map; /**< the new map, or %NULL to stay */
-  int moves;        /**< experts to copy */
-  double before;    /**< skew (slowest rank / mean) now, as predicted */
-  double after;     /**< skew on the new map, as predicted */
+  CfExpertMap *map;   /**< the new map, or %NULL to keep the current one */
+  int moves;          /**< experts to copy */
+  double skew_before; /**< predicted skew of the current map */
+  double skew_after;  /**< predicted skew of the new map */
 } CfPlacementPlan;
 
 void cf_expert_popularity_init (CfExpertPopularity *p, int experts);
@@ -58,22 +59,26 @@
 
 /**
  * cf_expert_popularity_add_report:
- * @counts: experts entries: counters that only grow while a rank lives
+ * @counts: [experts]: counters that only grow until a rank restarts
  * @weight: the weight of this report in the average, 0 to 1
  *
- * A counter lower than before (the rank restarted) starts anew.
+ * Adds a report to the average.  A counter that is lower than in the last
+ * report was reset by a restart of the rank and counts from 0.
  */
 void cf_expert_popularity_add_report (CfExpertPopularity *p,
                                       const double *counts, double weight);
 
-/** cf_placement_skew: the slowest rank's load over the mean; 1 is even. */
+/**
+ * cf_placement_skew: returns the load of the most loaded rank divided by the
+ * mean load; 1 is even.
+ */
 double cf_placement_skew (const CfExpertMap *m, const double *tokens);
 
-/** cf_placement_plan: @p's decision for a group now on @current. */
+/** cf_placement_plan: applies policy @p to a group that uses @current. */
 CfPlacementPlan cf_placement_plan (const CfPlacement *p,
                                    const CfExpertMap *current,
                                    const double *tokens);
 
-/** cf_placement_kind_from_name: reads "none", "greedy" or "bounded". */
+/** cf_placement_kind_from_name: parses "none", "greedy" or "bounded". */
 CfStatus cf_placement_kind_from_name (const char *name, CfPlacementKind *out);
 const char *cf_placement_kind_name (CfPlacementKind kind);
--- a/rank-group.c
+++ b/rank-group.c
@@ -378,7 +378,8 @@
           "policy=%s map=%" G_GINT64_FORMAT
           " skew=%.3f predicted=%.3f moves=%d decision=%s",
           cf_placement_kind_name (g->set.placement.kind), in_use->version,
-          plan.before, plan.after, plan.moves, plan.map ? "change" : "stay");
+          plan.skew_before, plan.skew_after, plan.moves,
+          plan.map ? "change" : "stay");
   if (plan.map == NULL)
     goto out;
   end = cf_map_change_run (ops, g->round, in_use, plan.map, limits);
--- a/t/t-map.c
+++ b/t/t-map.c
@@ -365,8 +365,8 @@
   const char *const bad[][2] = {
     { "[[0,1],[2]]", "expert 3 is on no rank" },
     { "[[0,1,2,3],[]]", "4 experts for 3 places" },
-    { "[[0,0],[1,2,3]]", "rank 0 place 1 is no expert" },
-    { "[[0,4],[1,2,3]]", "rank 0 place 1 is no expert" },
+    { "[[0,0],[1,2,3]]", "rank 0 place 1: not an expert" },
+    { "[[0,4],[1,2,3]]", "rank 0 place 1: not an expert" },
   };
   json_t *good = json_loads ("[[0,1,3],[2,3]]", 0, NULL);
   json_t *back;
--- a/t/t-placement.c
+++ b/t/t-placement.c
@@ -1,6 +1,7 @@
 /*
- * Placement policies: what each does with a skewed popularity, and that a
- * bounded change stays within its moves and is worth its cost.
+ * Placement policies: each reduces the skew of a skewed popularity, and the
+ * bounded one respects its limit of moves and makes none that costs more
+ * than it gains.
  */
 #include "harness.h"
 #include "placement.h"
@@ -13,16 +14,16 @@
 
 static const CfPlacement greedy = { .kind = CF_PLACEMENT_GREEDY };
 
-/* Experts 0, 4, 8 and 12 sit on rank 0 of map 1 and draw the most. */
+/* Experts 0, 4, 8 and 12, all on rank 0 of map 1, get the most tokens. */
 static void
-skewed (double *tokens)
+set_skewed_tokens (double *tokens)
 {
   for (int e = 0; e < EXPERTS; e++)
     tokens[e] = e % RANKS == 0 ? 100 : 10;
 }
 
 static CfPlacement
-bounded (int max_moves, double move_weight)
+make_bounded_policy (int max_moves, double move_weight)
 {
   CfPlacement p = { .kind = CF_PLACEMENT_BOUNDED };
 
@@ -33,7 +34,7 @@
 }
 
 static void
-check_whole (const CfExpertMap *m)
+check_map_is_complete (const CfExpertMap *m)
 {
   for (int e = 0; e < EXPERTS; e++)
     {
@@ -46,57 +47,57 @@
     }
 }
 
-START_TEST (test_policies_even_out_skew)
+START_TEST (test_policies_reduce_skew)
 {
   CfExpertMap *m = cf_expert_map_new (EXPERTS, RANKS, PLACES);
   CfPlacement none = { .kind = CF_PLACEMENT_NONE };
-  CfPlacement few = bounded (3, 0.001);
+  CfPlacement few = make_bounded_policy (3, 0.001);
   CfPlacementPlan p;
   double tokens[EXPERTS];
 
-  skewed (tokens);
+  set_skewed_tokens (tokens);
   p = cf_placement_plan (&none, m, tokens);
   ck_assert_ptr_null (p.map);
-  ck_assert_double_gt (p.before, 3.0);
+  ck_assert_double_gt (p.skew_before, 3.0);
 
   p = cf_placement_plan (&greedy, m, tokens);
   ck_assert_ptr_nonnull (p.map);
-  ck_assert_double_lt (p.after, 1.2);
-  check_whole (p.map);
+  ck_assert_double_lt (p.skew_after, 1.2);
+  check_map_is_complete (p.map);
   cf_expert_map_free (p.map);
 
   p = cf_placement_plan (&few, m, tokens);
   ck_assert_ptr_nonnull (p.map);
   ck_assert_int_le (p.moves, 3);
-  ck_assert_double_lt (p.after, p.before);
-  check_whole (p.map);
+  ck_assert_double_lt (p.skew_after, p.skew_before);
+  check_map_is_complete (p.map);
   cf_expert_map_free (p.map);
   cf_expert_map_free (m);
 }
 END_TEST
 
-START_TEST (test_a_move_not_worth_its_cost_is_not_made)
+START_TEST (test_move_below_its_cost_is_rejected)
 {
   CfExpertMap *m = cf_expert_map_new (EXPERTS, RANKS, PLACES);
-  CfPlacement dear = bounded (16, 10.0);
-  CfPlacement cheap = bounded (16, 0.0);
+  CfPlacement expensive = make_bounded_policy (16, 10.0);
+  CfPlacement cheap = make_bounded_policy (16, 0.0);
   double tokens[EXPERTS];
   double even[EXPERTS];
-  double nothing[EXPERTS] = { 0 };
+  double no_tokens[EXPERTS] = { 0 };
 
-  skewed (tokens);
-  ck_assert_ptr_null (cf_placement_plan (&dear, m, tokens).map);
-  /* Nothing to gain, or nothing known: no policy moves anything. */
+  set_skewed_tokens (tokens);
+  ck_assert_ptr_null (cf_placement_plan (&expensive, m, tokens).map);
+  /* With an even load, or before any report, no policy moves anything. */
   for (int e = 0; e < EXPERTS; e++)
     even[e] = 10;
   ck_assert_ptr_null (cf_placement_plan (&cheap, m, even).map);
   ck_assert_ptr_null (cf_placement_plan (&greedy, m, even).map);
-  ck_assert_ptr_null (cf_placement_plan (&greedy, m, nothing).map);
+  ck_assert_ptr_null (cf_placement_plan (&greedy, m, no_tokens).map);
   cf_expert_map_free (m);
 }
 END_TEST
 
-START_TEST (test_popularity_follows_late_and_restarted_counters)
+START_TEST (test_popularity_average_handles_restarted_counters)
 {
   CfExpertPopularity p;
   double first[2] = { 100, 20 };
@@ -121,9 +122,9 @@
   Suite *s = suite_create ("placement");
   TCase *tc = tcase_create ("core");
 
-  tcase_add_test (tc, test_policies_even_out_skew);
-  tcase_add_test (tc, test_a_move_not_worth_its_cost_is_not_made);
-  tcase_add_test (tc, test_popularity_follows_late_and_restarted_counters);
+  tcase_add_test (tc, test_policies_reduce_skew);
+  tcase_add_test (tc, test_move_below_its_cost_is_rejected);
+  tcase_add_test (tc, test_popularity_average_handles_restarted_counters);
   suite_add_tcase (s, tc);
   return t_run (s);
 }
