--- a/map-change.c
+++ b/map-change.c
@@ -1,47 +1,48 @@
 #include "map-change.h"
 
-/* How long to wait between two looks at the ranks, in ms. */
+/* Time between two rounds of reports from the ranks. */
 #define POLL_MS 20
-/* How often a hold that came too late is placed again, further ahead. */
-#define HOLD_TRIES 3
+/* Attempts to hold a step; each is further ahead, as the group may have begun
+ * the step of the one before. */
+#define MAX_HOLD_ATTEMPTS 3
 
-/* What lives for one change or settlement. */
+/* State of one call to settle or change. */
 typedef struct
 {
   const CfRankOps *ops;
   const CfMapChangeLimits *limits;
-  gint64 turn;
-  CfRankReport *ranks; /**< as last read */
-  gboolean fenced;
+  gint64 term;
+  CfRankReport *reports; /* [ranks], the latest */
+  gboolean fenced;       /* a rank has seen a higher fencing token */
 } Change;
 
 static CfRankOpResult
-order (Change *c, int rank, const CfRankOp *op)
+send_order (Change *c, int rank, const CfRankOp *op)
 {
-  CfRankOpResult ack = c->ops->order (c->ops->data, rank, op);
+  CfRankOpResult result = c->ops->order (c->ops->data, rank, op);
 
-  c->fenced |= ack == CF_RANK_OP_FENCED;
-  return ack;
+  c->fenced |= result == CF_RANK_OP_FENCED;
+  return result;
 }
 
-/* Reads every rank once; FALSE if any did not answer. */
+/* Requests a report from every rank; returns FALSE if any is missing. */
 static gboolean
-look (Change *c)
+collect_reports (Change *c)
 {
-  gboolean whole = TRUE;
+  gboolean is_complete = TRUE;
 
   for (int r = 0; r < c->ops->ranks && !c->fenced; r++)
     {
-      CfRankOpResult ack = c->ops->report (c->ops->data, r, &c->ranks[r]);
+      CfRankOpResult result = c->ops->report (c->ops->data, r, &c->reports[r]);
 
-      c->fenced |= ack == CF_RANK_OP_FENCED;
-      whole &= ack == CF_RANK_OP_DONE;
+      c->fenced |= result == CF_RANK_OP_FENCED;
+      is_complete &= result == CF_RANK_OP_DONE;
     }
-  return whole && !c->fenced;
+  return is_complete && !c->fenced;
 }
 
-/* All waits are bounded by this: looks and orders take time besides the
- * pauses, more than the limits themselves when ranks answer slowly. */
+/* All waits are limited by this clock, not by adding up pauses: with slow
+ * ranks, reports and orders can take longer than the limits themselves. */
 static gint64
 now_ms (const Change *c)
 {
@@ -49,7 +50,7 @@
 }
 
 static CfMapChangeResult
-cut_short (const Change *c)
+incomplete_result (const Change *c)
 {
   return c->fenced ? CF_MAP_CHANGE_FENCED : CF_MAP_CHANGE_STUCK;
 }
@@ -61,8 +62,8 @@
 
   for (int r = 0; r < c->ops->ranks; r++)
     {
-      v = MAX (v, c->ranks[r].newest);
-      v = MAX (v, c->ranks[r].map);
+      v = MAX (v, c->reports[r].newest);
+      v = MAX (v, c->reports[r].map);
     }
   return v;
 }
@@ -73,11 +74,11 @@
   gint64 s = 0;
 
   for (int r = 0; r < c->ops->ranks; r++)
-    s = MAX (s, c->ranks[r].step);
+    s = MAX (s, c->reports[r].step);
   return s;
 }
 
-/* The step that a rank is armed for or held at; 0 if there is none. */
+/* Returns the highest step that a rank is armed for or holds; 0 for none. */
 static gint64
 pending_step (const Change *c)
 {
@@ -85,198 +86,202 @@
 
   for (int r = 0; r < c->ops->ranks; r++)
     {
-      if (c->ranks[r].armed)
-        s = MAX (s, c->ranks[r].armed_step);
-      s = MAX (s, c->ranks[r].held);
+      if (c->reports[r].armed)
+        s = MAX (s, c->reports[r].armed_step);
+      s = MAX (s, c->reports[r].held);
     }
   return s;
 }
 
 static CfRankOpResult
-hold (Change *c, int rank, gint64 step)
+place_hold (Change *c, int rank, gint64 step)
 {
   CfRankOp op = { .kind = CF_RANK_HOLD, .u.hold.step = step };
 
-  return order (c, rank, &op);
+  return send_order (c, rank, &op);
 }
 
 static CfRankOpResult
-go (Change *c, int rank, gint64 step)
+release_hold (Change *c, int rank, gint64 step)
 {
   CfRankOp op = { .kind = CF_RANK_GO, .u.hold.step = step };
 
-  return order (c, rank, &op);
+  return send_order (c, rank, &op);
 }
 
 /*
- * Disarms a rank and makes it prepare a version of no use, after which no
- * order to arm that is still on its way can be obeyed.  The unused version
- * is the map in use, so nothing has to be copied.
+ * Disarms a rank and makes it prepare a barrier version, a new version number
+ * that is never armed.  A delayed order to arm an older version is refused
+ * from then on.  The barrier version has the content of the map in use, so
+ * that nothing has to be copied.
  */
 static void
-burn (Change *c, int rank, const CfExpertMap *in_use)
+invalidate_versions (Change *c, int rank, const CfExpertMap *in_use)
 {
-  CfRankReport *r = &c->ranks[rank];
+  CfRankReport *r = &c->reports[rank];
   CfRankOp op = { .kind = CF_RANK_DISARM, .u.arm.version = r->armed };
 
-  if (r->armed && order (c, rank, &op) != CF_RANK_OP_DONE)
+  if (r->armed && send_order (c, rank, &op) != CF_RANK_OP_DONE)
     return;
   op.kind = CF_RANK_PREPARE;
   op.u.prepare.version = highest_version (c) + 1;
   op.u.prepare.map = in_use;
-  order (c, rank, &op);
+  send_order (c, rank, &op);
 }
 
-/* Whether an order to arm @rank, sent before now, could still be obeyed:
- * only the version it holds prepared can be armed. */
+/* Whether a rank is armed, or could still be by a delayed order: only the
+ * version it has prepared can be armed, and versions up to @last_version may
+ * have such orders. */
 static gboolean
-may_arm (const CfRankReport *r, gint64 burnt_above)
+may_arm (const CfRankReport *r, gint64 last_version)
 {
-  return r->armed != 0 || (r->prepared != 0 && r->prepared <= burnt_above);
+  return r->armed != 0 || (r->prepared != 0 && r->prepared <= last_version);
 }
 
-/* Whether every rank has let go of all versions up to @burnt_above. */
+/* Whether on every rank all versions up to @last_version are invalid. */
 static gboolean
-all_clear (const Change *c, gint64 burnt_above)
+is_invalidated_everywhere (const Change *c, gint64 last_version)
 {
   for (int r = 0; r < c->ops->ranks; r++)
-    if (may_arm (&c->ranks[r], burnt_above))
+    if (may_arm (&c->reports[r], last_version))
       return FALSE;
   return TRUE;
 }
 
-/* Ends every hold that the last look saw. */
+/* Releases every hold in the latest reports. */
 static void
-go_everywhere (Change *c)
+release_all_holds (Change *c)
 {
   for (int r = 0; r < c->ops->ranks && !c->fenced; r++)
-    if (c->ranks[r].held)
-      go (c, r, c->ranks[r].held);
+    if (c->reports[r].held)
+      release_hold (c, r, c->reports[r].held);
 }
 
 /*
- * Holds the pending step at a rank of this coordinator's own, since an
- * earlier one's go may still be on its way to the rank it held.
+ * Holds the pending step at a rank that does not hold it yet, since an earlier
+ * coordinator's delayed release may still reach the rank that does.
  */
 static gboolean
-hold_of_our_own (Change *c, gint64 step)
+add_own_hold (Change *c, gint64 step)
 {
   int n = c->ops->ranks;
 
   for (int i = 0; i < n; i++)
     {
-      int rank = (int)((c->turn + i) % n);
+      int rank = (int)((c->term + i) % n);
 
-      if (c->ranks[rank].held == 0)
-        return hold (c, rank, step) == CF_RANK_OP_DONE;
+      if (c->reports[rank].held == 0)
+        return place_hold (c, rank, step) == CF_RANK_OP_DONE;
     }
-  /* Every rank holds: no single go can let the step begin. */
+  /* Every rank holds it: no single release can let the step begin. */
   return TRUE;
 }
 
-/* One round of undo(); TRUE once nothing is pending any more. */
+/* Runs one round of undo_change(); returns TRUE once nothing is pending. */
 static gboolean
-undo_round (Change *c, gint64 burnt_above, const CfExpertMap *in_use,
+undo_round (Change *c, gint64 last_version, const CfExpertMap *in_use,
             gboolean *held)
 {
   gint64 step;
   gboolean armed = FALSE;
 
-  if (!look (c))
+  if (!collect_reports (c))
     return FALSE;
   step = pending_step (c);
-  if (all_clear (c, burnt_above))
+  if (is_invalidated_everywhere (c, last_version))
     {
-      go_everywhere (c);
+      release_all_holds (c);
       return step == 0;
     }
   for (int r = 0; r < c->ops->ranks; r++)
-    armed |= c->ranks[r].armed != 0;
-  /* Without a hold the armed ranks could switch one by one while the
-   * others are being disarmed. */
+    armed |= c->reports[r].armed != 0;
+  /* Without a hold the step could begin, and the armed ranks switch, while
+   * others are already disarmed. */
   if (armed && !*held)
-    *held = hold_of_our_own (c, step);
+    *held = add_own_hold (c, step);
   if (armed && !*held)
     return FALSE;
   for (int r = 0; r < c->ops->ranks && !c->fenced; r++)
-    if (may_arm (&c->ranks[r], burnt_above))
-      burn (c, r, in_use);
+    if (may_arm (&c->reports[r], last_version))
+      invalidate_versions (c, r, in_use);
   return FALSE;
 }
 
-/* Undoes what is pending.  The ranks are looked at afresh in each round,
- * since late orders may have changed them. */
+/* Undoes a pending change.  Each round requests new reports, since delayed
+ * orders may have changed the ranks' state. */
 static CfMapChangeResult
-undo (Change *c, gint64 burnt_above, const CfExpertMap *in_use)
+undo_change (Change *c, gint64 last_version, const CfExpertMap *in_use)
 {
   gboolean held = FALSE;
-  gint64 since = now_ms (c);
+  gint64 start_ms = now_ms (c);
 
-  while (now_ms (c) - since <= c->limits->settle_ms && !c->fenced)
+  while (now_ms (c) - start_ms <= c->limits->settle_ms && !c->fenced)
     {
-      if (undo_round (c, burnt_above, in_use, &held))
+      if (undo_round (c, last_version, in_use, &held))
         return CF_MAP_CHANGE_ABORTED;
       if (!c->ops->pause (c->ops->data, POLL_MS))
         break;
     }
-  return cut_short (c);
+  return incomplete_result (c);
 }
 
 CfMapChangeResult
-cf_map_change_settle (const CfRankOps *ops, gint64 turn,
+cf_map_change_settle (const CfRankOps *ops, gint64 term,
                       const CfExpertMap *in_use,
                       const CfMapChangeLimits *limits)
 {
-  g_autofree CfRankReport *ranks = g_new0 (CfRankReport, ops->ranks);
-  Change c = { .ops = ops, .limits = limits, .turn = turn, .ranks = ranks };
+  g_autofree CfRankReport *reports = g_new0 (CfRankReport, ops->ranks);
+  Change c = { .ops = ops, .limits = limits, .term = term, .reports = reports };
 
-  if (!look (&c))
-    return cut_short (&c);
-  return undo (&c, highest_version (&c), in_use);
+  if (!collect_reports (&c))
+    return incomplete_result (&c);
+  return undo_change (&c, highest_version (&c), in_use);
 }
 
-/* Tells every rank to prepare @map and waits until all copies are whole. */
+/* Orders every rank to prepare @map and waits until all have done so. */
 static gboolean
-prepare_all (Change *c, const CfExpertMap *map)
+prepare_ranks (Change *c, const CfExpertMap *map)
 {
   CfRankOp op = { .kind = CF_RANK_PREPARE };
-  gint64 since = now_ms (c);
+  gint64 start_ms = now_ms (c);
 
   op.u.prepare.version = map->version;
   op.u.prepare.map = map;
   for (int r = 0; r < c->ops->ranks; r++)
-    if (order (c, r, &op) == CF_RANK_OP_REFUSED || c->fenced)
+    if (send_order (c, r, &op) == CF_RANK_OP_REFUSED || c->fenced)
       return FALSE;
   for (;;)
     {
-      gboolean ready = look (c);
+      gboolean is_ready = collect_reports (c);
 
-      for (int r = 0; ready && r < c->ops->ranks; r++)
-        ready = c->ranks[r].prepared == map->version;
-      if (ready || c->fenced || now_ms (c) - since >= c->limits->prepare_ms
+      for (int r = 0; is_ready && r < c->ops->ranks; r++)
+        is_ready = c->reports[r].prepared == map->version;
+      if (is_ready || c->fenced
+          || now_ms (c) - start_ms >= c->limits->prepare_ms
           || !c->ops->pause (c->ops->data, POLL_MS))
-        return ready;
+        return is_ready;
     }
 }
 
-/* Holds a step ahead of the group; returns it, or 0. */
+/* Holds a step ahead of the group and returns it; 0 if that fails. */
 static gint64
-hold_ahead (Change *c)
+place_hold_ahead (Change *c)
 {
-  int lead = c->limits->steps_ahead;
+  int distance = c->limits->steps_ahead;
 
-  for (int i = 0; i < HOLD_TRIES; i++, lead *= 4)
+  for (int i = 0; i < MAX_HOLD_ATTEMPTS; i++, distance *= 4)
     {
-      /* The turn is in it so that a late order for an earlier turn's step
-       * cannot fit this one while an idle group stands still. */
-      gint64 step = highest_step (c) + lead + c->turn % lead;
+      /* The step depends on the term: while a group is idle its step does
+       * not advance, and a delayed order from an earlier term must not match
+       * the step of this one. */
+      gint64 step = highest_step (c) + distance + c->term % distance;
 
-      switch (hold (c, (int)(c->turn % c->ops->ranks), step))
+      switch (place_hold (c, (int)(c->term % c->ops->ranks), step))
         {
         case CF_RANK_OP_DONE:
           return step;
         case CF_RANK_OP_REFUSED:
-          if (!look (c))
+          if (!collect_reports (c))
             return 0;
           break;
         case CF_RANK_OP_UNKNOWN:
@@ -288,38 +293,39 @@
 }
 
 CfMapChangeResult
-cf_map_change_run (const CfRankOps *ops, gint64 turn, const CfExpertMap *in_use,
+cf_map_change_run (const CfRankOps *ops, gint64 term, const CfExpertMap *in_use,
                    CfExpertMap *map, const CfMapChangeLimits *limits)
 {
-  g_autofree CfRankReport *ranks = g_new0 (CfRankReport, ops->ranks);
-  Change c = { .ops = ops, .limits = limits, .turn = turn, .ranks = ranks };
+  g_autofree CfRankReport *reports = g_new0 (CfRankReport, ops->ranks);
+  Change c = { .ops = ops, .limits = limits, .term = term, .reports = reports };
   CfRankOp arm = { .kind = CF_RANK_ARM };
-  gint64 since;
+  gint64 start_ms;
   gint64 step;
 
-  if (!look (&c))
-    return cut_short (&c);
+  if (!collect_reports (&c))
+    return incomplete_result (&c);
   map->version = highest_version (&c) + 1;
-  if (!prepare_all (&c, map))
+  if (!prepare_ranks (&c, map))
     return c.fenced ? CF_MAP_CHANGE_FENCED : CF_MAP_CHANGE_ABORTED;
-  step = hold_ahead (&c);
+  step = place_hold_ahead (&c);
   if (step == 0)
-    return undo (&c, map->version, in_use);
+    return undo_change (&c, map->version, in_use);
 
   arm.u.arm.version = map->version;
   arm.u.arm.step = step;
   for (int r = 0; r < ops->ranks; r++)
-    if (order (&c, r, &arm) != CF_RANK_OP_DONE)
-      return c.fenced ? CF_MAP_CHANGE_FENCED : undo (&c, map->version, in_use);
+    if (send_order (&c, r, &arm) != CF_RANK_OP_DONE)
+      return c.fenced ? CF_MAP_CHANGE_FENCED
+                      : undo_change (&c, map->version, in_use);
 
-  /* From the first go on the change is decided: it is never undone here. */
-  since = now_ms (&c);
-  while (!c.fenced && now_ms (&c) - since <= limits->settle_ms)
+  /* From the first release on the change is committed and not undone here. */
+  start_ms = now_ms (&c);
+  while (!c.fenced && now_ms (&c) - start_ms <= limits->settle_ms)
     {
-      switch (go (&c, (int)(turn % ops->ranks), step))
+      switch (release_hold (&c, (int)(term % ops->ranks), step))
         {
         case CF_RANK_OP_DONE:
-        case CF_RANK_OP_REFUSED: /* not held any more: an earlier go came */
+        case CF_RANK_OP_REFUSED: /* an earlier release took effect */
           return CF_MAP_CHANGE_DONE;
         case CF_RANK_OP_UNKNOWN:
         case CF_RANK_OP_FENCED:
@@ -328,7 +334,7 @@
       if (!ops->pause (ops->data, POLL_MS))
         break;
     }
-  return cut_short (&c);
+  return incomplete_result (&c);
 }
 
 const char *
--- a/map-change.h
+++ b/map-change.h
@@ -3,20 +3,21 @@
 #include "expert-map.h"
 
 /**
- * Changing a group's expert map at one agreed step boundary, on every rank
- * or on none.  docs/MAP-CHANGE.md gives the protocol and why each step is
- * needed; this module holds its decisions and speaks to the ranks only
- * through a #CfRankOps, so that tests can put fakes there.
+ * Changes a group's expert map on every rank at the same step, or on none.
+ * A step is one forward pass, which all ranks run in lock step; steps are
+ * numbered.  docs/MAP-CHANGE.md explains the protocol and the need for each of
+ * its parts.  This module makes the protocol's decisions; it reaches the ranks
+ * only through a #CfRankOps, which tests replace by fakes.
  */
 
 /** CfRankOpKind: the tag of a #CfRankOp. */
 typedef enum
 {
-  CF_RANK_PREPARE, /**< copy the experts of @version's map */
-  CF_RANK_ARM,     /**< switch to @version as pass @step begins */
-  CF_RANK_DISARM,  /**< do not switch to @version after all */
-  CF_RANK_HOLD,    /**< let no rank begin pass @step before a go */
-  CF_RANK_GO,      /**< end the hold of pass @step */
+  CF_RANK_PREPARE, /**< copy the experts that map @version needs */
+  CF_RANK_ARM,     /**< switch to map @version when @step begins */
+  CF_RANK_DISARM,  /**< cancel the switch to map @version */
+  CF_RANK_HOLD,    /**< hold @step: it begins on no rank until released */
+  CF_RANK_GO,      /**< release the hold of @step */
 } CfRankOpKind;
 
 /** CfRankOp: an order to one rank. */
@@ -34,42 +35,41 @@
     {
       gint64 version;
       gint64 step;
-    } arm; /**< and disarm, which takes no step */
+    } arm; /**< also for disarm, which ignores @step */
     struct
     {
       gint64 step;
-    } hold; /**< and go */
+    } hold; /**< also for go */
   } u;
 } CfRankOp;
 
-/** CfRankOpResult: what is known of an order once the call returns. */
+/** CfRankOpResult: the outcome of an order, as far as it is known. */
 typedef enum
 {
   CF_RANK_OP_DONE,    /**< carried out */
   CF_RANK_OP_REFUSED, /**< not carried out, and never will be */
-  CF_RANK_OP_UNKNOWN, /**< no answer: carried out, or not, or yet to be */
-  CF_RANK_OP_FENCED,  /**< refused: a coordinator with a higher token took over
-                       */
+  CF_RANK_OP_UNKNOWN, /**< no answer: it may have run, or still run later */
+  CF_RANK_OP_FENCED,  /**< refused: a coordinator has a higher token */
 } CfRankOpResult;
 
-/** CfRankReport: one rank's state; 0 stands for none. */
+/** CfRankReport: one rank's state; 0 means none. */
 typedef struct
 {
-  gint64 step;     /**< the last pass begun */
-  gint64 map;      /**< the version in use */
-  gint64 prepared; /**< the version whose copy is complete */
-  gint64 newest;   /**< the highest version it was ever told to prepare */
-  gint64 armed;
-  gint64 armed_step;
-  gint64 held; /**< the pass held */
+  gint64 step;       /**< the last step begun */
+  gint64 map;        /**< the map version in use */
+  gint64 prepared;   /**< the map version whose experts are all copied */
+  gint64 newest;     /**< the highest version it was ever told to prepare */
+  gint64 armed;      /**< the map version it is armed to switch to */
+  gint64 armed_step; /**< the step at which it switches */
+  gint64 held;       /**< the step it holds */
 } CfRankReport;
 
 /**
- * CfRankOps: how a coordinator reaches the ranks of its group.  Every call
- * carries the coordinator's fencing token; from the first report on, a
- * rank obeys no lower one.  A process that checks the token on a rank's
- * behalf and has restarted, and so forgotten the highest, must refuse
- * orders until the next report.
+ * CfRankOps: callbacks through which a coordinator reaches the ranks of its
+ * group.  Every order and report request carries the coordinator's fencing
+ * token.  Once a rank has answered a report request, it refuses lower tokens.
+ * A process that checks tokens for a rank loses the highest one at a restart
+ * and must then refuse orders until the next report request.
  */
 typedef struct
 {
@@ -77,57 +77,56 @@
   int ranks;
   CfRankOpResult (*order) (void *data, int rank, const CfRankOp *op);
   CfRankOpResult (*report) (void *data, int rank, CfRankReport *out);
-  /** Waits @ms; %FALSE when the coordinator should stop trying. */
+  /** Waits for @ms; returns %FALSE if the coordinator is to give up. */
   gboolean (*pause) (void *data, int ms);
-  /** The time in ms, on a clock that is never set back. */
+  /** The time in ms on a monotonic clock. */
   gint64 (*now) (void *data);
 } CfRankOps;
 
-/** CfMapChangeResult: how a change ended. */
+/** CfMapChangeResult: how a change, or the settling of one, ended. */
 typedef enum
 {
-  CF_MAP_CHANGE_DONE,    /**< every rank switches at one step */
+  CF_MAP_CHANGE_DONE,    /**< every rank switches at the same step */
   CF_MAP_CHANGE_ABORTED, /**< no rank switches */
-  CF_MAP_CHANGE_FENCED,  /**< another coordinator took over; it settles the
-                            change */
-  CF_MAP_CHANGE_STUCK,   /**< a rank cannot be reached: settle again, soon */
+  CF_MAP_CHANGE_FENCED,  /**< another coordinator took over and settles it */
+  CF_MAP_CHANGE_STUCK,   /**< a rank cannot be reached: settle again soon */
 } CfMapChangeResult;
 
-/** CfMapChangeLimits: how long a change may take, in ms and steps. */
+/** CfMapChangeLimits: time limits of a change, in ms and steps. */
 typedef struct
 {
-  int prepare_ms;  /**< until every rank has copied its experts */
-  int settle_ms;   /**< until every rank is known to have let go */
-  int steps_ahead; /**< how far ahead the hold is placed */
+  int prepare_ms;  /**< for every rank to copy its experts */
+  int settle_ms;   /**< to undo a change, or to release its hold */
+  int steps_ahead; /**< distance from the group's step to the step held */
 } CfMapChangeLimits;
 
 /**
  * cf_map_change_settle:
- * @turn: differs between coordinators that follow each other, such as the
- *   round of takeovers; it chooses the rank that holds
- * @in_use: the map the group steps on
+ * @term: a number that differs between successive coordinators, such as a
+ *   count of takeovers; it selects the rank that is told to hold a step
+ * @in_use: the map that the group uses
  *
- * Takes over the group: reads, and so fences, every rank and undoes
- * whatever an earlier coordinator left half done, so that no rank is armed
- * or held and no order still on its way can arm one.
+ * Takes over the group.  Requests a report from every rank, which also fences
+ * it, and undoes any change that an earlier coordinator left unfinished.  On
+ * success no rank is armed or holds a step, and no delayed order can arm one.
  *
- * Returns: %CF_MAP_CHANGE_ABORTED once that is so, else %CF_MAP_CHANGE_FENCED
- * or %CF_MAP_CHANGE_STUCK.
+ * Returns: %CF_MAP_CHANGE_ABORTED on success, else %CF_MAP_CHANGE_FENCED or
+ * %CF_MAP_CHANGE_STUCK.
  */
-CfMapChangeResult cf_map_change_settle (const CfRankOps *ops, gint64 turn,
+CfMapChangeResult cf_map_change_settle (const CfRankOps *ops, gint64 term,
                                         const CfExpertMap *in_use,
                                         const CfMapChangeLimits *limits);
 
 /**
  * cf_map_change_run:
- * @map: the map to change to; its version is set here, above all others
+ * @map: the map to change to; gets a version above all others
  *
  * Changes a settled group to @map; call cf_map_change_settle() first.
  */
-CfMapChangeResult cf_map_change_run (const CfRankOps *ops, gint64 turn,
+CfMapChangeResult cf_map_change_run (const CfRankOps *ops, gint64 term,
                                      const CfExpertMap *in_use,
                                      CfExpertMap *map,
                                      const CfMapChangeLimits *limits);
 
-/** cf_map_change_result_name: "changed", "aborted", "fenced" or "stuck". */
+/** cf_map_change_result_name: returns @c as it is written to the log. */
 const char *cf_map_change_result_name (CfMapChangeResult c);
--- a/rank-group.h
+++ b/rank-group.h
@@ -7,7 +7,7 @@
 
 /**
  * CfRankGroupSettings:
- * The [group] table of an agent beside one rank of an engine group;
+ * The [group] table of an agent whose target is one rank of an engine group;
  * docs/SETTINGS.md.
  */
 typedef struct
@@ -15,73 +15,79 @@
   GPtrArray *members; /**< agents' "IP:PORT" by rank; empty: no group */
   gint64 rank;        /**< this agent's index in @members */
   gint64 interval_ms; /**< between placement decisions; 0: never */
-  gint64 hold_max_ms; /**< a hold or standstill this long is settled */
-  gint64 prepare_ms;  /**< how long the ranks may take to copy experts */
+  gint64 hold_max_ms; /**< a hold or stall longer than this is settled */
+  gint64 prepare_ms;  /**< limit for the ranks to copy experts */
   char *policy;
   double skew_weight;
   double move_weight;
   gint64 max_moves;
-  CfPlacement placement; /**< made of the four above when checked */
+  CfPlacement placement; /**< set from the four above by the check */
 } CfRankGroupSettings;
 
 /**
  * CfRankGroup:
  * An agent's part in coordinating its group's expert map.  Every agent can
- * coordinate; fencing tokens keep all but the latest from having any
- * effect.  The agent of rank 0 decides placement; that of rank r does once
- * it has seen no coordinator for 1 + 2r intervals.  Any agent settles the
- * group when its own rank is held, or stands still with work waiting, for
- * too long.  docs/MAP-CHANGE.md.
+ * be the coordinator; fencing tokens ensure that only the latest one has any
+ * effect.  The agent of rank 0 decides placement.  The agent of rank r does so
+ * after it has seen no other coordinator for 1 + 2r intervals.  Any agent
+ * settles the group when its own rank has held a step, or has had work waiting
+ * without beginning a step, for too long.  See docs/MAP-CHANGE.md.
  */
 typedef struct CfRankGroup CfRankGroup;
 
-/** cf_rank_group_settings_check: checks what the keys' bounds do not. */
+/**
+ * cf_rank_group_settings_check: checks what the bounds of single keys do not
+ * cover, and sets @o's placement.
+ */
 CfStatus cf_rank_group_settings_check (const CfSettings *s,
                                        CfRankGroupSettings *o);
 
 /**
  * cf_rank_group_start:
- * @target_url: the rank's engine, whose /v1/ranks/RANK is ours
+ * @target_url: the rank's engine, which serves this rank at /v1/ranks/RANK
+ *
  * Starts the coordination thread.
  */
-CfRankGroup *cf_rank_group_start (const CfRankGroupSettings *set,
+CfRankGroup *cf_rank_group_start (const CfRankGroupSettings *settings,
                                   const char *target_url);
 
 /**
  * cf_rank_group_run_order:
- * Carries out one coordinator's order at this agent's rank, after its
- * fencing token has passed.
- * @op: the order's name: "report" or one of #CfRankOpKind's
- * @args: (nullable): its JSON object
- * @fence: the token it carries
+ * @op: the order's name: "report", or that of a #CfRankOpKind
+ * @args: (nullable): the order's arguments, a JSON object
+ * @fence: the order's fencing token, already checked
  * @code: (out): the engine's HTTP status
  * @out: (out): the engine's reply
+ *
+ * Passes a coordinator's order to this agent's rank.
  */
 CfStatus cf_rank_group_run_order (CfRankGroup *g, const char *op,
                                   const char *args, gint64 fence, long *code,
                                   char **out);
 
 /**
- * cf_rank_op_to_json: @op as the JSON object that a rank's engine takes, with
- * its name and without a fencing token.
+ * cf_rank_op_to_json: returns @op as the JSON object that a rank's engine
+ * accepts, with the order's name but without a fencing token.
  */
 json_t *cf_rank_op_to_json (const CfRankOp *op);
 
-/** cf_rank_group_is_rank_order: whether @op is an order to a rank. */
+/** cf_rank_group_is_rank_order: whether @op is the name of a rank's order. */
 gboolean cf_rank_group_is_rank_order (const char *op);
 
 /**
  * cf_rank_group_check_fence:
- * The fencing rule for orders to the rank; docs/MAP-CHANGE.md.
- * Returns: %CF_OK, %CF_ERR_STALE for a token lower than one seen, or
- * %CF_ERR_USAGE if no coordinator has reported in since this agent started.
+ * Checks and records the fencing token of an order to the rank; see
+ * docs/MAP-CHANGE.md.
+ *
+ * Returns: %CF_OK, %CF_ERR_STALE for a token lower than the highest seen, or
+ * %CF_ERR_USAGE if no coordinator has requested a report since this agent
+ * started.
  */
 CfStatus cf_rank_group_check_fence (CfRankGroup *g, const char *op,
                                     gint64 fence);
 
-/** cf_rank_group_request_rebalance: decide placement now, on the group's
- * thread. */
+/** cf_rank_group_request_rebalance: lets the thread decide placement now. */
 void cf_rank_group_request_rebalance (CfRankGroup *g);
 
-/** cf_rank_group_highest_fence: the highest fencing token seen. */
+/** cf_rank_group_highest_fence: returns the highest fencing token seen. */
 gint64 cf_rank_group_highest_fence (CfRankGroup *g);
