--- a/t/t-agent.c
+++ b/t/t-agent.c
@@ -1,5 +1,5 @@
 /*
- * The agent beside a target, spoken to over its own frames: fencing,
+ * A real agent process, driven through its frame protocol: fencing of orders,
  * graceful drain on SIGTERM, and the at-most-once guard across an agent
  * restart.
  */
@@ -21,10 +21,11 @@
 #define SERVICE "http://127.0.0.1:17791"
 
 static pid_t
-start_agent_with (const char *target, const char *more)
+start_agent_with (const char *target, const char *extra_settings)
 {
-  g_autofree char *s = g_strdup_printf (
-      "[agent]\nlisten = \"" AGENT "\"\ntarget_url = \"%s\"\n%s", target, more);
+  g_autofree char *s = g_strdup_printf ("[agent]\nlisten = \"" AGENT
+                                        "\"\ntarget_url = \"%s\"\n%s",
+                                        target, extra_settings);
 
   return t_start ("a-agent", "./comfrey-agent", s);
 }
@@ -46,7 +47,7 @@
   return fd;
 }
 
-/* An engine and its agent; returns a connection to the agent. */
+/* Starts an engine and its agent; returns a connection to the agent. */
 static int
 start_with_engine (pid_t *agent)
 {
@@ -85,8 +86,8 @@
   ck_assert_int_eq (cf_msg_write (fd, &m), CF_OK);
 }
 
-/* The next frame that answers something; a status that nobody asked for
- * must say that the agent drains. */
+/* Reads the next frame that is not a status.  Unrequested status frames must
+ * say that the agent is draining. */
 static CfStatus
 read_reply (int fd, CfMsg *r)
 {
@@ -97,7 +98,7 @@
   return st;
 }
 
-START_TEST (test_stale_order_refused_when_engine_ignores_fences)
+START_TEST (test_agent_refuses_stale_order_that_engine_accepts)
 {
   g_autofree char *reply = NULL;
   CfMsg r;
@@ -117,7 +118,7 @@
   ck_assert_int_eq (r.u.refusal.ran, CF_RAN_NO);
   ck_assert_str_eq (r.u.refusal.reason, "stale-fencing-token");
   cf_msg_clear (&r);
-  /* The engine itself would have taken it: the agent is the only fence. */
+  /* The engine itself accepts the old token: only the agent checks it. */
   ck_assert_int_eq (cf_http_call ("POST", ENGINE "/v1/order",
                                   "{\"fence\":3,\"op\":\"load-model\"}", NULL,
                                   2000, &code, &reply),
@@ -144,7 +145,7 @@
   send_request (fd, 2, "/v1/generate", NULL, "{\"prompt\":\"late\"}");
   ck_assert_int_eq (read_reply (fd, &first), CF_OK);
   ck_assert_int_eq (read_reply (fd, &second), CF_OK);
-  /* The late one is refused at once, before the long one ends. */
+  /* The request after SIGTERM is refused at once, before the long one ends. */
   ck_assert_int_eq (first.id, 2);
   ck_assert_int_eq (first.kind, CF_MSG_REFUSAL);
   ck_assert_int_eq (first.u.refusal.ran, CF_RAN_NO);
@@ -159,21 +160,21 @@
 }
 END_TEST
 
-/* More than a socket buffers for a peer that does not read. */
+/* Enough 800 kB answers to exceed the socket buffers while nobody reads. */
 #define LARGE_ANSWERS 8
 
-START_TEST (test_sigterm_waits_for_answers_being_sent)
+START_TEST (test_sigterm_waits_until_answers_are_sent)
 {
   g_autofree char *prompt = g_strnfill (800000, 'p');
   g_autofree char *body
       = g_strdup_printf ("{\"prompt\":\"%s\",\"max_tokens\":1}", prompt);
-  int small = 65536;
+  int buffer_size = 65536;
   pid_t agent;
   CfMsg r;
   int fd;
 
   fd = start_with_engine (&agent);
-  setsockopt (fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+  setsockopt (fd, SOL_SOCKET, SO_RCVBUF, &buffer_size, sizeof buffer_size);
   for (guint64 id = 1; id <= LARGE_ANSWERS; id++)
     send_request (fd, id, "/v1/generate", NULL, body);
   usleep (300000);
@@ -193,7 +194,7 @@
 }
 END_TEST
 
-/** What the target of the next test takes for an order, in ms. */
+/* How long the target of the next test takes for an order. */
 #define SLOW_ORDER_MS 1000
 
 static void
@@ -206,21 +207,15 @@
 }
 
 /*
- * An order that runs when an agent is stopped gets its answer.
- *
- * The story.  No user reported it: it was looked for after streams were cut
- * by stopping gateways.  An operator's order to load a model ends in a lost
- * connection, its fate unknown, though the agent had 30 s to wait for it.
- *
- * Order of events: the agent sends the order to its target; SIGTERM; it counts
- * no request without a reply, lingers 100 ms and ends; the target is done.
- *
- * Cause: only requests were counted among what a stop waits for.
- *
- * Evidence: E1405 in_flight=0 and E1406 follow the order's own line in the
- * agent's log; the connection closes without a frame but the drain's status.
+ * An order that is running when the agent is stopped must get its answer.
+ * If a stop waits only for requests, it sees none pending, lingers for 100 ms
+ * and ends the process before the target is done.  The operator's order to
+ * load a model then ends in a lost connection with its outcome unknown,
+ * although the agent had 30 s of grace.  Its log then shows E1405 with
+ * in_flight=0 and E1406 right after the order's line; the connection closes
+ * after the drain's status without another frame.
  */
-START_TEST (test_sigterm_waits_for_an_order_in_progress)
+START_TEST (test_sigterm_waits_for_running_order)
 {
   CfMsg order = { .kind = CF_MSG_ORDER, .id = 1 };
   CfHttpServer *target = NULL;
@@ -253,15 +248,15 @@
 }
 END_TEST
 
-/** What a call at the service of the next two tests takes, in ms. */
+/* How long a call to the service of the next two tests takes. */
 #define QUEUED_CALL_MS 800
 
-/* A service, and an agent that makes one call at a time and stops within
- * @grace_ms, with three calls: one running, two queued. */
+/* Starts a service and an agent that makes one call at a time and drains for
+ * at most @grace_ms.  Sends three calls; one runs and two are queued. */
 static int
 start_with_queue (const char *grace_ms, pid_t *agent)
 {
-  g_autofree char *more = g_strdup_printf (
+  g_autofree char *extra_settings = g_strdup_printf (
       "workers = 1\nguard_quiet_ms = 0\ndrain_grace_ms = %s\n", grace_ms);
   g_autofree char *service = g_strdup_printf (
       "[service]\nlisten = \"127.0.0.1:17791\"\nwork_ms = %d\n",
@@ -270,9 +265,9 @@
   int fd;
 
   t_start ("a-service", "./comfrey-fake-service", service);
-  *agent = start_agent_with (SERVICE, more);
+  *agent = start_agent_with (SERVICE, extra_settings);
   fd = connect_agent ();
-  /* Shows the agent what a call takes. */
+  /* The agent learns from this call how long a call takes. */
   send_request (fd, 1, "/v1/call", "shift-81", "{\"note\":\"first\"}");
   ck_assert_int_eq (cf_msg_read (fd, &r), CF_OK);
   ck_assert_int_eq (r.kind, CF_MSG_ANSWER);
@@ -284,8 +279,8 @@
   return fd;
 }
 
-/* Reads replies until the agent closes; ends the test unless @answered of the
- * three calls have answers and @refused have refusals as not run. */
+/* Reads replies until the agent closes the connection.  Of the three calls
+ * @answered must be answered and @refused refused as not run. */
 static void
 check_queue_replies (int fd, int answered, int refused)
 {
@@ -308,36 +303,28 @@
                  "of three calls at SIGTERM %d were answered, %d refused as "
                  "not run, and the rest cut off; begun at the service: %s",
                  answers, refusals, counts);
-  /* What was refused as not run has not run. */
+  /* A call refused as not run must not have reached the service. */
   ck_assert (strstr (counts, "shift-84") == NULL);
   ck_assert ((strstr (counts, "shift-83") != NULL) == (refused == 1));
 }
 
 /*
- * Calls that an agent cannot end in its stop are refused as not run.
- *
- * The story.  No user reported it: it was looked for after streams were cut
- * by stopping gateways.  Callers of non-repeatable calls are told "fate
- * unknown" of calls that the stopped agent had queued and never begun, or had
- * begun with no time left; another agent could have run them.
- *
- * Order of events: one call runs, two are queued; SIGTERM; the worker goes on
- * taking calls from the queue until the grace is over; the process ends with
- * one call begun too late and one not begun, both without a reply.
- *
- * Cause: no look at the time that is left before a call is begun, and nothing
- * said of what is queued when it is over.
- *
- * Evidence: E1406 in_flight=3 queued=2 in the agent's log of the second test;
- * calls among the service's counts that got no reply.
+ * Calls that a stopping agent cannot finish must be refused as not run, so
+ * that another agent can run them.  If a worker starts queued calls without
+ * regard to the remaining grace, and queued calls are dropped when it ends,
+ * the process exits with one call started too late and one never started,
+ * both without a reply.  Their callers are told that it is unknown whether a
+ * non-repeatable call ran.  The agent's log of the second test then shows
+ * E1406 with in_flight=3 queued=2, and the service counts calls that got no
+ * reply.
  */
-START_TEST (test_stop_begins_no_call_too_late)
+START_TEST (test_stop_starts_no_call_it_cannot_finish)
 {
   pid_t agent;
   int fd;
 
-  /* The running one ends after 0.6 s, the next after 1.4, the last would
-   * after 2.2. */
+  /* The running call ends after 0.6 s and the next after 1.4 s; the last one
+   * would end after 2.2 s. */
   fd = start_with_queue ("2000", &agent);
   kill (agent, SIGTERM);
   check_queue_replies (fd, 2, 1);
@@ -346,12 +333,12 @@
 }
 END_TEST
 
-START_TEST (test_stop_refuses_what_is_still_queued)
+START_TEST (test_stop_refuses_queued_calls)
 {
   pid_t agent;
   int fd;
 
-  /* The running one would end after 0.6 s. */
+  /* The running call would end after 0.6 s. */
   fd = start_with_queue ("400", &agent);
   kill (agent, SIGTERM);
   check_queue_replies (fd, 0, 2);
@@ -360,21 +347,21 @@
 }
 END_TEST
 
-START_TEST (test_sigterm_is_told_to_entries_at_once)
+START_TEST (test_sigterm_notifies_entries_at_once)
 {
   pid_t agent;
   CfMsg r;
   int fd;
 
   fd = start_with_engine (&agent);
-  /* Asked for nothing, the connection hears of it, and well before a
+  /* The agent notifies the connection without a request, well before a
    * heartbeat would have asked. */
   usleep (100000);
   kill (agent, SIGTERM);
   ck_assert_int_eq (cf_msg_read (fd, &r), CF_OK);
   ck_assert_int_eq (r.kind, CF_MSG_STATUS);
   ck_assert (r.load.draining);
-  /* A request that was on its way all the same did not run. */
+  /* A request that is sent nevertheless is refused as not run. */
   send_request (fd, 1, "/v1/generate", NULL, "{\"prompt\":\"late\"}");
   ck_assert_int_eq (cf_msg_read (fd, &r), CF_OK);
   ck_assert_int_eq (r.kind, CF_MSG_REFUSAL);
@@ -385,7 +372,7 @@
 }
 END_TEST
 
-/* A target in this process whose answers do not fit a frame. */
+/* A target, in this process, whose answers do not fit a frame. */
 static void
 huge_answer (void *data, const CfHttpRequest *req, CfHttpReply *rep)
 {
@@ -417,7 +404,7 @@
 }
 END_TEST
 
-START_TEST (test_keyed_call_once_across_agent_restart)
+START_TEST (test_keyed_call_runs_once_across_agent_restart)
 {
   g_autofree char *counts = NULL;
   pid_t agent;
@@ -427,7 +414,7 @@
 
   t_start ("a-service", "./comfrey-fake-service",
            "[service]\nlisten = \"127.0.0.1:17791\"\nwork_ms = 500\n");
-  /* Long past its quiet time; the one started next is not. */
+  /* This agent has no quiet period; the one that replaces it has. */
   agent = start_agent_with (SERVICE, "guard_quiet_ms = 0\n");
   fd = connect_agent ();
   send_request (fd, 1, "/v1/call", "shift-77", "{\"note\":\"crew to row 4\"}");
@@ -435,7 +422,7 @@
   kill (agent, SIGKILL);
   waitpid (agent, NULL, 0);
   close (fd);
-  /* The caller was told "fate unknown" and retries with the same key. */
+  /* The caller was told "ran unknown" and retries with the same key. */
   start_agent (SERVICE);
   fd = connect_agent ();
   send_request (fd, 2, "/v1/call", "shift-77", "{\"note\":\"crew to row 4\"}");
@@ -452,7 +439,7 @@
 }
 END_TEST
 
-START_TEST (test_lost_answer_on_reused_connection_runs_once)
+START_TEST (test_call_with_lost_answer_on_reused_connection_runs_once)
 {
   g_autofree char *counts = NULL;
   CfMsg r;
@@ -463,7 +450,7 @@
            "[service]\nlisten = \"127.0.0.1:17791\"\nwork_ms = 1\n");
   start_agent_with (SERVICE, "workers = 1\nguard_quiet_ms = 0\n");
   fd = connect_agent ();
-  /* The one worker's first call leaves it a connection to reuse. */
+  /* After this call the only worker has a connection to reuse. */
   send_request (fd, 1, "/v1/call", NULL, "{\"note\":\"first\"}");
   ck_assert_int_eq (cf_msg_read (fd, &r), CF_OK);
   ck_assert_int_eq (r.kind, CF_MSG_ANSWER);
@@ -478,7 +465,7 @@
                     CF_OK);
   ck_assert_msg (strstr (counts, "\"shift-78\":1"),
                  "the booking ran more than once: %s", counts);
-  /* Its answer is lost: nobody can know that it ran. */
+  /* The answer is lost, so the agent cannot know whether the call ran. */
   ck_assert_int_eq (r.kind, CF_MSG_REFUSAL);
   ck_assert_int_eq (r.u.refusal.ran, CF_RAN_UNKNOWN);
   cf_msg_clear (&r);
@@ -497,25 +484,26 @@
   TCase *queue = tcase_create ("queue");
 
   tcase_set_timeout (tc, 60);
-  tcase_add_test (tc, test_stale_order_refused_when_engine_ignores_fences);
+  tcase_add_test (tc, test_agent_refuses_stale_order_that_engine_accepts);
   tcase_add_test (tc, test_sigterm_finishes_in_flight_and_refuses_new);
-  tcase_add_test (tc, test_sigterm_waits_for_answers_being_sent);
-  tcase_add_test (tc, test_sigterm_is_told_to_entries_at_once);
+  tcase_add_test (tc, test_sigterm_waits_until_answers_are_sent);
+  tcase_add_test (tc, test_sigterm_notifies_entries_at_once);
   tcase_add_test (tc, test_answer_too_large_for_a_frame);
-  tcase_add_test (tc, test_lost_answer_on_reused_connection_runs_once);
+  tcase_add_test (tc,
+                  test_call_with_lost_answer_on_reused_connection_runs_once);
   suite_add_tcase (s, tc);
   tcase_set_timeout (restart, 60);
   tcase_set_tags (restart, "restart");
-  tcase_add_test (restart, test_keyed_call_once_across_agent_restart);
+  tcase_add_test (restart, test_keyed_call_runs_once_across_agent_restart);
   suite_add_tcase (s, restart);
   tcase_set_timeout (order, 60);
   tcase_set_tags (order, "order");
-  tcase_add_test (order, test_sigterm_waits_for_an_order_in_progress);
+  tcase_add_test (order, test_sigterm_waits_for_running_order);
   suite_add_tcase (s, order);
   tcase_set_timeout (queue, 60);
   tcase_set_tags (queue, "queue");
-  tcase_add_test (queue, test_stop_begins_no_call_too_late);
-  tcase_add_test (queue, test_stop_refuses_what_is_still_queued);
+  tcase_add_test (queue, test_stop_starts_no_call_it_cannot_finish);
+  tcase_add_test (queue, test_stop_refuses_queued_calls);
   suite_add_tcase (s, queue);
   return t_run (s);
 }
--- a/t/t-fuzz.c
+++ b/t/t-fuzz.c
@@ -1,19 +1,18 @@
 /*
- * Stateful fuzzing of the whole path against a simple oracle.  Seeded
- * sequences of requests, faults and configuration changes are played
- * against real processes on loopback, and every outcome is checked
- * against what the oracle allows:
+ * Stateful fuzzing of the whole request path against a simple oracle.  Seeded
+ * sequences of requests, faults and configuration changes run against real
+ * processes on loopback, and every outcome is checked against the oracle:
  *
- * - every request gets an HTTP answer, by its deadline and a little;
+ * - every request gets an HTTP answer at most SLACK_MS after its deadline;
  * - a 200 carries the caller's own prompt or note;
- * - a refusal says ran=no or ran=unknown, and names when to come back
- *   when it says to come back;
- * - a keyed call runs at most once, and not at all if every answer to
- *   it said ran=no;
+ * - a refusal says ran=no or ran=unknown, and states a retry time if it
+ *   asks for a retry;
+ * - a call with an idempotency key runs at most once, and not at all if every
+ *   answer to it said ran=no;
  * - a shop request answered ran=no never reached the engine.
  *
- * FUZZ_SEED=N plays one sequence with seed N; by default three fixed
- * seeds are played, so the verdict is the same every run.
+ * FUZZ_SEED=N runs one sequence with seed N; by default three fixed seeds run,
+ * so that the verdict is the same in every run.
  */
 #include "harness.h"
 #include "http-client.h"
@@ -51,12 +50,12 @@
       "\"services\":[\"shift-booking\"],\"models\":[\"booking-v1\"]},"
       "\"groups\":[{\"name\":\"book\"}],\"priority\":9,\"worth_milli\":8000}\n";
 
-/* What the oracle remembers of one idempotency key. */
+/* The answers seen so far to calls with one idempotency key. */
 typedef struct
 {
   gboolean any_yes;
   gboolean any_unknown;
-} KeyFate;
+} KeyAnswers;
 
 typedef struct
 {
@@ -71,10 +70,10 @@
   int ran_yes;
   int ran_no;
   int ran_unknown;
-} World;
+} FuzzState;
 
 static void
-get (const char *url)
+http_get (const char *url)
 {
   long code = 0;
 
@@ -91,71 +90,70 @@
 }
 
 static void
-fault (World *w, GRand *r, guint32 seed, int step)
+inject_fault (FuzzState *s, GRand *r, guint32 seed, int step)
 {
   int a = g_rand_int_range (r, 0, 3);
   int kind = g_rand_int_range (r, 0, 7);
   g_autofree char *url = NULL;
   long code = 0;
 
-  w->faults++;
+  s->faults++;
   switch (kind)
     {
-    case 0: /* pause an agent, or wake it late */
-      kill (w->agents[a], w->paused[a] ? SIGCONT : SIGSTOP);
-      w->paused[a] = !w->paused[a];
+    case 0: /* pause an agent, or resume a paused one */
+      kill (s->agents[a], s->paused[a] ? SIGCONT : SIGSTOP);
+      s->paused[a] = !s->paused[a];
       break;
-    case 1: /* stale replica, or back up */
-      get (g_rand_boolean (r) ? CONFIG "/test/mode?mode=stale&version=1"
-                              : CONFIG "/test/mode?mode=up");
+    case 1: /* the configuration store serves version 1, or recovers */
+      http_get (g_rand_boolean (r) ? CONFIG "/test/mode?mode=stale&version=1"
+                                   : CONFIG "/test/mode?mode=up");
       break;
-    case 2: /* outage, or back up */
-      get (g_rand_boolean (r) ? CONFIG "/test/mode?mode=down"
-                              : CONFIG "/test/mode?mode=up");
+    case 2: /* the configuration store is down, or recovers */
+      http_get (g_rand_boolean (r) ? CONFIG "/test/mode?mode=down"
+                                   : CONFIG "/test/mode?mode=up");
       break;
     case 3: /* an operator publishes a new version */
       cf_http_call ("POST", CONFIG "/test/publish", records, NULL, 2000, &code,
                     NULL);
       break;
-    case 5: /* kill -9 an agent and start it again */
-      kill (w->agents[a], SIGKILL);
-      waitpid (w->agents[a], NULL, 0);
-      w->paused[a] = FALSE;
+    case 5: /* kill an agent with SIGKILL and restart it */
+      kill (s->agents[a], SIGKILL);
+      waitpid (s->agents[a], NULL, 0);
+      s->paused[a] = FALSE;
       url = g_strdup_printf ("f-agent-%d", a + 1);
-      w->agents[a] = t_start (url, "./comfrey-agent", w->agent_settings[a]);
+      s->agents[a] = t_start (url, "./comfrey-agent", s->agent_settings[a]);
       break;
-    case 6: /* kill -9 the entry and start it again */
-      kill (w->entry, SIGKILL);
-      waitpid (w->entry, NULL, 0);
-      w->entry = start_entry ();
+    case 6: /* kill the entry with SIGKILL and restart it */
+      kill (s->entry, SIGKILL);
+      waitpid (s->entry, NULL, 0);
+      s->entry = start_entry ();
       ck_assert_msg (t_wait_for (ENTRY "/v1/health", "config_version", 5000),
-                     "seed %u step %d: the entry did not come back", seed,
-                     step);
+                     "seed %u step %d: the entry did not restart", seed, step);
       break;
-    case 4: /* the VM list marks an engine agent leaving, or live */
+    case 4: /* the VM list marks an engine's agent as leaving or live */
       url = g_strdup_printf (VMLIST "/test/vm?addr=127.0.0.1:1780%d&state=%s",
                              1 + a % 2,
                              g_rand_boolean (r) ? "leaving" : "live");
-      get (url);
+      http_get (url);
       break;
     }
 }
 
 static void
-request (World *w, GRand *r, guint32 seed, int step)
+send_random_request (FuzzState *s, GRand *r, guint32 seed, int step)
 {
   g_autofree char *body = NULL;
   g_autofree char *reply = NULL;
   g_autofree char *key = NULL;
   g_autofree char *marker = NULL;
   const char *ran;
-  long long t0 = cf_now_ms ();
-  long long took;
+  long long start_ms = cf_now_ms ();
+  long long elapsed_ms;
   int kind = g_rand_int_range (r, 0, 10);
   json_t *o;
   long code = 0;
 
-  w->requests++;
+  s->requests++;
   marker = g_strdup_printf ("m%u-%d", seed, step);
   if (kind < 5)
     body = g_strdup_printf (
@@ -165,7 +163,7 @@
         DEADLINE_MS, marker, g_rand_int_range (r, 1, 20));
   else if (kind < 9)
     {
-      /* Half the bookings repeat a key, as a caller's retry would. */
+      /* About half of the bookings repeat a key, as a caller's retry does. */
       key = g_strdup_printf ("k%u-%d", seed,
                              g_rand_int_range (r, 0, MAX (step / 2, 1)));
       g_free (marker);
@@ -185,27 +183,28 @@
                      == CF_OK,
                  "seed %u step %d: no answer at all: %s", seed, step,
                  cf_last_error ());
-  took = cf_now_ms () - t0;
-  ck_assert_msg (took <= DEADLINE_MS + SLACK_MS,
-                 "seed %u step %d: answered after %lld ms", seed, step, took);
+  elapsed_ms = cf_now_ms () - start_ms;
+  ck_assert_msg (elapsed_ms <= DEADLINE_MS + SLACK_MS,
+                 "seed %u step %d: answered after %lld ms", seed, step,
+                 elapsed_ms);
   o = json_loads (reply, 0, NULL);
   ck_assert_msg (o != NULL, "seed %u step %d: reply is not JSON", seed, step);
   ran = json_string_value (json_object_get (o, "ran"));
   ck_assert_msg (ran != NULL, "seed %u step %d: no 'ran' in %s", seed, step,
                  reply);
-  w->ran_yes += g_str_equal (ran, "yes");
-  w->ran_no += g_str_equal (ran, "no");
+  s->ran_yes += g_str_equal (ran, "yes");
+  s->ran_no += g_str_equal (ran, "no");
   if (g_str_equal (ran, "no") && kind < 5)
-    g_ptr_array_add (w->not_run, g_strdup (marker));
-  w->ran_unknown += g_str_equal (ran, "unknown");
+    g_ptr_array_add (s->not_run, g_strdup (marker));
+  s->ran_unknown += g_str_equal (ran, "unknown");
   if (code == 200)
     {
       g_autofree char *answer
           = json_dumps (json_object_get (o, "answer"), JSON_ENCODE_ANY);
 
       ck_assert_msg (strstr (answer, marker),
-                     "seed %u step %d: someone else's answer: %s", seed, step,
-                     reply);
+                     "seed %u step %d: answer to another request: %s", seed,
+                     step, reply);
       ck_assert_str_eq (ran, "yes");
     }
   else
@@ -217,12 +216,12 @@
     }
   if (key)
     {
-      KeyFate *f = g_hash_table_lookup (w->keys, key);
+      KeyAnswers *f = g_hash_table_lookup (s->keys, key);
 
       if (f == NULL)
         {
-          f = g_new0 (KeyFate, 1);
-          g_hash_table_insert (w->keys, g_strdup (key), f);
+          f = g_new0 (KeyAnswers, 1);
+          g_hash_table_insert (s->keys, g_strdup (key), f);
         }
       f->any_yes |= code == 200;
       f->any_unknown |= g_str_equal (ran, "unknown");
@@ -231,7 +230,7 @@
 }
 
 static void
-check_not_run (World *w, guint32 seed)
+check_not_run (FuzzState *s, guint32 seed)
 {
   g_autofree char *seen = NULL;
   long code = 0;
@@ -239,20 +238,20 @@
   ck_assert_int_eq (cf_http_call ("GET", "http://127.0.0.1:17890/test/seen",
                                   NULL, NULL, 2000, &code, &seen),
                     CF_OK);
-  for (guint i = 0; i < w->not_run->len; i++)
+  for (guint i = 0; i < s->not_run->len; i++)
     {
       g_autofree char *quoted = g_strdup_printf (
-          "\"%s\"", (char *)g_ptr_array_index (w->not_run, i));
+          "\"%s\"", (char *)g_ptr_array_index (s->not_run, i));
 
       ck_assert_msg (strstr (seen, quoted) == NULL,
-                     "seed %u: %s was answered 'not run' but the engine "
-                     "took it",
+                     "seed %u: %s was answered 'not run' but reached the "
+                     "engine",
                      seed, quoted);
     }
 }
 
 static void
-check_keys (World *w, guint32 seed)
+check_keys (FuzzState *s, guint32 seed)
 {
   g_autofree char *counts = NULL;
   GHashTableIter it;
@@ -260,16 +259,16 @@
   json_t *o;
   long code = 0;
 
-  /* Let a paused agent's late work land before counting. */
+  /* Let the delayed work of a resumed agent finish before counting. */
   usleep ((DEADLINE_MS + 500) * 1000);
   ck_assert_int_eq (cf_http_call ("GET", SERVICE "/test/counts", NULL, NULL,
                                   2000, &code, &counts),
                     CF_OK);
   o = json_loads (counts, 0, NULL);
-  g_hash_table_iter_init (&it, w->keys);
+  g_hash_table_iter_init (&it, s->keys);
   while (g_hash_table_iter_next (&it, &k, &v))
     {
-      KeyFate *f = v;
+      KeyAnswers *f = v;
       json_int_t n = json_integer_value (json_object_get (o, k));
 
       ck_assert_msg (n <= 1, "seed %u: key %s ran %d times", seed, (char *)k,
@@ -287,10 +286,10 @@
 }
 
 static void
-play (guint32 seed)
+run_sequence (guint32 seed)
 {
   GRand *r = g_rand_new_with_seed (seed);
-  World w = { 0 };
+  FuzzState s = { 0 };
   const char *ports[] = { "17801", "17802", "17803" };
   const char *targets[] = { "17890", "17890", "17891" };
 
@@ -308,42 +307,42 @@
   for (int i = 0; i < 3; i++)
     {
       g_autofree char *name = g_strdup_printf ("f-agent-%d", i + 1);
-      g_autofree char *s
+      g_autofree char *settings
           = g_strdup_printf ("[agent]\nlisten = \"127.0.0.1:%s\"\n"
                              "target_url = \"http://127.0.0.1:%s\"\n",
                              ports[i], targets[i]);
 
-      w.agents[i] = t_start (name, "./comfrey-agent", s);
-      w.agent_settings[i] = g_strdup (s);
+      s.agents[i] = t_start (name, "./comfrey-agent", settings);
+      s.agent_settings[i] = g_strdup (settings);
     }
-  w.entry = start_entry ();
+  s.entry = start_entry ();
   ck_assert (t_wait_for (
       ENTRY "/v1/health",
       "\"config_version\":1,\"links_up\":3,\"guards_quiet\":0", 15000));
-  w.not_run = g_ptr_array_new_with_free_func (g_free);
-  w.keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  s.not_run = g_ptr_array_new_with_free_func (g_free);
+  s.keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   for (int step = 0; step < STEPS; step++)
     {
       if (g_rand_int_range (r, 0, 5) == 0)
-        fault (&w, r, seed, step);
+        inject_fault (&s, r, seed, step);
       else
-        request (&w, r, seed, step);
+        send_random_request (&s, r, seed, step);
     }
   for (int i = 0; i < 3; i++)
-    if (w.paused[i])
-      kill (w.agents[i], SIGCONT);
-  check_keys (&w, seed);
-  check_not_run (&w, seed);
+    if (s.paused[i])
+      kill (s.agents[i], SIGCONT);
+  check_keys (&s, seed);
+  check_not_run (&s, seed);
   fprintf (stderr,
            "t-fuzz: seed %u: %d requests (ran yes %d, no %d, unknown %d), "
            "%d faults, %u keys\n",
-           seed, w.requests, w.ran_yes, w.ran_no, w.ran_unknown, w.faults,
-           g_hash_table_size (w.keys));
+           seed, s.requests, s.ran_yes, s.ran_no, s.ran_unknown, s.faults,
+           g_hash_table_size (s.keys));
   t_stop_all ();
-  g_hash_table_unref (w.keys);
-  g_ptr_array_unref (w.not_run);
+  g_hash_table_unref (s.keys);
+  g_ptr_array_unref (s.not_run);
   for (int i = 0; i < 3; i++)
-    g_free (w.agent_settings[i]);
+    g_free (s.agent_settings[i]);
   g_rand_free (r);
 }
 
@@ -353,10 +352,10 @@
   guint32 seeds[] = { 1, 2, 3 };
 
   if (env)
-    play ((guint32)g_ascii_strtoull (env, NULL, 10));
+    run_sequence ((guint32)g_ascii_strtoull (env, NULL, 10));
   else
     for (guint i = 0; i < G_N_ELEMENTS (seeds); i++)
-      play (seeds[i]);
+      run_sequence (seeds[i]);
 }
 END_TEST
 
--- a/t/t-guard.c
+++ b/t/t-guard.c
@@ -3,7 +3,7 @@
 
 #include <check.h>
 
-START_TEST (test_at_most_once)
+START_TEST (test_call_runs_at_most_once)
 {
   CfGuard g;
   g_autofree char *body = NULL;
@@ -22,7 +22,7 @@
       CF_GUARD_DONE);
   ck_assert_int_eq (code, 200);
   ck_assert_str_eq (body, "done");
-  /* After the time to live the key is free again. */
+  /* After its time to live the key is free again. */
   ck_assert_int_eq (
       cf_guard_begin (&g, "k", CF_KEYED_UNCLAIMED, 1003, &code, &body),
       CF_GUARD_NEW);
@@ -30,7 +30,7 @@
 }
 END_TEST
 
-START_TEST (test_unknown_never_runs_again_and_full_refuses)
+START_TEST (test_unknown_call_never_runs_again_and_full_table_refuses)
 {
   CfGuard g;
   char *body = NULL;
@@ -69,10 +69,10 @@
   ck_assert_int_eq (cf_guard_claim (&g, "k", "t2", "a2", 1, &holder),
                     CF_VERDICT_HELD);
   ck_assert_str_eq (holder, "a1");
-  /* The same sending moves on to another runner. */
+  /* The same attempt may change its runner. */
   ck_assert_int_eq (cf_guard_claim (&g, "k", "t1", "a3", 2, &holder),
                     CF_VERDICT_GRANTED);
-  /* Only the holder can give it back. */
+  /* Only the holder can release the claim. */
   cf_guard_release (&g, "k", "t2");
   g_clear_pointer (&holder, g_free);
   ck_assert_int_eq (cf_guard_claim (&g, "k", "t2", "a2", 3, &holder),
@@ -81,7 +81,7 @@
   cf_guard_release (&g, "k", "t1");
   ck_assert_int_eq (cf_guard_claim (&g, "k", "t2", "a2", 4, &holder),
                     CF_VERDICT_GRANTED);
-  /* A full table abstains; an expired claim makes room. */
+  /* With a full table the guard abstains; an expired claim makes room. */
   ck_assert_int_eq (cf_guard_claim (&g, "l", "t3", "a1", 5, &holder),
                     CF_VERDICT_GRANTED);
   ck_assert_int_eq (cf_guard_claim (&g, "m", "t4", "a1", 6, &holder),
@@ -92,7 +92,7 @@
 }
 END_TEST
 
-START_TEST (test_quiet_guard_vouches_for_nothing)
+START_TEST (test_quiet_guard_grants_nothing)
 {
   g_autofree char *holder = NULL;
   g_autofree char *body = NULL;
@@ -103,7 +103,7 @@
   ck_assert_int_eq (cf_guard_remaining_quiet_ms (&g, 40), 60);
   ck_assert_int_eq (cf_guard_claim (&g, "k", "t1", "a1", 40, &holder),
                     CF_VERDICT_ABSTAIN);
-  /* What it heard in the quiet time it holds, and never turns into a grant. */
+  /* A claim made in the quiet period blocks others but is never granted. */
   ck_assert_int_eq (cf_guard_claim (&g, "k", "t2", "a1", 50, &holder),
                     CF_VERDICT_HELD);
   ck_assert_int_eq (cf_guard_claim (&g, "k", "t1", "a1", 150, &holder),
@@ -130,10 +130,11 @@
   Suite *s = suite_create ("guard");
   TCase *tc = tcase_create ("core");
 
-  tcase_add_test (tc, test_at_most_once);
-  tcase_add_test (tc, test_unknown_never_runs_again_and_full_refuses);
+  tcase_add_test (tc, test_call_runs_at_most_once);
+  tcase_add_test (tc,
+                  test_unknown_call_never_runs_again_and_full_table_refuses);
   tcase_add_test (tc, test_claims_are_held_released_and_renewed);
-  tcase_add_test (tc, test_quiet_guard_vouches_for_nothing);
+  tcase_add_test (tc, test_quiet_guard_grants_nothing);
   suite_add_tcase (s, tc);
   return t_run (s);
 }
--- a/t/t-map.c
+++ b/t/t-map.c
@@ -1,11 +1,11 @@
 /*
- * Expert maps, and the change of one on every rank of a group or on none:
- * seeded sequences of changes against fake ranks, with orders lost, late
- * and unanswered, ranks that stop answering, and coordinators that die or
- * wake late.  The oracle is one line: in no step may two ranks use
+ * Expert maps, and the change of a group's map on every rank or on none.
+ * Seeded sequences of changes run against fake ranks, with lost, delayed and
+ * unanswered orders, ranks that stop answering, and coordinators that die or
+ * are paused and resume late.  The oracle: in no step may two ranks use
  * different maps.
  *
- * FUZZ_SEED=N plays one sequence.
+ * FUZZ_SEED=N runs one sequence.
  */
 #include "harness.h"
 #include "map-change.h"
@@ -17,43 +17,44 @@
 #define RANKS 4
 #define EXPERTS 8
 #define PLACES 3
-#define LATE_MAX 64
+#define MAX_DELAYED 64
 #define SEQUENCES 4000
 
 static const CfMapChangeLimits limits
     = { .prepare_ms = 400, .settle_ms = 1000, .steps_ahead = 4 };
 
-/* An order on its way that nobody waits for any more. */
+/* A delayed order whose sender no longer waits for the answer. */
 typedef struct
 {
   CfRankOp op;
   int rank;
-  int due; /* ticks from now */
+  int ticks_left;
   gint64 fence;
-  gboolean at_agent; /* still to pass the fence, as from a paused process */
-} Late;
+  gboolean is_fence_unchecked; /* the agent has yet to check its fencing token,
+                                * as if a paused process had sent it */
+} DelayedOrder;
 
 typedef struct
 {
   GRand *rand;
   CfRankReport ranks[RANKS];
-  gint64 fence[RANKS];  /* highest token each rank's agent has seen */
-  gboolean open[RANKS]; /* FALSE: that agent restarted and forgot it */
-  Late late[LATE_MAX];
-  int n_late;
-  gint64 my_fence; /* of the coordinator whose calls are being served */
-  int dies_in;     /* calls until that coordinator dies; -1: never */
-  gboolean calm;   /* no faults */
-  gboolean idle;   /* no work, so no steps */
+  gint64 fence[RANKS]; /* highest token that each rank's agent has seen */
+  gboolean knows_fence[RANKS]; /* FALSE after the agent restarted */
+  DelayedOrder delayed[MAX_DELAYED];
+  int n_delayed;
+  gint64 coordinator_fence; /* of the active coordinator */
+  int calls_until_death;    /* calls until it dies; -1: never, -2: dead */
+  gboolean without_faults;
+  gboolean is_idle; /* no work, so no steps */
   gint64 now_ms;
   int report_ms; /* how long a rank takes to report */
   gint64 steps, switches, mixed, faults;
-} World;
+} Simulation;
 
 static CfRankOpResult
-carry_out (World *w, int rank, const CfRankOp *op)
+apply_order (Simulation *s, int rank, const CfRankOp *op)
 {
-  CfRankReport *r = &w->ranks[rank];
+  CfRankReport *r = &s->ranks[rank];
 
   switch (op->kind)
     {
@@ -89,231 +90,237 @@
 }
 
 static CfRankOpResult
-pass_fence (World *w, int rank, gint64 fence)
+check_fence (Simulation *s, int rank, gint64 fence)
 {
-  if (w->open[rank] && fence < w->fence[rank])
+  if (s->knows_fence[rank] && fence < s->fence[rank])
     return CF_RANK_OP_FENCED;
-  if (!w->open[rank])
+  if (!s->knows_fence[rank])
     return CF_RANK_OP_REFUSED;
-  w->fence[rank] = fence;
+  s->fence[rank] = fence;
   return CF_RANK_OP_DONE;
 }
 
 static void
-begin_step (World *w)
+run_step (Simulation *s)
 {
-  gint64 next = w->ranks[0].step + 1;
+  gint64 next = s->ranks[0].step + 1;
 
   for (int r = 0; r < RANKS; r++)
-    if (w->ranks[r].held == next)
+    if (s->ranks[r].held == next)
       return;
-  w->steps++;
+  s->steps++;
   for (int r = 0; r < RANKS; r++)
     {
-      CfRankReport *k = &w->ranks[r];
+      CfRankReport *k = &s->ranks[r];
 
       k->step = next;
       if (k->armed && k->armed_step == next)
         {
           k->map = k->armed;
           k->armed = k->prepared = 0;
-          w->switches += r == 0;
+          s->switches += r == 0;
         }
     }
   for (int r = 1; r < RANKS; r++)
-    w->mixed += w->ranks[r].map != w->ranks[0].map;
+    s->mixed += s->ranks[r].map != s->ranks[0].map;
 }
 
 static void
-tick (World *w)
+tick (Simulation *s)
 {
-  for (int i = 0; i < w->n_late;)
+  for (int i = 0; i < s->n_delayed;)
     {
-      Late *l = &w->late[i];
+      DelayedOrder *l = &s->delayed[i];
 
-      if (l->due-- > 0)
+      if (l->ticks_left-- > 0)
         {
           i++;
           continue;
         }
-      if (!l->at_agent || pass_fence (w, l->rank, l->fence) == CF_RANK_OP_DONE)
-        carry_out (w, l->rank, &l->op);
-      *l = w->late[--w->n_late];
+      if (!l->is_fence_unchecked
+          || check_fence (s, l->rank, l->fence) == CF_RANK_OP_DONE)
+        apply_order (s, l->rank, &l->op);
+      *l = s->delayed[--s->n_delayed];
     }
-  if (!w->idle && g_rand_int_range (w->rand, 0, 3) == 0)
-    begin_step (w);
+  if (!s->is_idle && g_rand_int_range (s->rand, 0, 3) == 0)
+    run_step (s);
 }
 
 static void
-run_late (World *w, int rank, const CfRankOp *op, gboolean at_agent)
+delay_order (Simulation *s, int rank, const CfRankOp *op,
+             gboolean is_fence_unchecked)
 {
-  w->faults++;
-  if (w->n_late == LATE_MAX)
+  s->faults++;
+  if (s->n_delayed == MAX_DELAYED)
     return;
-  w->late[w->n_late++] = (Late){ .op = *op,
-                                 .rank = rank,
-                                 .due = g_rand_int_range (w->rand, 1, 120),
-                                 .fence = w->my_fence,
-                                 .at_agent = at_agent };
+  s->delayed[s->n_delayed++]
+      = (DelayedOrder){ .op = *op,
+                        .rank = rank,
+                        .ticks_left = g_rand_int_range (s->rand, 1, 120),
+                        .fence = s->coordinator_fence,
+                        .is_fence_unchecked = is_fence_unchecked };
 }
 
 static CfRankOpResult
 fake_order (void *data, int rank, const CfRankOp *op)
 {
-  World *w = data;
-  int luck = g_rand_int_range (w->rand, 0, 100);
+  Simulation *s = data;
+  int percent = g_rand_int_range (s->rand, 0, 100);
   CfRankOpResult fenced;
 
-  for (int i = g_rand_int_range (w->rand, 0, 4); i > 0; i--)
-    tick (w);
-  if (w->dies_in == 0)
+  for (int i = g_rand_int_range (s->rand, 0, 4); i > 0; i--)
+    tick (s);
+  if (s->calls_until_death == 0)
     {
-      /* Paused with this order in hand: it goes out when it wakes. */
-      run_late (w, rank, op, TRUE);
-      w->dies_in = -2;
+      /* Paused just before sending this order, which goes out on resume. */
+      delay_order (s, rank, op, TRUE);
+      s->calls_until_death = -2;
     }
-  if (w->dies_in == -2)
+  if (s->calls_until_death == -2)
     return CF_RANK_OP_FENCED;
-  if (w->dies_in > 0)
-    w->dies_in--;
-  if (!w->calm && g_rand_int_range (w->rand, 0, 60) == 0)
+  if (s->calls_until_death > 0)
+    s->calls_until_death--;
+  if (!s->without_faults && g_rand_int_range (s->rand, 0, 60) == 0)
     {
-      /* The agent beside this rank is killed and starts again. */
-      w->faults++;
-      w->open[rank] = FALSE;
-      w->fence[rank] = 0;
+      /* This rank's agent is killed and restarted. */
+      s->faults++;
+      s->knows_fence[rank] = FALSE;
+      s->fence[rank] = 0;
     }
-  fenced = pass_fence (w, rank, w->my_fence);
+  fenced = check_fence (s, rank, s->coordinator_fence);
   if (fenced != CF_RANK_OP_DONE)
     return fenced;
-  if (w->calm || luck < 88)
-    return carry_out (w, rank, op);
-  if (luck < 91) /* carried out, the answer lost */
+  if (s->without_faults || percent < 88)
+    return apply_order (s, rank, op);
+  if (percent < 91) /* carried out, but the answer is lost */
     {
-      w->faults++;
-      carry_out (w, rank, op);
+      s->faults++;
+      apply_order (s, rank, op);
     }
-  else if (luck < 97) /* unanswered, carried out late */
-    run_late (w, rank, op, FALSE);
+  else if (percent < 97) /* unanswered, but carried out later */
+    delay_order (s, rank, op, FALSE);
   else
-    w->faults++; /* lost */
+    s->faults++; /* lost */
   return CF_RANK_OP_UNKNOWN;
 }
 
 static CfRankOpResult
 fake_report (void *data, int rank, CfRankReport *out)
 {
-  World *w = data;
+  Simulation *s = data;
 
-  tick (w);
-  w->now_ms += w->report_ms;
-  if (w->dies_in == -2 || (w->open[rank] && w->my_fence < w->fence[rank]))
+  tick (s);
+  s->now_ms += s->report_ms;
+  if (s->calls_until_death == -2
+      || (s->knows_fence[rank] && s->coordinator_fence < s->fence[rank]))
     return CF_RANK_OP_FENCED;
-  w->open[rank] = TRUE;
-  w->fence[rank] = w->my_fence;
-  if (!w->calm && g_rand_int_range (w->rand, 0, 100) < 4)
+  s->knows_fence[rank] = TRUE;
+  s->fence[rank] = s->coordinator_fence;
+  if (!s->without_faults && g_rand_int_range (s->rand, 0, 100) < 4)
     return CF_RANK_OP_UNKNOWN;
-  *out = w->ranks[rank];
+  *out = s->ranks[rank];
   return CF_RANK_OP_DONE;
 }
 
 static gboolean
 fake_pause (void *data, int ms)
 {
-  World *w = data;
+  Simulation *s = data;
 
-  w->now_ms += ms;
+  s->now_ms += ms;
   for (int i = 0; i < 8; i++)
-    tick (w);
+    tick (s);
   return TRUE;
 }
 
 static gint64
 fake_now (void *data)
 {
-  const World *w = data;
+  const Simulation *s = data;
 
-  return w->now_ms;
+  return s->now_ms;
 }
 
-/* A sequence of coordinators, each settling and changing until it dies. */
+/* Runs a sequence of coordinators; each settles the group and changes the map
+ * unless it dies first. */
 static void
-play (guint32 seed, World *sum)
+run_sequence (guint32 seed, Simulation *sum)
 {
-  World w = { .rand = g_rand_new_with_seed (seed) };
+  Simulation s = { .rand = g_rand_new_with_seed (seed) };
   CfExpertMap *map = cf_expert_map_new (EXPERTS, RANKS, PLACES);
-  CfRankOps ops = { .data = &w,
+  CfRankOps ops = { .data = &s,
                     .ranks = RANKS,
                     .order = fake_order,
                     .report = fake_report,
                     .pause = fake_pause,
                     .now = fake_now };
-  gint64 turn = 0;
+  gint64 term = 0;
   gint64 before;
 
   for (int r = 0; r < RANKS; r++)
     {
-      w.ranks[r] = (CfRankReport){ .step = 1, .map = 1, .newest = 1 };
-      w.open[r] = TRUE;
+      s.ranks[r] = (CfRankReport){ .step = 1, .map = 1, .newest = 1 };
+      s.knows_fence[r] = TRUE;
     }
   for (int i = 0; i < 12; i++)
     {
-      turn++;
-      w.my_fence = turn;
-      w.idle = g_rand_int_range (w.rand, 0, 6) == 0;
-      w.dies_in = g_rand_int_range (w.rand, 0, 2)
-                      ? -1
-                      : g_rand_int_range (w.rand, 0, 5 * RANKS);
-      if (cf_map_change_settle (&ops, turn, map, &limits)
+      term++;
+      s.coordinator_fence = term;
+      s.is_idle = g_rand_int_range (s.rand, 0, 6) == 0;
+      s.calls_until_death = g_rand_int_range (s.rand, 0, 2)
+                                ? -1
+                                : g_rand_int_range (s.rand, 0, 5 * RANKS);
+      if (cf_map_change_settle (&ops, term, map, &limits)
           == CF_MAP_CHANGE_ABORTED)
-        cf_map_change_run (&ops, turn, map, map, &limits);
-      ck_assert_msg (w.mixed == 0,
-                     "seed %u: ranks used different maps in step %d (turn %d)",
-                     seed, (int)w.ranks[0].step, (int)turn);
+        cf_map_change_run (&ops, term, map, map, &limits);
+      ck_assert_msg (s.mixed == 0,
+                     "seed %u: ranks used different maps in step %d (term %d)",
+                     seed, (int)s.ranks[0].step, (int)term);
     }
-  /* Faults over: the group must settle, step on, and change once more. */
-  w.calm = TRUE;
-  w.idle = FALSE;
-  w.dies_in = -1;
+  /* Once the faults are over, the group must settle, begin further steps and
+   * change its map. */
+  s.without_faults = TRUE;
+  s.is_idle = FALSE;
+  s.calls_until_death = -1;
   for (int i = 0; i < 200; i++)
-    tick (&w);
-  w.my_fence = ++turn;
-  ck_assert_msg (cf_map_change_settle (&ops, turn, map, &limits)
+    tick (&s);
+  s.coordinator_fence = ++term;
+  ck_assert_msg (cf_map_change_settle (&ops, term, map, &limits)
                      == CF_MAP_CHANGE_ABORTED,
                  "seed %u: not settled once the faults were over", seed);
-  before = w.ranks[0].map;
-  ck_assert_int_eq (cf_map_change_run (&ops, turn, map, map, &limits),
+  before = s.ranks[0].map;
+  ck_assert_int_eq (cf_map_change_run (&ops, term, map, map, &limits),
                     CF_MAP_CHANGE_DONE);
   for (int i = 0; i < 400; i++)
-    tick (&w);
-  ck_assert_msg (w.ranks[0].map > before, "seed %u: no rank changed", seed);
-  ck_assert_msg (w.mixed == 0, "seed %u: ranks used different maps", seed);
-  sum->steps += w.steps;
-  sum->switches += w.switches;
-  sum->faults += w.faults;
+    tick (&s);
+  ck_assert_msg (s.ranks[0].map > before, "seed %u: no rank changed", seed);
+  ck_assert_msg (s.mixed == 0, "seed %u: ranks used different maps", seed);
+  sum->steps += s.steps;
+  sum->switches += s.switches;
+  sum->faults += s.faults;
   cf_expert_map_free (map);
-  g_rand_free (w.rand);
+  g_rand_free (s.rand);
 }
 
 START_TEST (test_no_step_mixes_maps)
 {
   const char *env = g_getenv ("FUZZ_SEED");
-  World sum = { 0 };
+  Simulation sum = { 0 };
 
   if (env)
-    play ((guint32)g_ascii_strtoull (env, NULL, 10), &sum);
+    run_sequence ((guint32)g_ascii_strtoull (env, NULL, 10), &sum);
   else
     for (guint32 seed = 1; seed <= SEQUENCES; seed++)
-      play (seed, &sum);
+      run_sequence (seed, &sum);
   fprintf (
       stderr, "t-map: %d sequences: %d steps, %d changes of map, %d faults\n",
       env ? 1 : SEQUENCES, (int)sum.steps, (int)sum.switches, (int)sum.faults);
 }
 END_TEST
 
-/* Obeys, but its copies never become whole. */
+/* Accepts every order, but never finishes copying experts. */
 static CfRankOpResult
-never_ready (void *data, int rank, const CfRankOp *op)
+order_without_effect (void *data, int rank, const CfRankOp *op)
 {
   (void)data;
   (void)rank;
@@ -321,38 +328,41 @@
   return CF_RANK_OP_DONE;
 }
 
-/* The time that slow ranks take to report counts too: a change that cannot
- * be prepared is given up when its time is over, but for a last look. */
-START_TEST (test_slow_reports_do_not_stretch_the_limit)
+/* Slow reports count towards the time limit: a change that cannot be prepared
+ * is aborted at its limit, apart from a last round of reports. */
+START_TEST (test_slow_reports_do_not_extend_time_limit)
 {
-  World w = { .calm = TRUE, .idle = TRUE, .dies_in = -1, .report_ms = 15 };
+  Simulation s = { .without_faults = TRUE,
+                   .is_idle = TRUE,
+                   .calls_until_death = -1,
+                   .report_ms = 15 };
   CfExpertMap *map = cf_expert_map_new (EXPERTS, RANKS, PLACES);
-  CfRankOps ops = { .data = &w,
+  CfRankOps ops = { .data = &s,
                     .ranks = RANKS,
-                    .order = never_ready,
+                    .order = order_without_effect,
                     .report = fake_report,
                     .pause = fake_pause,
                     .now = fake_now };
-  gint64 look_ms = RANKS * w.report_ms;
+  gint64 report_round_ms = RANKS * s.report_ms;
 
-  w.rand = g_rand_new_with_seed (1);
+  s.rand = g_rand_new_with_seed (1);
   ck_assert_int_eq (cf_map_change_run (&ops, 1, map, map, &limits),
                     CF_MAP_CHANGE_ABORTED);
-  ck_assert_int_ge (w.now_ms, limits.prepare_ms);
-  ck_assert_int_le (w.now_ms, limits.prepare_ms + 3 * look_ms);
+  ck_assert_int_ge (s.now_ms, limits.prepare_ms);
+  ck_assert_int_le (s.now_ms, limits.prepare_ms + 3 * report_round_ms);
   cf_expert_map_free (map);
-  g_rand_free (w.rand);
+  g_rand_free (s.rand);
 }
 END_TEST
 
-START_TEST (test_replicas_share_an_experts_tokens)
+START_TEST (test_copies_share_tokens_of_expert)
 {
   CfExpertMap *m = cf_expert_map_new (4, 2, 3);
   double tokens[4] = { 90, 10, 0, 0 };
   double load[2];
 
   ck_assert_double_eq (cf_expert_map_compute_load (m, tokens, load), 90);
-  /* Rank 1 takes a copy of expert 0 in its spare place. */
+  /* Rank 1 gets a copy of expert 0 in its empty place. */
   cf_expert_map_set (m, 1, 2, 0);
   ck_assert_double_eq (cf_expert_map_compute_load (m, tokens, load), 55);
   ck_assert_double_eq (load[0], 45);
@@ -360,7 +370,7 @@
 }
 END_TEST
 
-START_TEST (test_bad_maps_name_the_fault)
+START_TEST (test_invalid_maps_are_reported)
 {
   const char *const bad[][2] = {
     { "[[0,1],[2]]", "expert 3 is on no rank" },
@@ -400,10 +410,10 @@
   TCase *tc = tcase_create ("core");
 
   tcase_set_timeout (tc, 120);
-  tcase_add_test (tc, test_replicas_share_an_experts_tokens);
-  tcase_add_test (tc, test_bad_maps_name_the_fault);
+  tcase_add_test (tc, test_copies_share_tokens_of_expert);
+  tcase_add_test (tc, test_invalid_maps_are_reported);
   tcase_add_test (tc, test_no_step_mixes_maps);
-  tcase_add_test (tc, test_slow_reports_do_not_stretch_the_limit);
+  tcase_add_test (tc, test_slow_reports_do_not_extend_time_limit);
   suite_add_tcase (s, tc);
   return t_run (s);
 }
--- a/t/t-once.c
+++ b/t/t-once.c
@@ -1,7 +1,7 @@
 /*
  * A non-repeatable call runs at most once, through two entries and three
- * agents of one plain service, while agents and entries are killed with
- * the call on its way.  The service counts how often each key ran.
+ * agents of one service, while agents and entries are killed during the call.
+ * The service counts how often the call of each key ran.
  */
 #include "harness.h"
 #include "http-client.h"
@@ -75,7 +75,7 @@
     {
       g_autofree char *url = g_strconcat (entries[i], "/v1/health", NULL);
 
-      /* Three links, and no guard still quiet after its start. */
+      /* Three links, and every guard's quiet period over. */
       ck_assert (t_wait_for (
           url, "\"config_version\":1,\"links_up\":3,\"guards_quiet\":0",
           15000));
@@ -91,7 +91,7 @@
 } Booking;
 
 static void *
-book (void *data)
+send_booking (void *data)
 {
   Booking *b = data;
   g_autofree char *url = g_strconcat (entries[b->entry], "/v1/requests", NULL);
@@ -114,7 +114,7 @@
 }
 
 static gint64
-runs_of (const char *key)
+count_runs (const char *key)
 {
   g_autofree char *counts = NULL;
   long code = 0;
@@ -132,95 +132,98 @@
 
 /* Waits until the service has begun @key's call. */
 static void
-wait_begun (const char *key)
+wait_until_running (const char *key)
 {
-  for (int i = 0; i < 100 && runs_of (key) == 0; i++)
+  for (int i = 0; i < 100 && count_runs (key) == 0; i++)
     usleep (10000);
-  ck_assert_int_eq (runs_of (key), 1);
+  ck_assert_int_eq (count_runs (key), 1);
 }
 
-/* The agent whose log shows that it began @key's call most lately. */
+/* Returns the agent that the first entry sent its latest request to, which
+ * must be that of @key. */
 static int
-runner_of (const char *key)
+find_runner (const char *key)
 {
   g_autofree char *log = t_read_log ("o-entry-1");
-  const char *at = NULL;
+  const char *last_route = NULL;
   int n = 0;
 
-  /* The last route line names the target of the newest request. */
+  /* The last route line names the target of the latest request. */
   for (const char *p = log; (p = strstr (p, "E1203 ")); p++)
-    at = p;
-  ck_assert_msg (
-      at && sscanf (strstr (at, "target="), "target=127.0.0.1:1740%d", &n) == 1,
-      "no route line for %s", key);
+    last_route = p;
+  ck_assert_msg (last_route
+                     && sscanf (strstr (last_route, "target="),
+                                "target=127.0.0.1:1740%d", &n)
+                            == 1,
+                 "no route line for %s", key);
   return n - 1;
 }
 
-START_TEST (test_agent_killed_with_the_call_running)
+START_TEST (test_agent_killed_during_call)
 {
   Booking first = { .entry = 0, .key = "shift-1" };
-  Booking again = { .entry = 1, .key = "shift-1" };
-  Booking fresh = { .entry = 1, .key = "shift-2" };
-  long long t0;
+  Booking retry = { .entry = 1, .key = "shift-1" };
+  Booking other = { .entry = 1, .key = "shift-2" };
+  long long start_ms;
   pthread_t t;
   int r;
 
   start_all ();
-  pthread_create (&t, NULL, book, &first);
-  wait_begun ("shift-1");
-  r = runner_of ("shift-1");
+  pthread_create (&t, NULL, send_booking, &first);
+  wait_until_running ("shift-1");
+  r = find_runner ("shift-1");
   kill (agents[r], SIGKILL);
   waitpid (agents[r], NULL, 0);
   pthread_join (t, NULL);
   ck_assert_str_eq (first.ran, "unknown");
-  /* At once, at the other entry, while the agent is down. */
-  book (&again);
-  ck_assert_str_eq (again.ran, "unknown");
-  ck_assert_int_eq (runs_of ("shift-1"), 1);
+  /* An immediate retry at the other entry while the agent is down. */
+  send_booking (&retry);
+  ck_assert_str_eq (retry.ran, "unknown");
+  ck_assert_int_eq (count_runs ("shift-1"), 1);
   /* A new booking does not wait for the dead agent. */
-  t0 = cf_now_ms ();
-  book (&fresh);
-  ck_assert_int_eq (fresh.code, 200);
-  ck_assert_int_lt (cf_now_ms () - t0, 2500);
-  /* And once more with the agent back, its memory lost. */
+  start_ms = cf_now_ms ();
+  send_booking (&other);
+  ck_assert_int_eq (other.code, 200);
+  ck_assert_int_lt (cf_now_ms () - start_ms, 2500);
+  /* Another retry with the agent restarted, its guard empty. */
   agents[r] = start_agent (r);
   usleep (1500000);
-  g_clear_pointer (&again.ran, g_free);
-  book (&again);
-  ck_assert_str_eq (again.ran, "unknown");
-  ck_assert_int_eq (runs_of ("shift-1"), 1);
-  ck_assert_int_eq (runs_of ("shift-2"), 1);
+  g_clear_pointer (&retry.ran, g_free);
+  send_booking (&retry);
+  ck_assert_str_eq (retry.ran, "unknown");
+  ck_assert_int_eq (count_runs ("shift-1"), 1);
+  ck_assert_int_eq (count_runs ("shift-2"), 1);
   t_stop_all ();
 }
 END_TEST
 
-START_TEST (test_entry_killed_with_the_call_running)
+START_TEST (test_entry_killed_during_call)
 {
   Booking first = { .entry = 0, .key = "shift-3" };
-  Booking again = { .entry = 1, .key = "shift-3" };
+  Booking retry = { .entry = 1, .key = "shift-3" };
   pthread_t t;
 
   start_all ();
-  pthread_create (&t, NULL, book, &first);
-  wait_begun ("shift-3");
+  pthread_create (&t, NULL, send_booking, &first);
+  wait_until_running ("shift-3");
   kill (entry_pids[0], SIGKILL);
   waitpid (entry_pids[0], NULL, 0);
   pthread_join (t, NULL);
   ck_assert_int_eq (first.code, 0);
-  book (&again);
-  ck_assert_str_eq (again.ran, "unknown");
-  /* Its answer is kept beside the target: a later retry gets it. */
+  send_booking (&retry);
+  ck_assert_str_eq (retry.ran, "unknown");
+  /* The agent keeps the answer, and a later retry gets it. */
   usleep (1000000);
-  g_clear_pointer (&again.ran, g_free);
-  book (&again);
-  ck_assert_int_eq (again.code, 200);
-  ck_assert_str_eq (again.ran, "yes");
-  ck_assert_int_eq (runs_of ("shift-3"), 1);
+  g_clear_pointer (&retry.ran, g_free);
+  send_booking (&retry);
+  ck_assert_int_eq (retry.code, 200);
+  ck_assert_str_eq (retry.ran, "yes");
+  ck_assert_int_eq (count_runs ("shift-3"), 1);
   t_stop_all ();
 }
 END_TEST
 
-START_TEST (test_same_key_at_both_entries_at_once)
+START_TEST (test_same_key_at_both_entries_concurrently)
 {
   Booking b[2] = { { .entry = 0 }, { .entry = 1 } };
   pthread_t t[2];
@@ -233,14 +236,14 @@
       for (int i = 0; i < 2; i++)
         {
           b[i].key = key;
-          pthread_create (&t[i], NULL, book, &b[i]);
+          pthread_create (&t[i], NULL, send_booking, &b[i]);
         }
       for (int i = 0; i < 2; i++)
         {
           pthread_join (t[i], NULL);
           ck_assert_int_ne (b[i].code, 0);
         }
-      ck_assert_msg (runs_of (key) <= 1, "%s ran more than once", key);
+      ck_assert_msg (count_runs (key) <= 1, "%s ran more than once", key);
     }
   t_stop_all ();
 }
@@ -249,14 +252,14 @@
 START_TEST (test_two_of_three_guards_restarted)
 {
   Booking first = { .entry = 0, .key = "shift-4" };
-  Booking again = { .entry = 1, .key = "shift-4" };
+  Booking retry = { .entry = 1, .key = "shift-4" };
   pthread_t t;
   int r;
 
   start_all ();
-  pthread_create (&t, NULL, book, &first);
-  wait_begun ("shift-4");
-  r = runner_of ("shift-4");
+  pthread_create (&t, NULL, send_booking, &first);
+  wait_until_running ("shift-4");
+  r = find_runner ("shift-4");
   for (int i = 0; i < 2; i++)
     {
       int a = (r + i) % AGENTS;
@@ -267,9 +270,9 @@
     }
   pthread_join (t, NULL);
   usleep (1500000);
-  book (&again);
-  ck_assert_int_ne (again.code, 200);
-  ck_assert_int_eq (runs_of ("shift-4"), 1);
+  send_booking (&retry);
+  ck_assert_int_ne (retry.code, 200);
+  ck_assert_int_eq (count_runs ("shift-4"), 1);
   t_stop_all ();
 }
 END_TEST
@@ -281,9 +284,9 @@
   TCase *tc = tcase_create ("core");
 
   tcase_set_timeout (tc, 60);
-  tcase_add_test (tc, test_agent_killed_with_the_call_running);
-  tcase_add_test (tc, test_entry_killed_with_the_call_running);
-  tcase_add_test (tc, test_same_key_at_both_entries_at_once);
+  tcase_add_test (tc, test_agent_killed_during_call);
+  tcase_add_test (tc, test_entry_killed_during_call);
+  tcase_add_test (tc, test_same_key_at_both_entries_concurrently);
   tcase_add_test (tc, test_two_of_three_guards_restarted);
   suite_add_tcase (s, tc);
   return t_run (s);
--- a/t/t-rebalance.c
+++ b/t/t-rebalance.c
@@ -1,9 +1,9 @@
 /*
- * A map change through real agents beside the ranks of a fake engine that
- * ignores fencing tokens, under load: orders dropped, late and unanswered,
- * ranks that stall, coordinators killed, and paused and woken late with
- * the change half done.  In no step may two ranks use different maps, the
- * group must not stand still, and every request must be answered.
+ * Changes of the expert map under load, by real agents of the ranks of a fake
+ * engine that ignores fencing tokens.  Orders are dropped, delayed or left
+ * unanswered, ranks stall, and coordinators are killed, or paused during a
+ * change and resumed late.  In no step may two ranks use different maps, the
+ * group must not stall, and every request must be answered.
  */
 #include "harness.h"
 #include "http-client.h"
@@ -46,7 +46,7 @@
 }
 
 static void *
-caller (void *unused)
+run_caller (void *unused)
 {
   while (!g_atomic_int_get (&stop_load))
     {
@@ -65,7 +65,7 @@
 }
 
 static gint64
-steps_field (const char *field)
+get_steps_field (const char *field)
 {
   g_autofree char *body = NULL;
   long code = 0;
@@ -82,7 +82,7 @@
 }
 
 static void
-hook (const char *fmt, ...)
+call_test_hook (const char *fmt, ...)
 {
   va_list ap;
   g_autofree char *path = NULL;
@@ -98,9 +98,9 @@
   ck_assert_int_eq (code, 200);
 }
 
-/* Asks a rank's agent, as an operator would, to decide placement now. */
+/* Requests a placement decision from a rank's agent, as an operator does. */
 static void
-rebalance (int rank)
+request_rebalance (int rank)
 {
   g_autofree char *addr = g_strdup_printf ("127.0.0.1:1820%d", rank);
   char *argv[] = { "./comfrey", "rebalance", addr, NULL };
@@ -113,21 +113,22 @@
 
 /* Waits until the group has begun @n more steps. */
 static void
-wait_steps (gint64 n, int timeout_ms)
+wait_for_steps (gint64 n, int timeout_ms)
 {
-  gint64 until = steps_field ("steps") + n;
-  long long t0 = cf_now_ms ();
+  gint64 end_step = get_steps_field ("steps") + n;
+  long long start_ms = cf_now_ms ();
 
-  while (steps_field ("steps") < until)
+  while (get_steps_field ("steps") < end_step)
     {
-      ck_assert_msg (cf_now_ms () - t0 < timeout_ms,
-                     "the group stood still for %d ms", timeout_ms);
+      ck_assert_msg (cf_now_ms () - start_ms < timeout_ms,
+                     "the group did not begin enough steps in %d ms",
+                     timeout_ms);
       usleep (20000);
     }
 }
 
 static void
-start_all (pthread_t *load)
+start_all (pthread_t *callers)
 {
   t_start ("r-weights", "./comfrey-fake-weights",
            "[weights]\nlisten = \"127.0.0.1:18291\"\nmb_per_s = 4000\n");
@@ -141,16 +142,16 @@
   ck_assert (t_wait_for (ENGINE "/test/steps", "steps", 5000));
   stop_load = answered = failed = 0;
   for (int i = 0; i < CALLERS; i++)
-    pthread_create (&load[i], NULL, caller, NULL);
-  wait_steps (200, 10000);
+    pthread_create (&callers[i], NULL, run_caller, NULL);
+  wait_for_steps (200, 10000);
 }
 
 static void
-stop_all (pthread_t *load)
+stop_all (pthread_t *callers)
 {
   g_atomic_int_set (&stop_load, 1);
   for (int i = 0; i < CALLERS; i++)
-    pthread_join (load[i], NULL);
+    pthread_join (callers[i], NULL);
   ck_assert_int_eq (failed, 0);
   ck_assert_int_gt (answered, 0);
   t_stop_all ();
@@ -159,63 +160,63 @@
 START_TEST (test_change_takes_effect_on_every_rank)
 {
   g_autofree char *log = NULL;
-  pthread_t load[CALLERS];
+  pthread_t callers[CALLERS];
 
-  start_all (load);
-  rebalance (0);
-  for (int i = 0; i < 100 && steps_field ("switches") == 0; i++)
+  start_all (callers);
+  request_rebalance (0);
+  for (int i = 0; i < 100 && get_steps_field ("switches") == 0; i++)
     usleep (50000);
-  ck_assert_int_eq (steps_field ("switches"), 1);
-  ck_assert_int_eq (steps_field ("mixed"), 0);
-  ck_assert_int_ge (steps_field ("map"), 2);
-  wait_steps (50, 5000);
-  stop_all (load);
+  ck_assert_int_eq (get_steps_field ("switches"), 1);
+  ck_assert_int_eq (get_steps_field ("mixed"), 0);
+  ck_assert_int_ge (get_steps_field ("map"), 2);
+  wait_for_steps (50, 5000);
+  stop_all (callers);
   log = t_read_log ("r-agent-0");
   ck_assert (strstr (log, "E1501 placement policy=bounded"));
   ck_assert (strstr (log, "result=changed"));
 }
 END_TEST
 
-/* One fault while the agent of rank @c coordinates a change. */
+/* Injects a fault while the agent of rank @coordinator makes a change. */
 static void
-fault (GRand *r, int c)
+inject_fault (GRand *r, int coordinator)
 {
   int rank = g_rand_int_range (r, 0, RANKS);
 
   switch (g_rand_int_range (r, 0, 7))
     {
     case 0:
-      hook ("/test/rank?rank=%d&fault=drop", rank);
+      call_test_hook ("/test/rank?rank=%d&fault=drop", rank);
       break;
     case 1:
-      hook ("/test/rank?rank=%d&fault=lose", rank);
+      call_test_hook ("/test/rank?rank=%d&fault=lose", rank);
       break;
     case 2:
-      hook ("/test/rank?rank=%d&fault=late&ms=%d", rank,
-            g_rand_int_range (r, 50, 2500));
+      call_test_hook ("/test/rank?rank=%d&fault=late&ms=%d", rank,
+                      g_rand_int_range (r, 50, 2500));
       break;
     case 3:
-      hook ("/test/rank?rank=%d&fault=stall&ms=500", rank);
+      call_test_hook ("/test/rank?rank=%d&fault=stall&ms=500", rank);
       break;
-    case 4: /* an agent dies mid-change, the coordinator's or another's */
+    case 4: /* an agent, often the coordinator, is killed during the change */
       if (g_rand_boolean (r))
-        rank = c;
+        rank = coordinator;
       usleep (g_rand_int_range (r, 0, 60000));
       kill (agents[rank], SIGKILL);
       waitpid (agents[rank], NULL, 0);
       usleep (300000);
       agents[rank] = start_agent (rank);
       break;
-    case 5: /* the coordinator is paused and wakes after a takeover */
+    case 5: /* the coordinator is paused and resumes after a takeover */
       usleep (g_rand_int_range (r, 0, 60000));
-      kill (agents[c], SIGSTOP);
+      kill (agents[coordinator], SIGSTOP);
       usleep (400000);
-      rebalance ((c + 1) % RANKS);
+      request_rebalance ((coordinator + 1) % RANKS);
       usleep (1200000);
-      kill (agents[c], SIGCONT);
+      kill (agents[coordinator], SIGCONT);
       break;
-    case 6: /* two coordinators at once */
-      rebalance ((c + 1) % RANKS);
+    case 6: /* two concurrent coordinators */
+      request_rebalance ((coordinator + 1) % RANKS);
       break;
     }
 }
@@ -223,31 +224,32 @@
 START_TEST (test_change_waits_for_the_weight_store)
 {
   g_autofree char *log = NULL;
-  pthread_t load[CALLERS];
+  pthread_t callers[CALLERS];
   long code = 0;
 
-  start_all (load);
-  /* The store is busy for 3 s with others, longer than prepare_ms. */
+  start_all (callers);
+  /* Other clients keep the weight store busy for 3 s, longer than
+   * prepare_ms. */
   ck_assert_int_eq (cf_http_call ("GET",
                                   "http://127.0.0.1:18291/test/busy?ms=3000",
                                   NULL, NULL, 2000, &code, NULL),
                     CF_OK);
   ck_assert_int_eq (code, 200);
-  rebalance (0);
+  request_rebalance (0);
   usleep (2500000);
   log = t_read_log ("r-agent-0");
   ck_assert_msg (strstr (log, "result=aborted"), "%s", log);
-  ck_assert_int_eq (steps_field ("switches"), 0);
-  /* Once it has room again the change goes through. */
+  ck_assert_int_eq (get_steps_field ("switches"), 0);
+  /* Once the store has capacity again, the change succeeds. */
   usleep (1000000);
-  for (int i = 0; i < 10 && steps_field ("switches") == 0; i++)
+  for (int i = 0; i < 10 && get_steps_field ("switches") == 0; i++)
     {
-      rebalance (0);
+      request_rebalance (0);
       usleep (500000);
     }
-  ck_assert_int_ge (steps_field ("switches"), 1);
-  ck_assert_int_eq (steps_field ("mixed"), 0);
-  stop_all (load);
+  ck_assert_int_ge (get_steps_field ("switches"), 1);
+  ck_assert_int_eq (get_steps_field ("mixed"), 0);
+  stop_all (callers);
 }
 END_TEST
 
@@ -256,41 +258,41 @@
   const char *env = g_getenv ("FUZZ_SEED");
   guint32 seed = env ? (guint32)g_ascii_strtoull (env, NULL, 10) : 1;
   GRand *r = g_rand_new_with_seed (seed);
-  pthread_t load[CALLERS];
+  pthread_t callers[CALLERS];
   gint64 switches;
 
-  start_all (load);
+  start_all (callers);
   for (int i = 0; i < ROUNDS; i++)
     {
-      int c = g_rand_int_range (r, 0, RANKS);
+      int coordinator = g_rand_int_range (r, 0, RANKS);
 
-      hook ("/test/drift?shift=%d", (i * 7) % 32);
+      call_test_hook ("/test/drift?shift=%d", (i * 7) % 32);
       usleep (500000);
-      rebalance (c);
-      fault (r, c);
-      /* A dead or fenced coordinator's hold is settled within seconds. */
-      wait_steps (20, 10000);
-      ck_assert_msg (steps_field ("mixed") == 0,
+      request_rebalance (coordinator);
+      inject_fault (r, coordinator);
+      /* A dead or fenced coordinator's hold is released within seconds. */
+      wait_for_steps (20, 10000);
+      ck_assert_msg (get_steps_field ("mixed") == 0,
                      "seed %u round %d: ranks used different maps", seed, i);
     }
-  /* With the faults over, a change goes through again. */
+  /* Once the faults are over, a change succeeds again. */
   usleep (3000000);
-  switches = steps_field ("switches");
-  for (int i = 0; i < 10 && steps_field ("switches") == switches; i++)
+  switches = get_steps_field ("switches");
+  for (int i = 0; i < 10 && get_steps_field ("switches") == switches; i++)
     {
-      hook ("/test/drift?shift=%d", 3 + i * 9);
+      call_test_hook ("/test/drift?shift=%d", 3 + i * 9);
       usleep (500000);
-      rebalance (i % RANKS);
+      request_rebalance (i % RANKS);
       usleep (1000000);
     }
-  ck_assert_int_gt (steps_field ("switches"), switches);
-  ck_assert_int_eq (steps_field ("mixed"), 0);
+  ck_assert_int_gt (get_steps_field ("switches"), switches);
+  ck_assert_int_eq (get_steps_field ("mixed"), 0);
   fprintf (stderr,
            "t-rebalance: seed %u: %d rounds, %d steps, %d changes of map, "
            "%d requests answered\n",
-           seed, ROUNDS, (int)steps_field ("steps"),
-           (int)steps_field ("switches"), answered);
-  stop_all (load);
+           seed, ROUNDS, (int)get_steps_field ("steps"),
+           (int)get_steps_field ("switches"), answered);
+  stop_all (callers);
   g_rand_free (r);
 }
 END_TEST
--- a/t/t-session.c
+++ b/t/t-session.c
@@ -1,7 +1,7 @@
 /*
- * A whole session through real processes on loopback: requests in, every
- * answer and every decision log line of the entry out, compared exactly
- * with t/session.golden.  Set GOLDEN_UPDATE=1 to write the file anew.
+ * A whole session through real processes on loopback.  All requests, their
+ * answers and the entry's log lines about its decisions are compared exactly
+ * with t/session.golden.  GOLDEN_UPDATE=1 writes that file anew.
  */
 #include "harness.h"
 #include "http-client.h"
@@ -11,9 +11,10 @@
 
 #define ENTRY "http://127.0.0.1:17080"
 
-/* Keeps an entry's decision lines, without the pid that changes per run. */
+/* Appends an entry's decision lines to @out, without the pid, which differs
+ * in every run. */
 static void
-decisions (const char *log, GString *out)
+append_decision_lines (const char *log, GString *out)
 {
   g_auto (GStrv) lines = g_strsplit (log, "\n", -1);
 
@@ -28,8 +29,8 @@
     }
 }
 
-/* Fails at the first line that differs, naming it, rather than dumping
- * both whole sessions into one message. */
+/* Fails at the first line that differs and reports that line only, since both
+ * whole sessions would make an unreadable message. */
 static void
 compare_lines (const char *got, const char *want)
 {
@@ -80,7 +81,7 @@
                              "\"config_version\":1,\"links_up\":3,"
                              "\"guards_quiet\":0",
                              15000),
-                 "the entry never had its configuration and three links");
+                 "the entry did not get its configuration and three links");
 
   g_file_get_contents ("t/session.jsonl", &session, NULL, NULL);
   lines = g_strsplit (session, "\n", -1);
@@ -96,7 +97,7 @@
     }
   t_stop_all ();
   log = t_read_log ("s-entry");
-  decisions (log, out);
+  append_decision_lines (log, out);
 
   if (g_getenv ("GOLDEN_UPDATE"))
     g_file_set_contents ("t/session.golden", out->str, -1, NULL);
