--- a/agent.c
+++ b/agent.c
@@ -57,7 +57,7 @@
 }
 
 static void *
-conn_thread (void *data)
+serve_conn (void *data)
 {
   CfAgentConn *c = data;
   CfMsg m;
@@ -109,7 +109,7 @@
 }
 
 static void *
-accept_thread (void *data)
+accept_conns (void *data)
 {
   CfAgent *a = data;
 
@@ -131,7 +131,7 @@
       c->fd = fd;
       c->refs = 1;
       pthread_mutex_init (&c->write_lock, NULL);
-      pthread_create (&t, NULL, conn_thread, c);
+      pthread_create (&t, NULL, serve_conn, c);
       pthread_detach (t);
     }
   return NULL;
@@ -160,40 +160,40 @@
       pthread_create (&t, NULL, cf_agent_run_worker, a);
       pthread_detach (t);
     }
-  pthread_create (&t, NULL, accept_thread, a);
+  pthread_create (&t, NULL, accept_conns, a);
   pthread_detach (t);
   cf_log (LOG_INFO, CF_EV_LISTEN, "addr=%s target=%s", a->settings.listen,
           a->settings.target_url);
   return CF_OK;
 }
 
-/* Waits until every reply is written, at most until @until; writing can take
- * long if the other side reads slowly. */
+/* Waits until every reply is written, at most until @deadline_ms; writing can
+ * take long if the other side reads slowly. */
 static void
-wait_for_replies (CfAgent *a, long long until)
+wait_for_replies (CfAgent *a, long long deadline_ms)
 {
-  while (ck_pr_load_int (&a->pending_replies) > 0 && cf_now_ms () < until)
+  while (ck_pr_load_int (&a->pending_replies) > 0 && cf_now_ms () < deadline_ms)
     usleep (10000);
 }
 
 void
 cf_agent_drain (CfAgent *a, const char *trigger)
 {
-  long long until = cf_now_ms () + a->settings.drain_grace_ms;
+  long long deadline_ms = cf_now_ms () + a->settings.drain_grace_ms;
 
-  __atomic_store_n (&a->stop_deadline_ms, until, __ATOMIC_RELEASE);
+  __atomic_store_n (&a->stop_deadline_ms, deadline_ms, __ATOMIC_RELEASE);
   begin_drain (a);
   cf_log (LOG_NOTICE, CF_EV_DRAIN_BEGIN, "by=%s in_flight=%d queued=%u",
           trigger, ck_pr_load_int (&a->in_flight),
           cf_ring_length (&a->job_queue));
-  wait_for_replies (a, until);
+  wait_for_replies (a, deadline_ms);
   if (ck_pr_load_int (&a->pending_replies) > 0)
     cf_agent_refuse_queued (a);
   /* Requests that entries sent before they learned of the drain are still
    * refused as not run.  Orders are still carried out, since a group that is
    * changing its expert map needs them. */
   usleep (DRAIN_LINGER_MS * 1000);
-  wait_for_replies (a, until);
+  wait_for_replies (a, deadline_ms);
   cf_log (LOG_NOTICE, CF_EV_DRAIN_DONE, "in_flight=%d queued=%u",
           ck_pr_load_int (&a->in_flight), cf_ring_length (&a->job_queue));
 }
--- a/agent.h
+++ b/agent.h
@@ -16,7 +16,7 @@
   char *target_url;      /**< the target's HTTP base URL */
   gint64 workers;        /**< concurrent calls to the target */
   gint64 queue;          /**< queue length before refusing, a power of two */
-  gint64 guard_ttl_ms;   /**< how long the guard keeps an ended call */
+  gint64 guard_ttl_ms;   /**< how long the guard keeps ended calls and claims */
   gint64 guard_max;      /**< calls and claims the guard keeps, each */
   gint64 guard_quiet_ms; /**< the guard's quiet period after a start; guard.h */
   gint64 drain_grace_ms; /**< how long a drain waits for pending replies */
@@ -47,16 +47,17 @@
   int draining;
   gint64 stop_deadline_ms; /**< when the process ends at the latest; 0: never */
   pthread_mutex_t call_window_lock; /**< for the two fields below */
-  gint64 slowest_call_ms[2]; /**< longest call of this window and the last */
+  gint64 slowest_call_ms[2]; /**< longest call: this window, the one before */
   long long call_window_start_ms;
   pthread_mutex_t conns_lock;
   struct CfAgentConn *conns; /**< intrusive list of open connections */
-  uint64_t served;
-  uint64_t refused;
+  uint64_t served;           /**< answers sent, for the status reply */
+  uint64_t refused;          /**< refusals sent, likewise */
 } CfAgent;
 
 extern const char cf_agent_defaults[];
 
+/** cf_agent_settings_read: reads the [agent] and [group] tables. */
 CfStatus cf_agent_settings_read (CfSettings *s, CfAgentSettings *out);
 
 /** cf_agent_start: binds the listener and starts the agent's threads. */
--- a/guard.h
+++ b/guard.h
@@ -31,7 +31,7 @@
  * begins with a quiet period, until @quiet_until_ms, in which it grants no
  * claim and does not report a key as unused.  The period ends when no caller
  * may still retry a key from before the restart, just as a restarted lease
- * holder waits for one lease term.
+ * holder waits for the duration of one lease.
  */
 typedef struct
 {
--- a/placement.c
+++ b/placement.c
@@ -6,7 +6,7 @@
 /* The exponent of the power mean that smooth_skew() uses.  It is high enough
  * to follow the most loaded rank closely, yet the mean still improves when
  * only one of several equally loaded ranks is relieved. */
-#define SKEW_NORM 12.0
+#define SKEW_EXPONENT 12.0
 
 void
 cf_expert_popularity_init (CfExpertPopularity *p, int experts)
@@ -67,8 +67,8 @@
   double sum = 0;
 
   for (int r = 0; r < ranks; r++)
-    sum += pow (load[r] / mean, SKEW_NORM);
-  return pow (sum / ranks, 1.0 / SKEW_NORM);
+    sum += pow (load[r] / mean, SKEW_EXPONENT);
+  return pow (sum / ranks, 1.0 / SKEW_EXPONENT);
 }
 
 /* A candidate copy: put @expert in @place of @rank. */
@@ -144,13 +144,13 @@
   for (int i = 0; i < p->u.bounded.max_moves; i++)
     {
       Move mv = find_best_move (m, tokens, mean);
-      double now;
+      double current_skew;
 
       if (mv.rank < 0)
         break;
       cf_expert_map_compute_load (m, tokens, load);
-      now = smooth_skew (load, m->ranks, mean);
-      if ((now - mv.score) * p->u.bounded.skew_weight
+      current_skew = smooth_skew (load, m->ranks, mean);
+      if ((current_skew - mv.score) * p->u.bounded.skew_weight
           < p->u.bounded.move_weight)
         break;
       cf_expert_map_set (m, mv.rank, mv.place, mv.expert);
@@ -219,7 +219,7 @@
   CfExpertMap *m = cf_expert_map_copy (current);
   g_autofree double *load = g_new0 (double, m->ranks);
   g_autofree int *copies = g_new (int, m->experts);
-  g_autoptr (GArray) all = g_array_new (FALSE, FALSE, sizeof (Copy));
+  g_autoptr (GArray) all_copies = g_array_new (FALSE, FALSE, sizeof (Copy));
 
   for (int r = 0; r < m->ranks; r++)
     for (int p = 0; p < m->places; p++)
@@ -230,12 +230,12 @@
       {
         Copy c = { .expert = e, .load = tokens[e] / copies[e] };
 
-        g_array_append_val (all, c);
+        g_array_append_val (all_copies, c);
       }
-  g_array_sort (all, compare_load_descending);
-  for (guint i = 0; i < all->len; i++)
+  g_array_sort (all_copies, compare_load_descending);
+  for (guint i = 0; i < all_copies->len; i++)
     {
-      const Copy *c = &g_array_index (all, Copy, i);
+      const Copy *c = &g_array_index (all_copies, Copy, i);
       int r = find_least_loaded_rank (m, load, c->expert);
       int p = 0;
 
--- a/rank-group.c
+++ b/rank-group.c
@@ -288,7 +288,7 @@
 static void
 connect_members (CfRankGroup *g)
 {
-  long long until = cf_now_ms () + ORDER_TIMEOUT_MS;
+  long long deadline_ms = cf_now_ms () + ORDER_TIMEOUT_MS;
 
   for (guint i = 0; i < g->settings.members->len; i++)
     if (g->links[i] == NULL)
@@ -297,7 +297,7 @@
         cf_link_set_idle_ping (g->links[i], g->settings.interval_ms);
       }
   for (guint i = 0; i < g->settings.members->len; i++)
-    while (!cf_link_view (g->links[i]).up && cf_now_ms () < until)
+    while (!cf_link_view (g->links[i]).up && cf_now_ms () < deadline_ms)
       usleep (1000);
 }
 
@@ -496,7 +496,7 @@
 }
 
 static void *
-group_thread (void *data)
+run_group (void *data)
 {
   CfRankGroup *g = data;
   CfRankOps ops = { .data = g,
@@ -544,7 +544,7 @@
   g->last_progress_ms = g->held_since_ms = g->other_coordinator_ms = now;
   g->next_plan_ms = now + settings->interval_ms;
   pthread_mutex_init (&g->lock, NULL);
-  pthread_create (&t, NULL, group_thread, g);
+  pthread_create (&t, NULL, run_group, g);
   pthread_detach (t);
   return g;
 }
--- a/t/t-fuzz.c
+++ b/t/t-fuzz.c
@@ -64,7 +64,7 @@
   char *agent_settings[3];
   GPtrArray *not_run; /* prompts answered ran=no */
   gboolean paused[3];
-  GHashTable *keys; /* key -> KeyFate */
+  GHashTable *keys; /* key -> KeyAnswers */
   int requests;
   int faults;
   int ran_yes;
--- a/t/t-map.c
+++ b/t/t-map.c
@@ -111,13 +111,13 @@
   s->steps++;
   for (int r = 0; r < RANKS; r++)
     {
-      CfRankReport *k = &s->ranks[r];
+      CfRankReport *rank = &s->ranks[r];
 
-      k->step = next;
-      if (k->armed && k->armed_step == next)
+      rank->step = next;
+      if (rank->armed && rank->armed_step == next)
         {
-          k->map = k->armed;
-          k->armed = k->prepared = 0;
+          rank->map = rank->armed;
+          rank->armed = rank->prepared = 0;
           s->switches += r == 0;
         }
     }
@@ -130,17 +130,17 @@
 {
   for (int i = 0; i < s->n_delayed;)
     {
-      DelayedOrder *l = &s->delayed[i];
+      DelayedOrder *order = &s->delayed[i];
 
-      if (l->ticks_left-- > 0)
+      if (order->ticks_left-- > 0)
         {
           i++;
           continue;
         }
-      if (!l->is_fence_unchecked
-          || check_fence (s, l->rank, l->fence) == CF_RANK_OP_DONE)
-        apply_order (s, l->rank, &l->op);
-      *l = s->delayed[--s->n_delayed];
+      if (!order->is_fence_unchecked
+          || check_fence (s, order->rank, order->fence) == CF_RANK_OP_DONE)
+        apply_order (s, order->rank, &order->op);
+      *order = s->delayed[--s->n_delayed];
     }
   if (!s->is_idle && g_rand_int_range (s->rand, 0, 3) == 0)
     run_step (s);
--- a/t/t-once.c
+++ b/t/t-once.c
@@ -166,14 +166,14 @@
   Booking other = { .entry = 1, .key = "shift-2" };
   long long start_ms;
   pthread_t t;
-  int r;
+  int runner;
 
   start_all ();
   pthread_create (&t, NULL, send_booking, &first);
   wait_until_running ("shift-1");
-  r = find_runner ("shift-1");
-  kill (agents[r], SIGKILL);
-  waitpid (agents[r], NULL, 0);
+  runner = find_runner ("shift-1");
+  kill (agents[runner], SIGKILL);
+  waitpid (agents[runner], NULL, 0);
   pthread_join (t, NULL);
   ck_assert_str_eq (first.ran, "unknown");
   /* An immediate retry at the other entry while the agent is down. */
@@ -186,7 +186,7 @@
   ck_assert_int_eq (other.code, 200);
   ck_assert_int_lt (cf_now_ms () - start_ms, 2500);
   /* Another retry with the agent restarted, its guard empty. */
-  agents[r] = start_agent (r);
+  agents[runner] = start_agent (runner);
   usleep (1500000);
   g_clear_pointer (&retry.ran, g_free);
   send_booking (&retry);
@@ -254,15 +254,15 @@
   Booking first = { .entry = 0, .key = "shift-4" };
   Booking retry = { .entry = 1, .key = "shift-4" };
   pthread_t t;
-  int r;
+  int runner;
 
   start_all ();
   pthread_create (&t, NULL, send_booking, &first);
   wait_until_running ("shift-4");
-  r = find_runner ("shift-4");
+  runner = find_runner ("shift-4");
   for (int i = 0; i < 2; i++)
     {
-      int a = (r + i) % AGENTS;
+      int a = (runner + i) % AGENTS;
 
       kill (agents[a], SIGKILL);
       waitpid (agents[a], NULL, 0);
