--- a/agent-orders.c
+++ b/agent-orders.c
@@ -4,19 +4,20 @@
 #include "log.h"
 #include "net.h"
 
-/* Checks a target order's fencing token on the target's behalf. */
+/* Checks the fencing token of an order to the target and records it if it is
+ * the highest.  The agent does this because the target may not. */
 static gboolean
-pass_fence (CfAgent *a, gint64 fence, gint64 *highest)
+check_target_fence (CfAgent *a, gint64 fence, gint64 *highest)
 {
   pthread_mutex_lock (&a->fence_lock);
-  *highest = a->fence;
-  a->fence = MAX (a->fence, fence);
+  *highest = a->highest_fence;
+  a->highest_fence = MAX (a->highest_fence, fence);
   pthread_mutex_unlock (&a->fence_lock);
   return fence >= *highest;
 }
 
 static void
-refuse_stale (CfAgentConn *c, const CfMsg *m, gint64 highest)
+refuse_stale_order (CfAgentConn *c, const CfMsg *m, gint64 highest)
 {
   cf_log (LOG_WARNING, CF_EV_FENCE_STALE,
           "op=%s fence=%" G_GINT64_FORMAT " highest=%" G_GINT64_FORMAT,
@@ -24,7 +25,7 @@
   cf_agent_refuse (c, m->id, CF_RAN_NO, CF_REASON_STALE_FENCE, 0);
 }
 
-/* An order to the rank this agent stands beside, from a coordinator. */
+/* Runs a coordinator's order at this agent's rank. */
 static void
 take_rank_order (CfAgentConn *c, CfMsg *m)
 {
@@ -32,39 +33,40 @@
   g_autofree char *out = NULL;
   long code = 0;
 
-  switch (cf_rank_group_admit (g, m->u.order.op, m->u.order.fence))
+  switch (cf_rank_group_check_fence (g, m->u.order.op, m->u.order.fence))
     {
     case CF_OK:
       break;
     case CF_ERR_STALE:
-      refuse_stale (c, m, cf_rank_group_fence (g));
+      refuse_stale_order (c, m, cf_rank_group_highest_fence (g));
       return;
     default:
       cf_agent_refuse (c, m->id, CF_RAN_NO, "no-coordinator", 0);
       return;
     }
-  if (cf_rank_group_order (g, m->u.order.op, m->u.order.args, m->u.order.fence,
-                           &code, &out)
+  if (cf_rank_group_run_order (g, m->u.order.op, m->u.order.args,
+                               m->u.order.fence, &code, &out)
       == CF_OK)
     cf_agent_answer (c, m->id, code, out);
   else
     cf_agent_refuse (c, m->id, CF_RAN_UNKNOWN, CF_REASON_TARGET_FAILED, 0);
 }
 
-/* An order to the target as a whole, such as to load a model. */
+/* Runs an order to the target as a whole, such as to load a model. */
 static void
 take_target_order (CfAgentConn *c, CfMsg *m)
 {
   CfAgent *a = c->agent;
-  g_autofree char *url = g_strconcat (a->set.target_url, "/v1/order", NULL);
+  g_autofree char *url
+      = g_strconcat (a->settings.target_url, "/v1/order", NULL);
   g_autofree char *body = NULL;
   g_autofree char *out = NULL;
   gint64 highest;
   long code = 0;
 
-  if (!pass_fence (a, m->u.order.fence, &highest))
+  if (!check_target_fence (a, m->u.order.fence, &highest))
     {
-      refuse_stale (c, m, highest);
+      refuse_stale_order (c, m, highest);
       return;
     }
   body = g_strdup_printf ("{\"fence\":%" G_GINT64_FORMAT ",\"op\":\"%s\"}",
@@ -84,14 +86,14 @@
 
   if (m->u.order.op == NULL)
     cf_agent_refuse (c, m->id, CF_RAN_NO, "no-op", 0);
-  else if (cf_rank_group_knows (m->u.order.op)
+  else if (cf_rank_group_is_rank_order (m->u.order.op)
            || g_str_equal (m->u.order.op, "rebalance"))
     {
       if (a->group == NULL)
         cf_agent_refuse (c, m->id, CF_RAN_NO, "no-group", 0);
       else if (g_str_equal (m->u.order.op, "rebalance"))
         {
-          cf_rank_group_rebalance (a->group);
+          cf_rank_group_request_rebalance (a->group);
           cf_agent_answer (c, m->id, 202, "{\"accepted\":true}");
         }
       else
@@ -114,7 +116,7 @@
   cf_log (LOG_INFO, CF_EV_GUARD_CLAIM, "key=%s token=%s runner=%s verdict=%s",
           m->u.claim.key, m->u.claim.token, m->u.claim.runner,
           cf_verdict_name (r.u.claimed.verdict));
-  cf_agent_reply (c, &r);
+  cf_agent_conn_send (c, &r);
 }
 
 void
@@ -124,11 +126,12 @@
   CfMsg s = { .kind = CF_MSG_STATUS, .id = m->id };
 
   pthread_mutex_lock (&a->fence_lock);
-  s.u.status.fence = a->fence;
+  s.u.status.fence = a->highest_fence;
   pthread_mutex_unlock (&a->fence_lock);
   if (a->group)
-    s.u.status.fence = MAX (s.u.status.fence, cf_rank_group_fence (a->group));
+    s.u.status.fence
+        = MAX (s.u.status.fence, cf_rank_group_highest_fence (a->group));
   s.u.status.served = (gint64)ck_pr_load_64 (&a->served);
   s.u.status.refused = (gint64)ck_pr_load_64 (&a->refused);
-  cf_agent_reply (c, &s);
+  cf_agent_conn_send (c, &s);
 }
--- a/placement.c
+++ b/placement.c
@@ -3,39 +3,42 @@
 #include <math.h>
 #include <string.h>
 
-/* A norm this high follows the slowest rank closely, yet still sees gain
- * in relieving one of several equally slow ranks. */
-#define NORM 12.0
+/* The exponent of the power mean that smooth_skew() uses.  It is high enough
+ * to follow the most loaded rank closely, yet the mean still improves when
+ * only one of several equally loaded ranks is relieved. */
+#define SKEW_EXPONENT 12.0
 
 void
-cf_popularity_init (CfPopularity *p, int experts)
+cf_expert_popularity_init (CfExpertPopularity *p, int experts)
 {
   p->experts = experts;
   p->tokens = g_new0 (double, experts);
-  p->last = g_new0 (double, experts);
-  p->any = FALSE;
+  p->last_counts = g_new0 (double, experts);
+  p->has_reports = FALSE;
 }
 
 void
-cf_popularity_clear (CfPopularity *p)
+cf_expert_popularity_clear (CfExpertPopularity *p)
 {
   g_free (p->tokens);
-  g_free (p->last);
+  g_free (p->last_counts);
 }
 
 void
-cf_popularity_report (CfPopularity *p, const double *counts, double weight)
+cf_expert_popularity_add_report (CfExpertPopularity *p, const double *counts,
+                                 double weight)
 {
-  double w = p->any ? weight : 1.0;
+  double w = p->has_reports ? weight : 1.0;
 
   for (int e = 0; e < p->experts; e++)
     {
-      double fresh = counts[e] - (counts[e] < p->last[e] ? 0 : p->last[e]);
+      double new_tokens
+          = counts[e] - (counts[e] < p->last_counts[e] ? 0 : p->last_counts[e]);
 
-      p->tokens[e] += w * (fresh - p->tokens[e]);
-      p->last[e] = counts[e];
+      p->tokens[e] += w * (new_tokens - p->tokens[e]);
+      p->last_counts[e] = counts[e];
     }
-  p->any = TRUE;
+  p->has_reports = TRUE;
 }
 
 static double
@@ -54,76 +57,76 @@
   g_autofree double *load = g_new (double, m->ranks);
   double mean = mean_load (m, tokens);
 
-  return mean > 0 ? cf_expert_map_load (m, tokens, load) / mean : 1.0;
+  return mean > 0 ? cf_expert_map_compute_load (m, tokens, load) / mean : 1.0;
 }
 
-/* A smooth stand-in for the skew; see NORM. */
+/* A smooth approximation of the skew: a power mean instead of the maximum. */
 static double
 smooth_skew (const double *load, int ranks, double mean)
 {
   double sum = 0;
 
   for (int r = 0; r < ranks; r++)
-    sum += pow (load[r] / mean, NORM);
-  return pow (sum / ranks, 1.0 / NORM);
+    sum += pow (load[r] / mean, SKEW_EXPONENT);
+  return pow (sum / ranks, 1.0 / SKEW_EXPONENT);
 }
 
-/* One candidate move: put @expert in @place of @rank. */
+/* A candidate copy: put @expert in @place of @rank. */
 typedef struct
 {
   int rank;
   int place;
   int expert;
-  double score;
+  double score; /* the smooth skew after it */
 } Move;
 
-/* What the smooth skew would be after @mv; @load is scratch. */
+/* Returns the smooth skew after @mv; uses @load as scratch space. */
 static double
-score_move (CfExpertMap *m, const double *tokens, double mean, const Move *mv,
-            double *load)
+skew_after_move (CfExpertMap *m, const double *tokens, double mean,
+                 const Move *mv, double *load)
 {
   int old = m->held[mv->rank * m->places + mv->place];
   double s;
 
   cf_expert_map_set (m, mv->rank, mv->place, mv->expert);
-  cf_expert_map_load (m, tokens, load);
+  cf_expert_map_compute_load (m, tokens, load);
   s = smooth_skew (load, m->ranks, mean);
   cf_expert_map_set (m, mv->rank, mv->place, old);
   return s;
 }
 
 /*
- * The best single copy of an expert of the slowest rank to one of the
- * lighter half of the ranks, in an empty place or over a copy that other
- * ranks hold too.
+ * Finds the best copy of one expert of the most loaded rank to a rank with
+ * less than the mean load, into an empty place or one whose expert another
+ * rank holds too.  Returns rank -1 if no copy reduces the smooth skew.
  */
 static Move
-best_move (CfExpertMap *m, const double *tokens, double mean)
+find_best_move (CfExpertMap *m, const double *tokens, double mean)
 {
   g_autofree double *load = g_new (double, m->ranks);
   g_autofree double *scratch = g_new (double, m->ranks);
   Move best = { .rank = -1 };
-  int hot = 0;
+  int busiest = 0;
 
-  cf_expert_map_load (m, tokens, load);
+  cf_expert_map_compute_load (m, tokens, load);
   best.score = smooth_skew (load, m->ranks, mean);
   for (int r = 1; r < m->ranks; r++)
-    if (load[r] > load[hot])
-      hot = r;
-  for (int hp = 0; hp < m->places; hp++)
+    if (load[r] > load[busiest])
+      busiest = r;
+  for (int source_place = 0; source_place < m->places; source_place++)
     for (int r = 0; r < m->ranks; r++)
       for (int p = 0; p < m->places; p++)
         {
           int old = m->held[r * m->places + p];
           Move mv = { .rank = r,
                       .place = p,
-                      .expert = m->held[hot * m->places + hp] };
+                      .expert = m->held[busiest * m->places + source_place] };
 
           if (mv.expert < 0 || load[r] >= mean
-              || cf_expert_map_holds (m, r, mv.expert)
+              || cf_expert_map_rank_has (m, r, mv.expert)
               || (old >= 0 && m->copies[old] < 2))
             continue;
-          mv.score = score_move (m, tokens, mean, &mv, scratch);
+          mv.score = skew_after_move (m, tokens, mean, &mv, scratch);
           if (mv.score < best.score)
             best = mv;
         }
@@ -140,14 +143,14 @@
 
   for (int i = 0; i < p->u.bounded.max_moves; i++)
     {
-      Move mv = best_move (m, tokens, mean);
-      double now;
+      Move mv = find_best_move (m, tokens, mean);
+      double current_skew;
 
       if (mv.rank < 0)
         break;
-      cf_expert_map_load (m, tokens, load);
-      now = smooth_skew (load, m->ranks, mean);
-      if ((now - mv.score) * p->u.bounded.skew_weight
+      cf_expert_map_compute_load (m, tokens, load);
+      current_skew = smooth_skew (load, m->ranks, mean);
+      if ((current_skew - mv.score) * p->u.bounded.skew_weight
           < p->u.bounded.move_weight)
         break;
       cf_expert_map_set (m, mv.rank, mv.place, mv.expert);
@@ -155,7 +158,7 @@
   return m;
 }
 
-/* One copy of an expert, to be packed. */
+/* One copy of an expert and its share of the expert's tokens. */
 typedef struct
 {
   int expert;
@@ -163,7 +166,7 @@
 } Copy;
 
 static int
-heavier_first (gconstpointer a, gconstpointer b)
+compare_load_descending (gconstpointer a, gconstpointer b)
 {
   const Copy *x = a;
   const Copy *y = b;
@@ -173,34 +176,38 @@
   return x->expert - y->expert;
 }
 
-/* Gives each spare place to the expert whose copies are most loaded. */
+/* Chooses the number of copies of each expert: one, and each spare place
+ * goes to the expert with the most tokens per copy. */
 static void
-count_copies (const CfExpertMap *m, const double *tokens, int *copies)
+choose_copy_counts (const CfExpertMap *m, const double *tokens, int *copies)
 {
   for (int e = 0; e < m->experts; e++)
     copies[e] = 1;
   for (int spare = m->ranks * m->places - m->experts; spare > 0; spare--)
     {
-      int hot = -1;
+      int busiest = -1;
 
       for (int e = 0; e < m->experts; e++)
         if (copies[e] < m->ranks
-            && (hot < 0 || tokens[e] / copies[e] > tokens[hot] / copies[hot]))
-          hot = e;
-      if (hot < 0)
+            && (busiest < 0
+                || tokens[e] / copies[e] > tokens[busiest] / copies[busiest]))
+          busiest = e;
+      if (busiest < 0)
         return;
-      copies[hot]++;
+      copies[busiest]++;
     }
 }
 
-/* The lightest rank with an empty place that does not hold @expert. */
+/* Returns the least loaded rank that has an empty place and does not hold
+ * @expert, or -1. */
 static int
-lightest (const CfExpertMap *m, const double *load, int expert)
+find_least_loaded_rank (const CfExpertMap *m, const double *load, int expert)
 {
   int best = -1;
 
   for (int r = 0; r < m->ranks; r++)
-    if (cf_expert_map_holds (m, r, -1) && !cf_expert_map_holds (m, r, expert)
+    if (cf_expert_map_rank_has (m, r, -1)
+        && !cf_expert_map_rank_has (m, r, expert)
         && (best < 0 || load[r] < load[best]))
       best = r;
   return best;
@@ -212,24 +219,24 @@
   CfExpertMap *m = cf_expert_map_copy (current);
   g_autofree double *load = g_new0 (double, m->ranks);
   g_autofree int *copies = g_new (int, m->experts);
-  g_autoptr (GArray) all = g_array_new (FALSE, FALSE, sizeof (Copy));
+  g_autoptr (GArray) all_copies = g_array_new (FALSE, FALSE, sizeof (Copy));
 
   for (int r = 0; r < m->ranks; r++)
     for (int p = 0; p < m->places; p++)
       cf_expert_map_set (m, r, p, -1);
-  count_copies (m, tokens, copies);
+  choose_copy_counts (m, tokens, copies);
   for (int e = 0; e < m->experts; e++)
     for (int i = 0; i < copies[e]; i++)
       {
         Copy c = { .expert = e, .load = tokens[e] / copies[e] };
 
-        g_array_append_val (all, c);
+        g_array_append_val (all_copies, c);
       }
-  g_array_sort (all, heavier_first);
-  for (guint i = 0; i < all->len; i++)
+  g_array_sort (all_copies, compare_load_descending);
+  for (guint i = 0; i < all_copies->len; i++)
     {
-      const Copy *c = &g_array_index (all, Copy, i);
-      int r = lightest (m, load, c->expert);
+      const Copy *c = &g_array_index (all_copies, Copy, i);
+      int r = find_least_loaded_rank (m, load, c->expert);
       int p = 0;
 
       if (r < 0)
@@ -239,7 +246,8 @@
       cf_expert_map_set (m, r, p, c->expert);
       load[r] += c->load;
     }
-  /* Every rank with room may already have held an expert's only copy. */
+  /* Keep the current map if no rank with room could take the first copy of
+   * an expert. */
   for (int e = 0; e < m->experts; e++)
     if (m->copies[e] == 0)
       {
@@ -255,48 +263,48 @@
 {
   CfPlacementPlan plan = { 0 };
 
-  plan.before = plan.after = cf_placement_skew (current, tokens);
+  plan.skew_before = plan.skew_after = cf_placement_skew (current, tokens);
   if (mean_load (current, tokens) <= 0)
     return plan;
   switch (p->kind)
     {
-    case CF_PLACE_NONE:
+    case CF_PLACEMENT_NONE:
       return plan;
-    case CF_PLACE_GREEDY:
+    case CF_PLACEMENT_GREEDY:
       plan.map = plan_greedy (current, tokens);
       break;
-    case CF_PLACE_BOUNDED:
+    case CF_PLACEMENT_BOUNDED:
       plan.map = plan_bounded (p, current, tokens);
       break;
     }
-  plan.moves = cf_expert_map_added (current, plan.map);
-  plan.after = cf_placement_skew (plan.map, tokens);
-  if (plan.moves == 0 || plan.after >= plan.before)
+  plan.moves = cf_expert_map_count_added (current, plan.map);
+  plan.skew_after = cf_placement_skew (plan.map, tokens);
+  if (plan.moves == 0 || plan.skew_after >= plan.skew_before)
     {
       g_clear_pointer (&plan.map, cf_expert_map_free);
       plan.moves = 0;
-      plan.after = plan.before;
+      plan.skew_after = plan.skew_before;
     }
   return plan;
 }
 
-static const char *const names[] = { "none", "greedy", "bounded" };
+static const char *const kind_names[] = { "none", "greedy", "bounded" };
 
 CfStatus
-cf_placement_kind (const char *name, CfPlacementKind *out)
+cf_placement_kind_from_name (const char *name, CfPlacementKind *out)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (names); i++)
-    if (g_str_equal (name, names[i]))
+  for (guint i = 0; i < G_N_ELEMENTS (kind_names); i++)
+    if (g_str_equal (name, kind_names[i]))
       {
         *out = (CfPlacementKind)i;
         return CF_OK;
       }
   return cf_fail (CF_ERR_SETTINGS, "write none, greedy or bounded",
-                  "'%s' is no placement policy", name);
+                  "'%s' is not a placement policy", name);
 }
 
 const char *
-cf_placement_name (CfPlacementKind kind)
+cf_placement_kind_name (CfPlacementKind kind)
 {
-  return names[kind];
+  return kind_names[kind];
 }
