--- a/t/harness.c
+++ b/t/harness.c
@@ -26,7 +26,7 @@
 }
 
 pid_t
-t_start (const char *name, const char *prog, const char *settings)
+t_start_program (const char *name, const char *prog, const char *settings)
 {
   g_autofree char *conf = out_file (name, "toml");
   g_autofree char *log = out_file (name, "log");
@@ -60,7 +60,7 @@
 }
 
 gboolean
-t_wait_for (const char *url, const char *needle, int timeout_ms)
+t_wait_for_body (const char *url, const char *needle, int timeout_ms)
 {
   for (int waited = 0; waited < timeout_ms; waited += 50)
     {
@@ -78,7 +78,7 @@
 /* Each test program has fixed ports: the same one run from another tree at
  * the same time would meet this one's processes, so it waits its turn. */
 int
-t_take_turn (const char *name)
+t_acquire_lock (const char *name)
 {
   g_autofree char *file = g_strdup_printf ("comfrey-%s.lock", name);
   g_autofree char *path = g_build_filename (g_get_tmp_dir (), file, NULL);
@@ -90,9 +90,9 @@
 }
 
 int
-t_run (Suite *s)
+t_run_suite (Suite *s)
 {
-  int turn = t_take_turn (program_invocation_short_name);
+  int turn = t_acquire_lock (program_invocation_short_name);
   SRunner *sr = srunner_create (s);
   int failed;
 
--- a/t/platform-harness.c
+++ b/t/platform-harness.c
@@ -20,15 +20,15 @@
 #define MAX_FDS 1024
 
 static GArray *started;
-PDetours p_detours;
+POverrides p_overrides;
 
 static pid_t
 spawn (const char *log_name, const char *settings, char **argv)
 {
-  const char *folder = p_detours.out ? p_detours.out : "t/out";
+  const char *folder = p_overrides.out ? p_overrides.out : "t/out";
   g_autofree char *conf = g_strdup_printf ("%s/%s.conf", folder, log_name);
   g_autofree char *log = g_strdup_printf ("%s/%s.log", folder, log_name);
-  int how = p_detours.out ? O_APPEND : O_TRUNC;
+  int how = p_overrides.out ? O_APPEND : O_TRUNC;
   pid_t pid;
 
   g_mkdir_with_parents (folder, 0755);
@@ -76,7 +76,7 @@
 }
 
 pid_t
-p_platform (int base, const char *first_arg, ...)
+p_start_platform (int base, const char *first_arg, ...)
 {
   GPtrArray *argv = g_ptr_array_new ();
   g_autofree char *port = g_strdup_printf ("%d", base);
@@ -107,42 +107,43 @@
       "limits.memory-mb=128\nbounds.grace-s=5\nbounds.stall_ms=400\n"
       "bounds.require-fence=true\n%s"
       "bounds.drain-ms=%d\nlimits.max-fds=%d\n",
-      p_detours.store ? p_detours.store : base,
-      p_detours.seed ? p_detours.seed : base + 102, base + 202, base + 302,
-      p_detours.one_retry ? "bounds.retry-slack=0\nbounds.retry-ratio=0\n"
-                          : "bounds.retry-slack=60\n",
-      p_detours.drain_ms ? p_detours.drain_ms : DRAIN_MS,
-      p_detours.max_fds ? p_detours.max_fds : MAX_FDS);
+      p_overrides.store ? p_overrides.store : base,
+      p_overrides.seed ? p_overrides.seed : base + 102, base + 202, base + 302,
+      p_overrides.allow_one_retry
+          ? "bounds.retry-slack=0\nbounds.retry-ratio=0\n"
+          : "bounds.retry-slack=60\n",
+      p_overrides.drain_ms ? p_overrides.drain_ms : DRAIN_MS,
+      p_overrides.max_fds ? p_overrides.max_fds : MAX_FDS);
 }
 
 int
-p_front (int base, int n)
+p_front_port (int base, int n)
 {
   return base + 100 * n;
 }
 
 pid_t
-p_gateway (int base, int n)
+p_start_gateway (int base, int n)
 {
   g_autofree char *common = common_settings (base);
   g_autofree char *name = g_strdup_printf ("gateway-%d-%d", base, n);
-  g_autofree char *metrics = g_strdup_printf ("%d", p_front (base, n) + 3);
+  g_autofree char *metrics = g_strdup_printf ("%d", p_front_port (base, n) + 3);
   g_autofree char *s = g_strdup_printf (
       "node-name=gw-%d\nlisten.front=127.0.0.1:%d\n"
       "listen.ready=127.0.0.1:%d\nlisten.control=127.0.0.1:%d\n%s",
-      n, p_front (base, n), p_front (base, n) + 1, p_front (base, n) + 2,
-      common);
+      n, p_front_port (base, n), p_front_port (base, n) + 1,
+      p_front_port (base, n) + 2, common);
   const char *program
-      = p_detours.gateway ? p_detours.gateway : "target/comfrey-gateway";
+      = p_overrides.gateway ? p_overrides.gateway : "target/comfrey-gateway";
   char *argv[] = { (char *)program, "--metrics-port", metrics, NULL };
   pid_t pid = spawn (name, s, argv);
 
-  await_port (p_front (base, n) + 1);
+  await_port (p_front_port (base, n) + 1);
   return pid;
 }
 
 pid_t
-p_proxy (int port, int to)
+p_start_fault_proxy (int port, int to)
 {
   g_autofree char *name = g_strdup_printf ("proxy-%d", port);
   g_autofree char *from_addr = g_strdup_printf ("127.0.0.1:%d", port);
@@ -155,7 +156,7 @@
 }
 
 pid_t
-p_agent (int base, int rank_port)
+p_start_agent (int base, int rank_port)
 {
   g_autofree char *common = common_settings (base);
   g_autofree char *name = g_strdup_printf ("agent-%d-%d", base, rank_port);
@@ -167,14 +168,14 @@
 }
 
 void
-p_await_ready (int base, int n)
+p_wait_until_ready (int base, int n)
 {
   for (int i = 0; i < 250; i++)
     {
-      g_autofree char *a
-          = p_ask (p_front (base, n) + 1, "GET /v1/readyz HTTP/1.1\r\n\r\n");
+      g_autofree char *a = p_round_trip (p_front_port (base, n) + 1,
+                                         "GET /v1/readyz HTTP/1.1\r\n\r\n");
 
-      if (p_status (a) == 200)
+      if (p_parse_status (a) == 200)
         return;
       usleep (20000);
     }
@@ -182,11 +183,11 @@
 }
 
 pid_t
-p_ready_gateway (int base, int n)
+p_start_ready_gateway (int base, int n)
 {
-  pid_t pid = p_gateway (base, n);
+  pid_t pid = p_start_gateway (base, n);
 
-  p_await_ready (base, n);
+  p_wait_until_ready (base, n);
   return pid;
 }
 
@@ -202,7 +203,7 @@
 }
 
 gboolean
-p_ended (pid_t pid, int *status)
+p_has_ended (pid_t pid, int *status)
 {
   if (waitpid (pid, status, WNOHANG) != pid)
     return FALSE;
@@ -235,7 +236,7 @@
 void
 p_stop_all (void)
 {
-  memset (&p_detours, 0, sizeof p_detours);
+  memset (&p_overrides, 0, sizeof p_overrides);
   for (guint i = 0; started && i < started->len; i++)
     kill (g_array_index (started, pid_t, i), SIGKILL);
   for (guint i = 0; started && i < started->len; i++)
@@ -291,7 +292,7 @@
 }
 
 char *
-p_read (int fd, int ms)
+p_read_answer (int fd, int ms)
 {
   GString *s = g_string_new (NULL);
   gint64 until = g_get_monotonic_time () / 1000 + ms;
@@ -314,7 +315,7 @@
 }
 
 char *
-p_ask (int port, const char *text)
+p_round_trip (int port, const char *text)
 {
   int fd = p_connect (port);
   char *answer;
@@ -322,14 +323,14 @@
   if (fd < 0)
     return g_strdup ("");
   p_send (fd, text);
-  answer = p_read (fd, 10000);
+  answer = p_read_answer (fd, 10000);
   close (fd);
   return answer;
 }
 
 char *
-p_request (const char *method_and_path, const char *id,
-           const char *more_headers, const char *body)
+p_build_request (const char *method_and_path, const char *id,
+                 const char *more_headers, const char *body)
 {
   return g_strdup_printf ("%s HTTP/1.1\r\nHost: demo.example\r\n"
                           "Comfreypost-Request-Id: %s\r\n"
@@ -341,26 +342,26 @@
 }
 
 int
-p_status (const char *answer)
+p_parse_status (const char *answer)
 {
   return g_str_has_prefix (answer, "HTTP/1.1 ") ? atoi (answer + 9) : 0;
 }
 
 char *
-p_test (int port, const char *call, const char *body)
+p_call_standin (int port, const char *call, const char *body)
 {
   g_autofree char *req
       = g_strdup_printf ("%s HTTP/1.1\r\nContent-Length: %zu\r\n\r\n%s", call,
                          strlen (body), body);
-  g_autofree char *answer = p_ask (port, req);
+  g_autofree char *answer = p_round_trip (port, req);
   const char *end = strstr (answer, "\r\n\r\n");
 
-  ck_assert_int_eq (p_status (answer), 200);
+  ck_assert_int_eq (p_parse_status (answer), 200);
   return g_strdup (end + 4);
 }
 
 double
-p_number (const char *json, const char *name)
+p_json_number (const char *json, const char *name)
 {
   g_autofree char *key = g_strdup_printf ("\"%s\":", name);
   const char *at = strstr (json, key);
@@ -370,7 +371,7 @@
 }
 
 guint
-p_log_count (const char *file, const char *needle)
+p_count_in_log (const char *file, const char *needle)
 {
   g_autofree char *text = NULL;
   guint n = 0;
@@ -383,11 +384,11 @@
 }
 
 gboolean
-p_log_says_times (const char *file, const char *needle, guint n, int ms)
+p_wait_for_log_count (const char *file, const char *needle, guint n, int ms)
 {
   for (int i = 0; i <= ms; i += LOG_LOOK_MS)
     {
-      if (p_log_count (file, needle) >= n)
+      if (p_count_in_log (file, needle) >= n)
         return TRUE;
       usleep (LOG_LOOK_MS * 1000);
     }
@@ -395,44 +396,44 @@
 }
 
 gboolean
-p_log_says (const char *file, const char *needle, int ms)
+p_wait_for_log (const char *file, const char *needle, int ms)
 {
-  return p_log_says_times (file, needle, 1, ms);
+  return p_wait_for_log_count (file, needle, 1, ms);
 }
 
 void
-p_load_ranks (int base, int *fds, gsize n)
+p_start_streams (int base, int *fds, gsize n)
 {
-  g_autofree char *req = p_request ("POST /chat/a", "x",
-                                    "Comfreypost-Token-Count: 10,4000\r\n", "");
+  g_autofree char *req = p_build_request (
+      "POST /chat/a", "x", "Comfreypost-Token-Count: 10,4000\r\n", "");
 
   for (gsize i = 0; i < n; i++)
     {
-      fds[i] = p_connect (p_front (base, 1));
+      fds[i] = p_connect (p_front_port (base, 1));
       p_send (fds[i], req);
     }
 }
 
 void
-p_fault (int first, int n, const char *kind, int x)
+p_inject_fault (int first, int n, const char *kind, int x)
 {
   g_autofree char *call
       = g_strdup_printf ("POST /test/fault?kind=%s&x=%d", kind, x);
 
   for (int i = 0; i < n; i++)
-    g_free (p_test (first + i, call, ""));
+    g_free (p_call_standin (first + i, call, ""));
 }
 
 double
-p_runs (int first, int n, const char *what)
+p_sum_runs (int first, int n, const char *what)
 {
   double sum = 0;
 
   for (int i = 0; i < n; i++)
     {
-      g_autofree char *a = p_test (first + i, "GET /test/runs", "");
+      g_autofree char *a = p_call_standin (first + i, "GET /test/runs", "");
 
-      sum += p_number (a, what);
+      sum += p_json_number (a, what);
     }
   return sum;
 }
--- a/t/soak-callers.c
+++ b/t/soak-callers.c
@@ -122,8 +122,8 @@
   g_autofree char *size = g_strdup_printf ("Comfreypost-Token-Count: 10,%d\r\n",
                                            a->events * TOKENS_PER_EVENT);
 
-  return p_request (a->path, a->id, a->class == SOAK_STREAM ? size : NULL,
-                    body_of (a));
+  return p_build_request (a->path, a->id, a->class == SOAK_STREAM ? size : NULL,
+                          body_of (a));
 }
 
 /* The body behind the head, out of its chunks; @ended: whether the last chunk
@@ -252,7 +252,7 @@
 static gboolean
 take_answer (const Ask *a, const char *answer, gboolean was_closed)
 {
-  int status = p_status (answer);
+  int status = p_parse_status (answer);
   gboolean whole;
 
   if (*answer && !status && strlen (answer) > 12)
@@ -283,8 +283,8 @@
   g_atomic_int_inc (&n_sent[a.class]);
   soak_sent (a.id, a.class, c->gateway, a.version);
   p_send (c->fd, request);
-  answer = p_read (c->fd, PATIENCE_MS);
-  if (a.class == SOAK_VERSION && p_status (answer) == 200)
+  answer = p_read_answer (c->fd, PATIENCE_MS);
+  if (a.class == SOAK_VERSION && p_parse_status (answer) == 200)
     see_version (c, &a, sent_ms);
   if (!take_answer (&a, answer, soak_now_ms () - sent_ms < PATIENCE_MS))
     leave (c);
--- a/t/soak-faults.c
+++ b/t/soak-faults.c
@@ -84,7 +84,7 @@
 int
 soak_caller_port (int base, int n)
 {
-  return n == 2 ? proxy_port (base, PROXY_FRONT) : p_front (base, n);
+  return n == 2 ? proxy_port (base, PROXY_FRONT) : p_front_port (base, n);
 }
 
 /* A target that crashed is away for a moment. */
@@ -108,7 +108,7 @@
 steer (int port, const char *call, const char *body)
 {
   await_listener (port);
-  g_free (p_test (port, call, body));
+  g_free (p_call_standin (port, call, body));
 }
 
 static void
@@ -120,11 +120,12 @@
   p->told_ms = 0;
   p->frozen = 0;
   p->was_frozen = FALSE;
-  p_detours.seed = p->is_agent ? proxy_port (base, PROXY_SEED) : 0;
-  p_detours.store
+  p_overrides.seed = p->is_agent ? proxy_port (base, PROXY_SEED) : 0;
+  p_overrides.store
       = !p->is_agent && p->n == 1 ? proxy_port (base, PROXY_STORE) : 0;
-  p->pid = p->is_agent ? p_agent (base, target_port (f, SOAK_PLAIN + p->n))
-                       : p_gateway (base, p->n);
+  p->pid = p->is_agent
+               ? p_start_agent (base, target_port (f, SOAK_PLAIN + p->n))
+               : p_start_gateway (base, p->n);
 }
 
 static void
@@ -132,13 +133,13 @@
 {
   const int to[SOAK_PROXIES] = {
     [PROXY_STORE] = f->base,
-    [PROXY_FRONT] = p_front (f->base, 2),
-    [PROXY_SEED] = p_front (f->base, 1) + 2,
+    [PROXY_FRONT] = p_front_port (f->base, 2),
+    [PROXY_SEED] = p_front_port (f->base, 1) + 2,
     [PROXY_DESK] = target_port (f, SOAK_PLAIN - 1),
   };
 
   for (int i = 0; i < SOAK_PROXIES; i++)
-    f->proxies[i] = p_proxy (proxy_port (f->base, (Proxy)i), to[i]);
+    f->proxies[i] = p_start_fault_proxy (proxy_port (f->base, (Proxy)i), to[i]);
 }
 
 /* The last plain target is reached through its proxy alone. */
@@ -167,9 +168,9 @@
   f->base = base;
   f->version = 1;
   f->running = g_array_new (FALSE, FALSE, sizeof (Running));
-  p_platform (base, "--plain", plain, "--ranks", ranks, "--step-ms", STEP_MS,
-              "--work-ms", WORK_MS, "--shift-s", "0.5", NULL);
-  f->config = p_test (base, "GET /test/get?key=op/config", "");
+  p_start_platform (base, "--plain", plain, "--ranks", ranks, "--step-ms",
+                    STEP_MS, "--work-ms", WORK_MS, "--shift-s", "0.5", NULL);
+  f->config = p_call_standin (base, "GET /test/get?key=op/config", "");
   start_proxies (f);
   list_behind_proxy (f);
   for (int i = 0; i < p->gateways; i++)
@@ -184,7 +185,7 @@
       start_proc (f, &f->agents[i]);
     }
   for (int i = 1; i <= p->gateways; i++)
-    p_await_ready (base, i);
+    p_wait_until_ready (base, i);
   return f;
 }
 
@@ -228,9 +229,10 @@
   for (int i = 0; i < f->plan->ranks; i++)
     {
       int port = target_port (f, SOAK_PLAIN + i);
-      g_autofree char *a = p_ask (port, "GET /v1/report HTTP/1.1\r\n\r\n");
+      g_autofree char *a
+          = p_round_trip (port, "GET /v1/report HTTP/1.1\r\n\r\n");
 
-      if (p_status (a) == 200 && p_number (a, "held") > 0)
+      if (p_parse_status (a) == 200 && p_json_number (a, "held") > 0)
         return TRUE;
     }
   return FALSE;
@@ -261,7 +263,7 @@
 {
   int status;
 
-  if (!p_ended (p->pid, &status))
+  if (!p_has_ended (p->pid, &status))
     return;
   if (!p->told_ms)
     soak_broken ("stays-up", "%s %d ended by itself, status=%d",
@@ -335,8 +337,8 @@
                          : of_rank[x->variant % (int)G_N_ELEMENTS (of_rank)];
 
   await_listener (target_port (f, x->whom));
-  p_fault (target_port (f, x->whom), 1, kind,
-           1 + x->variant % FAULT_REQUESTS_MAX);
+  p_inject_fault (target_port (f, x->whom), 1, kind,
+                  1 + x->variant % FAULT_REQUESTS_MAX);
 }
 
 static void
@@ -426,7 +428,7 @@
       break;
     case SOAK_TARGET:
       await_listener (target_port (f, x->whom));
-      p_fault (target_port (f, x->whom), 1, "none", 0);
+      p_inject_fault (target_port (f, x->whom), 1, "none", 0);
       break;
     case SOAK_NET:
       mend_connections (f, x);
@@ -529,13 +531,14 @@
 
   for (int i = 0; i < n; i++)
     {
-      g_autofree char *ran = p_test (target_port (f, i), "GET /test/ran", "");
+      g_autofree char *ran
+          = p_call_standin (target_port (f, i), "GET /test/ran", "");
 
       read_runs (ran);
     }
-  if (soak_is_calm () && p_runs (target_port (f, 0), n, "late") > 0)
+  if (soak_is_calm () && p_sum_runs (target_port (f, 0), n, "late") > 0)
     soak_broken ("drain", "work came to a target that had left");
-  if (p_runs (target_port (f, SOAK_PLAIN), 1, "mixed") > 0)
+  if (p_sum_runs (target_port (f, SOAK_PLAIN), 1, "mixed") > 0)
     soak_broken ("one-map", "a pass began while ranks had different maps");
 }
 
--- a/t/soak-shared.c
+++ b/t/soak-shared.c
@@ -54,9 +54,9 @@
   base = first_port;
   memset (open_fds, -1, sizeof open_fds);
   for (int i = 0; is_crashing () && i < SOAK_PLAIN; i++)
-    g_free (p_test (base + 1 + i, "POST /test/crasher", "crash"));
+    g_free (p_call_standin (base + 1 + i, "POST /test/crasher", "crash"));
   if (is_limited ())
-    g_free (p_test (base + 1, "POST /test/limit?per-s=" LIMIT, ""));
+    g_free (p_call_standin (base + 1, "POST /test/limit?per-s=" LIMIT, ""));
 }
 
 /* Sends the request that crashes targets to the next gateway. */
@@ -66,7 +66,8 @@
   int n = 1 + n_attempts % plan->gateways;
   g_autofree char *id
       = g_strdup_printf ("crash-%u-%d", plan->seed, n_attempts++);
-  g_autofree char *req = p_request ("POST /order/crash", id, NULL, "crash");
+  g_autofree char *req
+      = p_build_request ("POST /order/crash", id, NULL, "crash");
   int fd = p_connect (soak_caller_port (base, n));
 
   if (fd >= 0)
@@ -94,7 +95,7 @@
 crashes (void)
 {
   usleep (AWAY_MS * 1000);
-  return p_runs (base + 1, SOAK_PLAIN, "crashes");
+  return p_sum_runs (base + 1, SOAK_PLAIN, "crashes");
 }
 
 static void
@@ -106,9 +107,9 @@
 
   if (fd < 0)
     return;
-  a = p_read (fd, AWAY_MS);
-  if (p_status (a))
-    soak_answered (id, p_status (a));
+  a = p_read_answer (fd, AWAY_MS);
+  if (p_parse_status (a))
+    soak_answered (id, p_parse_status (a));
   close (fd);
 }
 
@@ -138,11 +139,11 @@
 static void
 check_rate (void)
 {
-  double before = p_runs (base + 1, 1, "runs");
+  double before = p_sum_runs (base + 1, 1, "runs");
   double got;
 
   usleep (LIMIT_WINDOW_MS * 1000);
-  got = p_runs (base + 1, 1, "runs") - before;
+  got = p_sum_runs (base + 1, 1, "runs") - before;
   printf ("  limited target got=%g in %d ms\n", got, LIMIT_WINDOW_MS);
   if (got > 1.5 * LIMIT_PER_S * LIMIT_WINDOW_MS / 1000 + LIMIT_SLACK)
     soak_broken ("rate-limit",
--- a/t/soak.c
+++ b/t/soak.c
@@ -63,7 +63,7 @@
   SoakResult r = { 0 };
 
   ck_assert_ptr_nonnull (freopen (out, "w", stdout));
-  p_detours.out = seed.folder;
+  p_overrides.out = seed.folder;
   play (seed.plan, &r);
   fflush (stdout);
   ck_assert_int_eq (write (seed.result_fd, &r, sizeof r), sizeof r);
@@ -199,7 +199,7 @@
       return 2;
     }
   turn = g_strdup_printf ("soak-%d", base);
-  t_take_turn (turn);
+  t_acquire_lock (turn);
   for (int i = 0; i < n_seeds; i++)
     {
       SoakResult r = { 0 };
--- a/t/t-admission.c
+++ b/t/t-admission.c
@@ -64,5 +64,5 @@
   tcase_add_test (tc, test_low_priority_uses_only_its_part);
   tcase_add_test (tc, test_large_cannot_shut_small_out);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-agent.c
+++ b/t/t-agent.c
@@ -26,7 +26,7 @@
   g_autofree char *s = g_strdup_printf (
       "[agent]\nlisten = \"" AGENT "\"\ntarget_url = \"%s\"\n%s", target, more);
 
-  return t_start ("a-agent", "./comfrey-agent", s);
+  return t_start_program ("a-agent", "./comfrey-agent", s);
 }
 
 static pid_t
@@ -50,8 +50,8 @@
 static int
 start_with_engine (pid_t *agent)
 {
-  t_start ("a-engine", "./comfrey-fake-engine",
-           "[engine]\nlisten = \"127.0.0.1:17790\"\n");
+  t_start_program ("a-engine", "./comfrey-fake-engine",
+                   "[engine]\nlisten = \"127.0.0.1:17790\"\n");
   *agent = start_agent (ENGINE);
   return connect_agent ();
 }
@@ -104,8 +104,9 @@
   long code = 0;
   int fd;
 
-  t_start ("a-engine", "./comfrey-fake-engine",
-           "[engine]\nlisten = \"127.0.0.1:17790\"\ncheck_fence = false\n");
+  t_start_program (
+      "a-engine", "./comfrey-fake-engine",
+      "[engine]\nlisten = \"127.0.0.1:17790\"\ncheck_fence = false\n");
   start_agent (ENGINE);
   fd = connect_agent ();
   send_order (fd, 1, 5, &r);
@@ -269,7 +270,7 @@
   CfMsg r;
   int fd;
 
-  t_start ("a-service", "./comfrey-fake-service", service);
+  t_start_program ("a-service", "./comfrey-fake-service", service);
   *agent = start_agent_with (SERVICE, more);
   fd = connect_agent ();
   /* Shows the agent what a call takes. */
@@ -425,8 +426,8 @@
   long code = 0;
   int fd;
 
-  t_start ("a-service", "./comfrey-fake-service",
-           "[service]\nlisten = \"127.0.0.1:17791\"\nwork_ms = 500\n");
+  t_start_program ("a-service", "./comfrey-fake-service",
+                   "[service]\nlisten = \"127.0.0.1:17791\"\nwork_ms = 500\n");
   /* Long past its quiet time; the one started next is not. */
   agent = start_agent_with (SERVICE, "guard_quiet_ms = 0\n");
   fd = connect_agent ();
@@ -459,8 +460,8 @@
   long code = 0;
   int fd;
 
-  t_start ("a-service", "./comfrey-fake-service",
-           "[service]\nlisten = \"127.0.0.1:17791\"\nwork_ms = 1\n");
+  t_start_program ("a-service", "./comfrey-fake-service",
+                   "[service]\nlisten = \"127.0.0.1:17791\"\nwork_ms = 1\n");
   start_agent_with (SERVICE, "workers = 1\nguard_quiet_ms = 0\n");
   fd = connect_agent ();
   /* The one worker's first call leaves it a connection to reuse. */
@@ -517,5 +518,5 @@
   tcase_add_test (queue, test_stop_begins_no_call_too_late);
   tcase_add_test (queue, test_stop_refuses_what_is_still_queued);
   suite_add_tcase (s, queue);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-balancer.c
+++ b/t/t-balancer.c
@@ -527,5 +527,5 @@
   tcase_add_test (t, a_limit_bounds_requests_in_flight);
   tcase_add_test (t, callers_come_back_within_what_they_accept);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-callers.c
+++ b/t/t-callers.c
@@ -261,5 +261,5 @@
   tcase_add_test (t, a_gateway_falls_silent);
   tcase_add_test (t, callers_told_to_come_back_at_no_time);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-concurrency-limit.c
+++ b/t/t-concurrency-limit.c
@@ -124,5 +124,5 @@
   tcase_add_test (t, a_limit_that_is_not_felt_is_lifted);
   tcase_add_test (t, slow_passes_alone_are_not_limited);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-config.c
+++ b/t/t-config.c
@@ -65,21 +65,22 @@
 
   g_mkdir_with_parents ("t/out", 0755);
   g_file_set_contents ("t/out/c-records.jsonl", group, -1, NULL);
-  t_start ("c-config", "./comfrey-fake-config",
-           "[config]\nlisten = \"127.0.0.1:17600\"\n"
-           "records = \"t/out/c-records.jsonl\"\n");
-  t_start ("c-vmlist", "./comfrey-fake-vmlist",
-           "[vmlist]\nlisten = \"127.0.0.1:17609\"\n");
-  t_start ("c-entry", "./comfrey-entry",
-           "[entry]\nlisten = \"127.0.0.1:17680\"\n"
-           "[config]\nurl = \"http://127.0.0.1:17600\"\n"
-           "[vmlist]\nurl = \"http://127.0.0.1:17609\"\n");
-  ck_assert (t_wait_for (ENTRY "/v1/health", "\"config_version\":1", 5000));
+  t_start_program ("c-config", "./comfrey-fake-config",
+                   "[config]\nlisten = \"127.0.0.1:17600\"\n"
+                   "records = \"t/out/c-records.jsonl\"\n");
+  t_start_program ("c-vmlist", "./comfrey-fake-vmlist",
+                   "[vmlist]\nlisten = \"127.0.0.1:17609\"\n");
+  t_start_program ("c-entry", "./comfrey-entry",
+                   "[entry]\nlisten = \"127.0.0.1:17680\"\n"
+                   "[config]\nurl = \"http://127.0.0.1:17600\"\n"
+                   "[vmlist]\nurl = \"http://127.0.0.1:17609\"\n");
+  ck_assert (
+      t_wait_for_body (ENTRY "/v1/health", "\"config_version\":1", 5000));
 
   t0 = cf_now_ms ();
   call ("POST", CONFIG "/test/publish", group);
-  ck_assert (
-      t_wait_for (ENTRY "/v1/health", "\"config_version\":2", IN_FORCE_MAX_MS));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health", "\"config_version\":2",
+                              IN_FORCE_MAX_MS));
   took = cf_now_ms () - t0;
   fprintf (stderr, "t-config: version 2 in force after %lld ms\n", took);
 
@@ -97,16 +98,16 @@
                  "the entry read the stale service %" G_GINT64_FORMAT
                  " times in 2 s",
                  stale_reads);
-  ck_assert (t_wait_for (ENTRY "/v1/health", "\"config_version\":2", 100));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health", "\"config_version\":2", 100));
 
   call ("GET", CONFIG "/test/mode?mode=down", NULL);
   usleep (1000000);
-  ck_assert (t_wait_for (ENTRY "/v1/health", "\"config_version\":2", 100));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health", "\"config_version\":2", 100));
 
   call ("GET", CONFIG "/test/mode?mode=up", NULL);
   call ("POST", CONFIG "/test/publish", group);
-  ck_assert (
-      t_wait_for (ENTRY "/v1/health", "\"config_version\":3", IN_FORCE_MAX_MS));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health", "\"config_version\":3",
+                              IN_FORCE_MAX_MS));
   t_stop_all ();
 }
 END_TEST
@@ -142,7 +143,7 @@
                          "[vmlist]\nurl = \"http://127.0.0.1:17609\"\n%s",
                          which, 2 + a, more);
 
-  return t_start (name, "./comfrey-entry", s);
+  return t_start_program (name, "./comfrey-entry", s);
 }
 
 /* Starts all with version 1 in force; returns entry A. */
@@ -153,23 +154,23 @@
 
   g_mkdir_with_parents ("t/out", 0755);
   g_file_set_contents ("t/out/c-records.jsonl", routed, -1, NULL);
-  t_start ("c-config", "./comfrey-fake-config",
-           "[config]\nlisten = \"127.0.0.1:17600\"\n"
-           "records = \"t/out/c-records.jsonl\"\n");
-  t_start ("c-vmlist", "./comfrey-fake-vmlist",
-           "[vmlist]\nlisten = \"127.0.0.1:17609\"\n");
-  t_start ("c-engine", "./comfrey-fake-engine",
-           "[engine]\nlisten = \"127.0.0.1:17690\"\n");
-  t_start ("c-agent", "./comfrey-agent",
-           "[agent]\nlisten = \"127.0.0.1:17601\"\n"
-           "target_url = \"http://127.0.0.1:17690\"\n"
-           "config_grace_ms = 500\n");
+  t_start_program ("c-config", "./comfrey-fake-config",
+                   "[config]\nlisten = \"127.0.0.1:17600\"\n"
+                   "records = \"t/out/c-records.jsonl\"\n");
+  t_start_program ("c-vmlist", "./comfrey-fake-vmlist",
+                   "[vmlist]\nlisten = \"127.0.0.1:17609\"\n");
+  t_start_program ("c-engine", "./comfrey-fake-engine",
+                   "[engine]\nlisten = \"127.0.0.1:17690\"\n");
+  t_start_program ("c-agent", "./comfrey-agent",
+                   "[agent]\nlisten = \"127.0.0.1:17601\"\n"
+                   "target_url = \"http://127.0.0.1:17690\"\n"
+                   "config_grace_ms = 500\n");
   a = start_entry ('a', peers);
   start_entry ('b', peers);
-  ck_assert (t_wait_for (ENTRY_A "/v1/health",
-                         "\"config_version\":1,\"links_up\":1", 5000));
-  ck_assert (t_wait_for (ENTRY_B "/v1/health",
-                         "\"config_version\":1,\"links_up\":1", 5000));
+  ck_assert (t_wait_for_body (ENTRY_A "/v1/health",
+                              "\"config_version\":1,\"links_up\":1", 5000));
+  ck_assert (t_wait_for_body (ENTRY_B "/v1/health",
+                              "\"config_version\":1,\"links_up\":1", 5000));
   return a;
 }
 
@@ -179,7 +180,8 @@
 publish_and_pass_grace (void)
 {
   call ("POST", CONFIG "/test/publish", routed);
-  ck_assert (t_wait_for (ENTRY_B "/v1/health", "\"config_version\":2", 5000));
+  ck_assert (
+      t_wait_for_body (ENTRY_B "/v1/health", "\"config_version\":2", 5000));
   usleep (2000000);
 }
 
@@ -211,8 +213,8 @@
   ck_assert_int_eq (ask_a (&ran), 503);
   ck_assert_str_eq (ran, "no");
   call ("GET", CONFIG "/test/mode?mode=up", NULL);
-  ck_assert (t_wait_for (ENTRY_A "/v1/health", "\"config_version\":2",
-                         IN_FORCE_MAX_MS));
+  ck_assert (t_wait_for_body (ENTRY_A "/v1/health", "\"config_version\":2",
+                              IN_FORCE_MAX_MS));
   ck_assert_int_eq (ask_a (&ran), 200);
 }
 
@@ -235,8 +237,8 @@
   pid_t a = start_two_entries (TRUE);
 
   restart_while_stale (a, TRUE);
-  ck_assert (t_wait_for (ENTRY_A "/v1/health",
-                         "\"config_version\":2,\"links_up\":1", 5000));
+  ck_assert (t_wait_for_body (ENTRY_A "/v1/health",
+                              "\"config_version\":2,\"links_up\":1", 5000));
   ck_assert_int_eq (ask_a (&ran), 200);
   t_stop_all ();
   log = t_read_log ("c-entry-a");
@@ -250,8 +252,8 @@
   pid_t a = start_two_entries (FALSE);
 
   restart_while_stale (a, FALSE);
-  ck_assert (t_wait_for (ENTRY_A "/v1/health",
-                         "\"config_version\":1,\"links_up\":1", 5000));
+  ck_assert (t_wait_for_body (ENTRY_A "/v1/health",
+                              "\"config_version\":1,\"links_up\":1", 5000));
   check_refused_until_the_service_is_up ();
   t_stop_all ();
 }
@@ -268,7 +270,8 @@
   call ("GET", CONFIG "/test/mode?mode=down", NULL);
   call ("POST", CONFIG "/test/publish", routed);
   call ("GET", CONFIG "/test/mode?mode=up", NULL);
-  ck_assert (t_wait_for (ENTRY_B "/v1/health", "\"config_version\":2", 5000));
+  ck_assert (
+      t_wait_for_body (ENTRY_B "/v1/health", "\"config_version\":2", 5000));
   usleep (2000000);
   call ("GET", CONFIG "/test/mode?mode=down", NULL);
   kill (a, SIGCONT);
@@ -290,12 +293,13 @@
   call ("GET", CONFIG "/test/mode?mode=down", NULL);
   call ("POST", CONFIG "/test/publish", routed);
   call ("GET", CONFIG "/test/mode?mode=up", NULL);
-  ck_assert (t_wait_for (ENTRY_B "/v1/health", "\"config_version\":2", 5000));
+  ck_assert (
+      t_wait_for_body (ENTRY_B "/v1/health", "\"config_version\":2", 5000));
   call ("GET", CONFIG "/test/mode?mode=down", NULL);
   kill (a, SIGCONT);
   t0 = cf_now_ms ();
-  ck_assert (t_wait_for (ENTRY_A "/v1/health", "\"config_version\":2",
-                         IN_FORCE_MAX_MS));
+  ck_assert (t_wait_for_body (ENTRY_A "/v1/health", "\"config_version\":2",
+                              IN_FORCE_MAX_MS));
   fprintf (stderr, "t-config: taken from a peer within %lld ms of waking\n",
            cf_now_ms () - t0);
   ck_assert_int_eq (ask_a (&ran), 200);
@@ -339,10 +343,10 @@
     pthread_create (&t[i], NULL, operator_publishes, NULL);
   for (int i = 0; i < 4; i++)
     pthread_join (t[i], NULL);
-  ck_assert (t_wait_for (ENTRY_A "/v1/health", "\"config_version\":5",
-                         IN_FORCE_MAX_MS));
-  ck_assert (t_wait_for (ENTRY_B "/v1/health", "\"config_version\":5",
-                         IN_FORCE_MAX_MS));
+  ck_assert (t_wait_for_body (ENTRY_A "/v1/health", "\"config_version\":5",
+                              IN_FORCE_MAX_MS));
+  ck_assert (t_wait_for_body (ENTRY_B "/v1/health", "\"config_version\":5",
+                              IN_FORCE_MAX_MS));
   t_stop_all ();
   check_rising ("c-entry-a");
   check_rising ("c-entry-b");
@@ -363,5 +367,5 @@
   tcase_add_test (tc, test_peer_has_it_while_the_service_is_down);
   tcase_add_test (tc, test_operators_publish_at_the_same_moment);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-coordinator.c
+++ b/t/t-coordinator.c
@@ -957,5 +957,5 @@
   tcase_add_test (u, one_map_a_pass_without_fences);
   suite_add_tcase (s, t);
   suite_add_tcase (s, u);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-decode-fuzz.c
+++ b/t/t-decode-fuzz.c
@@ -403,5 +403,5 @@
   tcase_add_test (t, stores);
   tcase_add_test (t, peers);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-demo.c
+++ b/t/t-demo.c
@@ -184,5 +184,5 @@
 
   add_case (s, "platform", two_demos_side_by_side_end_with_their_lines);
   add_case (s, "own", two_own_demos_side_by_side_end_with_their_lines);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-entry.c
+++ b/t/t-entry.c
@@ -41,7 +41,7 @@
       "[vmlist]\nurl = \"http://127.0.0.1:17509\"\n",
       more);
 
-  return t_start ("e-entry", "./comfrey-entry", s);
+  return t_start_program ("e-entry", "./comfrey-entry", s);
 }
 
 static pid_t
@@ -55,11 +55,11 @@
 {
   g_mkdir_with_parents ("t/out", 0755);
   g_file_set_contents ("t/out/e-records.jsonl", records, -1, NULL);
-  t_start ("e-config", "./comfrey-fake-config",
-           "[config]\nlisten = \"127.0.0.1:17500\"\n"
-           "records = \"t/out/e-records.jsonl\"\n");
-  t_start ("e-vmlist", "./comfrey-fake-vmlist",
-           "[vmlist]\nlisten = \"127.0.0.1:17509\"\n");
+  t_start_program ("e-config", "./comfrey-fake-config",
+                   "[config]\nlisten = \"127.0.0.1:17500\"\n"
+                   "records = \"t/out/e-records.jsonl\"\n");
+  t_start_program ("e-vmlist", "./comfrey-fake-vmlist",
+                   "[vmlist]\nlisten = \"127.0.0.1:17509\"\n");
 }
 
 static void
@@ -70,7 +70,7 @@
                          "target_url = \"http://127.0.0.1:17590\"\n",
                          port);
 
-  t_start (name, "./comfrey-agent", s);
+  t_start_program (name, "./comfrey-agent", s);
 }
 
 /* The platform, an engine and its two agents. */
@@ -78,8 +78,8 @@
 start_group (void)
 {
   start_platform ();
-  t_start ("e-engine", "./comfrey-fake-engine",
-           "[engine]\nlisten = \"127.0.0.1:17590\"\n");
+  t_start_program ("e-engine", "./comfrey-fake-engine",
+                   "[engine]\nlisten = \"127.0.0.1:17590\"\n");
   start_agent ("e-agent-1", "17501");
   start_agent ("e-agent-2", "17502");
 }
@@ -110,7 +110,7 @@
   g_autofree char *ran = NULL;
 
   start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health", "config_version", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health", "config_version", 5000));
   ck_assert_int_eq (post (SHOP, "ran", &ran, NULL), 503);
   ck_assert_str_eq (ran, "no");
   t_stop_all ();
@@ -124,7 +124,8 @@
 
   start_platform ();
   start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health", "\"config_version\":1", 5000));
+  ck_assert (
+      t_wait_for_body (ENTRY "/v1/health", "\"config_version\":1", 5000));
   ck_assert_int_eq (post (SHOP, "ran", &ran, &ms), 503);
   ck_assert_str_eq (ran, "no");
   /* The deadline is 5000 ms: the refusal must not wait for it. */
@@ -143,8 +144,8 @@
 
   start_group ();
   start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health",
-                         "\"config_version\":1,\"links_up\":2", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health",
+                              "\"config_version\":1,\"links_up\":2", 5000));
   ck_assert (g_spawn_sync (NULL, drain, NULL, 0, NULL, NULL, &out, NULL,
                            &status, NULL));
   ck_assert_int_eq (status, 0);
@@ -192,10 +193,10 @@
 
   start_group ();
   entry = start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health",
-                         "\"config_version\":1,\"links_up\":2", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health",
+                              "\"config_version\":1,\"links_up\":2", 5000));
   pthread_create (&caller, NULL, slow_caller, NULL);
-  ck_assert (t_wait_for (ENTRY "/v1/health", "\"in_flight\":1", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health", "\"in_flight\":1", 5000));
   kill (entry, SIGTERM);
   pthread_join (caller, &code);
   ck_assert_msg (GPOINTER_TO_INT (code) == 200,
@@ -252,8 +253,8 @@
 
   start_group ();
   entry = start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health",
-                         "\"config_version\":1,\"links_up\":2", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health",
+                              "\"config_version\":1,\"links_up\":2", 5000));
   ck_assert_int_eq (cf_connect_tcp ("127.0.0.1:17580", 1000, &fd), CF_OK);
   /* A caller that reads slowly: the answer cannot be written at one go. */
   setsockopt (fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
@@ -297,8 +298,8 @@
 
   start_group ();
   entry = start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health",
-                         "\"config_version\":1,\"links_up\":2", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health",
+                              "\"config_version\":1,\"links_up\":2", 5000));
   ck_assert_int_eq (cf_connect_tcp ("127.0.0.1:17580", 1000, &fd), CF_OK);
   ck_assert_int_eq (cf_write_all (fd, first, strlen (first)), CF_OK);
   usleep (200000);
@@ -354,12 +355,12 @@
 
   start_group ();
   entry = start_entry_with ("drain_grace_ms = 1000\n");
-  ck_assert (t_wait_for (ENTRY "/v1/health",
-                         "\"config_version\":1,\"links_up\":2", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health",
+                              "\"config_version\":1,\"links_up\":2", 5000));
   ck_assert_int_eq (cf_connect_tcp ("127.0.0.1:17580", 1000, &fd), CF_OK);
   ck_assert_int_eq (cf_write_all (fd, request, strlen (request)), CF_OK);
-  ck_assert (
-      t_wait_for ("http://127.0.0.1:17590/v1/load", "\"running\":1", 3000));
+  ck_assert (t_wait_for_body ("http://127.0.0.1:17590/v1/load", "\"running\":1",
+                              3000));
   kill (entry, SIGTERM);
   while (got < sizeof reply - 1
          && (n = read (fd, reply + got, sizeof reply - 1 - got)) > 0)
@@ -370,8 +371,8 @@
   ck_assert (strstr (reply, "\"error\":\"draining\""));
   ck_assert (strstr (reply, "\"ran\":\"unknown\""));
   /* And the engine does not work on for nobody. */
-  ck_assert (
-      t_wait_for ("http://127.0.0.1:17590/v1/load", "\"running\":0", 2000));
+  ck_assert (t_wait_for_body ("http://127.0.0.1:17590/v1/load", "\"running\":0",
+                              2000));
   close (fd);
   t_stop_all ();
 }
@@ -391,18 +392,18 @@
 
   start_group ();
   start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health",
-                         "\"config_version\":1,\"links_up\":2", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health",
+                              "\"config_version\":1,\"links_up\":2", 5000));
   ck_assert_int_eq (cf_connect_tcp ("127.0.0.1:17580", 1000, &fd), CF_OK);
   ck_assert_int_eq (cf_write_all (fd, request, strlen (request)), CF_OK);
-  ck_assert (
-      t_wait_for ("http://127.0.0.1:17590/v1/load", "\"running\":1", 3000));
+  ck_assert (t_wait_for_body ("http://127.0.0.1:17590/v1/load", "\"running\":1",
+                              3000));
   close (fd);
   /* 4000 tokens would keep the engine busy for over 8 s. */
   ck_assert_msg (
-      t_wait_for ("http://127.0.0.1:17590/v1/load", "\"running\":0", 3000),
+      t_wait_for_body ("http://127.0.0.1:17590/v1/load", "\"running\":0", 3000),
       "the engine still works for a caller that left");
-  ck_assert (t_wait_for (ENTRY "/v1/health", "\"in_flight\":0", 2000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health", "\"in_flight\":0", 2000));
   t_stop_all ();
 }
 END_TEST
@@ -425,10 +426,10 @@
 
   start_group ();
   entry = start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health",
-                         "\"config_version\":1,\"links_up\":2", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health",
+                              "\"config_version\":1,\"links_up\":2", 5000));
   pthread_create (&caller, NULL, slow_caller, NULL);
-  ck_assert (t_wait_for (ENTRY "/v1/health", "\"in_flight\":1", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health", "\"in_flight\":1", 5000));
   ck_assert_int_eq (post (body, "ran", &ran, NULL), 413);
   ck_assert_str_eq (ran, "no");
   pthread_join (caller, &code);
@@ -470,12 +471,13 @@
 
   start_group ();
   start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health",
-                         "\"config_version\":1,\"links_up\":2", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health",
+                              "\"config_version\":1,\"links_up\":2", 5000));
   /* The VM list shows the change only after its lag of 2000 ms. */
-  ck_assert (t_wait_for ("http://127.0.0.1:17509/test/vm?addr=127.0.0.1:17501"
-                         "&state=leaving",
-                         "ok", 1000));
+  ck_assert (
+      t_wait_for_body ("http://127.0.0.1:17509/test/vm?addr=127.0.0.1:17501"
+                       "&state=leaving",
+                       "ok", 1000));
   ms = ms_until_no_work_for ("127.0.0.1:17501", 10000);
   fprintf (stderr,
            "t-entry: leaving target got its last request within "
@@ -495,19 +497,19 @@
   pid_t agent;
 
   start_platform ();
-  t_start ("e-engine", "./comfrey-fake-engine",
-           "[engine]\nlisten = \"127.0.0.1:17590\"\n");
-  agent = t_start ("e-agent-1", "./comfrey-agent",
-                   "[agent]\nlisten = \"127.0.0.1:17501\"\n"
-                   "target_url = \"http://127.0.0.1:17590\"\n");
+  t_start_program ("e-engine", "./comfrey-fake-engine",
+                   "[engine]\nlisten = \"127.0.0.1:17590\"\n");
+  agent = t_start_program ("e-agent-1", "./comfrey-agent",
+                           "[agent]\nlisten = \"127.0.0.1:17501\"\n"
+                           "target_url = \"http://127.0.0.1:17590\"\n");
   start_agent ("e-agent-2", "17502");
   start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health",
-                         "\"config_version\":1,\"links_up\":2", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health",
+                              "\"config_version\":1,\"links_up\":2", 5000));
   /* Paused: its connection stays open and says nothing, for good. */
   kill (agent, SIGSTOP);
   t0 = cf_now_ms ();
-  ck_assert (t_wait_for (ENTRY "/v1/health", "\"links_up\":1", 6000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health", "\"links_up\":1", 6000));
   ms = cf_now_ms () - t0;
   fprintf (stderr, "t-entry: silent agent's link declared lost after %lld ms\n",
            ms);
@@ -538,16 +540,16 @@
   int tries = 0;
 
   start_platform ();
-  t_start ("e-engine", "./comfrey-fake-engine",
-           "[engine]\nlisten = \"127.0.0.1:17590\"\n");
+  t_start_program ("e-engine", "./comfrey-fake-engine",
+                   "[engine]\nlisten = \"127.0.0.1:17590\"\n");
   /* Its agent is well, but nothing listens where its target should be. */
-  t_start ("e-agent-1", "./comfrey-agent",
-           "[agent]\nlisten = \"127.0.0.1:17501\"\n"
-           "target_url = \"http://127.0.0.1:17599\"\n");
+  t_start_program ("e-agent-1", "./comfrey-agent",
+                   "[agent]\nlisten = \"127.0.0.1:17501\"\n"
+                   "target_url = \"http://127.0.0.1:17599\"\n");
   start_agent ("e-agent-2", "17502");
   start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health",
-                         "\"config_version\":1,\"links_up\":2", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health",
+                              "\"config_version\":1,\"links_up\":2", 5000));
   for (int i = 0; i < 120; i++)
     ck_assert_int_eq (post (SHOP, NULL, NULL, NULL), 200);
   t_stop_all ();
@@ -569,18 +571,19 @@
 
   start_group ();
   start_entry ();
-  ck_assert (t_wait_for (ENTRY "/v1/health", "\"config_version\":1", 5000));
+  ck_assert (
+      t_wait_for_body (ENTRY "/v1/health", "\"config_version\":1", 5000));
   ck_assert_int_eq (cf_http_call ("POST", "http://127.0.0.1:17500/test/publish",
                                   two_groups, NULL, 2000, &code, NULL),
                     CF_OK);
   ck_assert_int_eq (code, 200);
-  ck_assert (t_wait_for (ENTRY "/v1/health",
-                         "\"config_version\":2,\"links_up\":2", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health",
+                              "\"config_version\":2,\"links_up\":2", 5000));
   ck_assert_int_eq (post (SHOP, "group", &group, NULL), 200);
   ck_assert_str_eq (group, "g");
   /* Once the preferred group is there it is preferred. */
   start_agent ("e-agent-3", "17503");
-  ck_assert (t_wait_for (ENTRY "/v1/health", "\"links_up\":3", 5000));
+  ck_assert (t_wait_for_body (ENTRY "/v1/health", "\"links_up\":3", 5000));
   ck_assert_int_eq (post (SHOP, "target", &target, NULL), 200);
   ck_assert_str_eq (target, "127.0.0.1:17503");
   t_stop_all ();
@@ -616,5 +619,5 @@
   tcase_set_tags (grace, "grace");
   tcase_add_test (grace, test_planned_stop_answers_what_outlasts_it);
   suite_add_tcase (s, grace);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-event-stream.c
+++ b/t/t-event-stream.c
@@ -95,5 +95,5 @@
   tcase_add_test (t, a_torn_event_is_held_back);
   tcase_add_test (t, resumed_streams_are_whole);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-expert-counts.c
+++ b/t/t-expert-counts.c
@@ -81,5 +81,5 @@
   tcase_add_test (t, a_rank_that_counts_from_anew);
   tcase_add_test (t, a_reading_of_long_ago_is_none);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-expert-demand.c
+++ b/t/t-expert-demand.c
@@ -118,5 +118,5 @@
   tcase_add_test (tc, a_shift_is_counted_by_itself);
   tcase_add_test (tc, a_window_waits_for_reports);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-explain.c
+++ b/t/t-explain.c
@@ -69,5 +69,5 @@
   tcase_add_test (t, lines_of_the_id_alone_in_order);
   tcase_add_test (t, unknown_ids_and_reasons_are_said);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-fleet.c
+++ b/t/t-fleet.c
@@ -223,5 +223,5 @@
   tcase_add_test (t, each_gateway_has_a_place_of_its_own);
   tcase_add_test (t, a_larger_fleet_gets_smaller_parts);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-fuzz.c
+++ b/t/t-fuzz.c
@@ -84,10 +84,10 @@
 static pid_t
 start_entry (void)
 {
-  return t_start ("f-entry", "./comfrey-entry",
-                  "[entry]\nlisten = \"127.0.0.1:17880\"\n"
-                  "[config]\nurl = \"http://127.0.0.1:17800\"\n"
-                  "[vmlist]\nurl = \"http://127.0.0.1:17809\"\n");
+  return t_start_program ("f-entry", "./comfrey-entry",
+                          "[entry]\nlisten = \"127.0.0.1:17880\"\n"
+                          "[config]\nurl = \"http://127.0.0.1:17800\"\n"
+                          "[vmlist]\nurl = \"http://127.0.0.1:17809\"\n");
 }
 
 static void
@@ -122,15 +122,16 @@
       waitpid (w->agents[a], NULL, 0);
       w->paused[a] = FALSE;
       url = g_strdup_printf ("f-agent-%d", a + 1);
-      w->agents[a] = t_start (url, "./comfrey-agent", w->agent_settings[a]);
+      w->agents[a]
+          = t_start_program (url, "./comfrey-agent", w->agent_settings[a]);
       break;
     case 6: /* kill -9 the entry and start it again */
       kill (w->entry, SIGKILL);
       waitpid (w->entry, NULL, 0);
       w->entry = start_entry ();
-      ck_assert_msg (t_wait_for (ENTRY "/v1/health", "config_version", 5000),
-                     "seed %u step %d: the entry did not come back", seed,
-                     step);
+      ck_assert_msg (
+          t_wait_for_body (ENTRY "/v1/health", "config_version", 5000),
+          "seed %u step %d: the entry did not come back", seed, step);
       break;
     case 4: /* the VM list marks an engine agent leaving, or live */
       url = g_strdup_printf (VMLIST "/test/vm?addr=127.0.0.1:1780%d&state=%s",
@@ -296,15 +297,15 @@
 
   g_mkdir_with_parents ("t/out", 0755);
   g_file_set_contents ("t/out/f-records.jsonl", records, -1, NULL);
-  t_start ("f-config", "./comfrey-fake-config",
-           "[config]\nlisten = \"127.0.0.1:17800\"\n"
-           "records = \"t/out/f-records.jsonl\"\n");
-  t_start ("f-vmlist", "./comfrey-fake-vmlist",
-           "[vmlist]\nlisten = \"127.0.0.1:17809\"\nlag_ms = 500\n");
-  t_start ("f-engine", "./comfrey-fake-engine",
-           "[engine]\nlisten = \"127.0.0.1:17890\"\n");
-  t_start ("f-service", "./comfrey-fake-service",
-           "[service]\nlisten = \"127.0.0.1:17891\"\nwork_ms = 20\n");
+  t_start_program ("f-config", "./comfrey-fake-config",
+                   "[config]\nlisten = \"127.0.0.1:17800\"\n"
+                   "records = \"t/out/f-records.jsonl\"\n");
+  t_start_program ("f-vmlist", "./comfrey-fake-vmlist",
+                   "[vmlist]\nlisten = \"127.0.0.1:17809\"\nlag_ms = 500\n");
+  t_start_program ("f-engine", "./comfrey-fake-engine",
+                   "[engine]\nlisten = \"127.0.0.1:17890\"\n");
+  t_start_program ("f-service", "./comfrey-fake-service",
+                   "[service]\nlisten = \"127.0.0.1:17891\"\nwork_ms = 20\n");
   for (int i = 0; i < 3; i++)
     {
       g_autofree char *name = g_strdup_printf ("f-agent-%d", i + 1);
@@ -313,11 +314,11 @@
                              "target_url = \"http://127.0.0.1:%s\"\n",
                              ports[i], targets[i]);
 
-      w.agents[i] = t_start (name, "./comfrey-agent", s);
+      w.agents[i] = t_start_program (name, "./comfrey-agent", s);
       w.agent_settings[i] = g_strdup (s);
     }
   w.entry = start_entry ();
-  ck_assert (t_wait_for (
+  ck_assert (t_wait_for_body (
       ENTRY "/v1/health",
       "\"config_version\":1,\"links_up\":3,\"guards_quiet\":0", 15000));
   w.not_run = g_ptr_array_new_with_free_func (g_free);
@@ -369,5 +370,5 @@
   tcase_set_timeout (tc, 600);
   tcase_add_test (tc, test_sequences_against_oracle);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-gateway.c
+++ b/t/t-gateway.c
@@ -23,38 +23,38 @@
 static void
 setup (void)
 {
-  p_platform (BASE, "--ranks", "4", NULL);
-  gateway = p_gateway (BASE, 1);
-  front = p_front (BASE, 1);
-  p_await_ready (BASE, 1);
+  p_start_platform (BASE, "--ranks", "4", NULL);
+  gateway = p_start_gateway (BASE, 1);
+  front = p_front_port (BASE, 1);
+  p_wait_until_ready (BASE, 1);
 }
 
 static char *
 ask (const char *method_and_path, const char *id, const char *headers,
      const char *body)
 {
-  g_autofree char *req = p_request (method_and_path, id, headers, body);
+  g_autofree char *req = p_build_request (method_and_path, id, headers, body);
 
-  return p_ask (front, req);
+  return p_round_trip (front, req);
 }
 
 /* The next @x requests at each plain target, or each rank, meet @kind. */
 static void
 fault_desks (const char *kind, int x)
 {
-  p_fault (DESK_1, 2, kind, x);
+  p_inject_fault (DESK_1, 2, kind, x);
 }
 
 static void
 fault_ranks (const char *kind, int x)
 {
-  p_fault (RANK_1, N_RANKS, kind, x);
+  p_inject_fault (RANK_1, N_RANKS, kind, x);
 }
 
 static double
 at_desks (const char *what)
 {
-  return p_runs (DESK_1, 2, what);
+  return p_sum_runs (DESK_1, 2, what);
 }
 
 START_TEST (a_request_passes_unchanged)
@@ -63,7 +63,7 @@
       = ask ("POST /order/a%20b?c=d", "r1",
              "X-Other: 1\r\nComfreypost-Tenant: forged\r\n", "two parcels");
 
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   ck_assert_ptr_nonnull (strstr (a, "Comfreypost-Server-Signature: desk-"));
   ck_assert_ptr_nonnull (strstr (a, "Comfreypost-Request-Id: r1\r\n"));
   ck_assert_ptr_nonnull (strstr (a, " POST /order/a%20b?c=d org=museum "
@@ -74,11 +74,11 @@
 START_TEST (a_public_route_needs_no_key)
 {
   g_autofree char *a
-      = p_ask (front, "GET /open/x HTTP/1.1\r\nHost: demo.example\r\n"
-                      "Comfreypost-Tenant: forged\r\n"
-                      "Comfreypost-Request-Id: r1\r\n\r\n");
+      = p_round_trip (front, "GET /open/x HTTP/1.1\r\nHost: demo.example\r\n"
+                             "Comfreypost-Tenant: forged\r\n"
+                             "Comfreypost-Request-Id: r1\r\n\r\n");
 
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   ck_assert_ptr_nonnull (strstr (a, "org=- key=hidden"));
 }
 END_TEST
@@ -107,9 +107,10 @@
 
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      g_autofree char *a = p_ask (front, cases[i].text);
+      g_autofree char *a = p_round_trip (front, cases[i].text);
 
-      ck_assert_msg (p_status (a) == cases[i].status, "case %zu: %s", i, a);
+      ck_assert_msg (p_parse_status (a) == cases[i].status, "case %zu: %s", i,
+                     a);
     }
 }
 END_TEST
@@ -122,8 +123,8 @@
   for (int i = 0; i < 5000; i++)
     g_string_append_c (s, 'x');
   g_string_append (s, "\r\n\r\n");
-  a = p_ask (front, s->str);
-  ck_assert_int_eq (p_status (a), 431);
+  a = p_round_trip (front, s->str);
+  ck_assert_int_eq (p_parse_status (a), 431);
   g_string_free (s, TRUE);
 }
 END_TEST
@@ -136,12 +137,12 @@
     {
       g_autofree char *id = g_strdup_printf ("k%d", i);
       g_autofree char *want = g_strdup_printf ("Request-Id: %s\r\n", id);
-      g_autofree char *req = p_request ("POST /order/a", id, NULL, "x");
+      g_autofree char *req = p_build_request ("POST /order/a", id, NULL, "x");
       g_autofree char *a = NULL;
 
       p_send (fd, req);
-      a = p_read (fd, 2000);
-      ck_assert_int_eq (p_status (a), 200);
+      a = p_read_answer (fd, 2000);
+      ck_assert_int_eq (p_parse_status (a), 200);
       ck_assert_ptr_nonnull (strstr (a, want));
     }
   close (fd);
@@ -158,7 +159,7 @@
       g_autofree char *want = g_strdup_printf ("Request-Id: %s\r\n", id);
       g_autofree char *a = ask ("GET /quote/a", id, NULL, "");
 
-      ck_assert_int_eq (p_status (a), 200);
+      ck_assert_int_eq (p_parse_status (a), 200);
       ck_assert_ptr_nonnull (strstr (a, want));
       ck_assert_ptr_null (strstr (a, "\r\nextra"));
     }
@@ -177,10 +178,10 @@
       g_autofree char *a = NULL;
 
       /* One target fails once; whichever is asked first. */
-      g_free (p_test (DESK_1, call, ""));
+      g_free (p_call_standin (DESK_1, call, ""));
       a = ask ("GET /quote/a", kinds[i], NULL, "");
-      ck_assert_msg (p_status (a) == 200, "%s: %s", kinds[i], a);
-      g_free (p_test (DESK_1, "POST /test/fault?kind=x&x=0", ""));
+      ck_assert_msg (p_parse_status (a) == 200, "%s: %s", kinds[i], a);
+      g_free (p_call_standin (DESK_1, "POST /test/fault?kind=x&x=0", ""));
     }
 }
 END_TEST
@@ -191,7 +192,7 @@
 
   fault_desks ("unframed", 1);
   a = ask ("GET /quote/a", "u1", NULL, "");
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   ck_assert_ptr_nonnull (strstr (a, "unframed desk-"));
 }
 END_TEST
@@ -207,7 +208,7 @@
 
       fault_desks (kinds[i], 1);
       a = ask ("POST /order/a", kinds[i], NULL, "x");
-      ck_assert_msg (p_status (a) == 502, "%s: %s", kinds[i], a);
+      ck_assert_msg (p_parse_status (a) == 502, "%s: %s", kinds[i], a);
       fault_desks ("x", 0);
     }
   ck_assert_double_eq (at_desks ("runs"), G_N_ELEMENTS (kinds));
@@ -221,7 +222,7 @@
 
   fault_desks ("full", 1);
   a = ask ("POST /order/a", "f1", NULL, "x");
-  ck_assert_int_eq (p_status (a), 503);
+  ck_assert_int_eq (p_parse_status (a), 503);
   ck_assert_ptr_nonnull (strstr (a, "Retry-After: "));
   ck_assert_ptr_null (strstr (a, "Signature"));
   ck_assert_double_eq (at_desks ("runs"), 0);
@@ -234,7 +235,7 @@
 
   fault_desks ("fail", 1);
   a = ask ("POST /order/a", "x1", NULL, "x");
-  ck_assert_int_eq (p_status (a), 500);
+  ck_assert_int_eq (p_parse_status (a), 500);
   ck_assert_ptr_nonnull (strstr (a, "Signature: desk-"));
   ck_assert_ptr_nonnull (strstr (a, "failed\n"));
 }
@@ -252,13 +253,13 @@
   fault_desks ("hang", 1);
   a = ask ("POST /order/a", "h1", NULL, "x");
   ms = g_get_monotonic_time () / 1000 - begun;
-  ck_assert_int_eq (p_status (a), 504);
+  ck_assert_int_eq (p_parse_status (a), 504);
   ck_assert_int_ge (ms, 750);
   ck_assert_int_le (ms, 1200);
   fault_desks ("x", 0);
-  g_free (p_test (DESK_1, "POST /test/fault?kind=hang&x=1", ""));
+  g_free (p_call_standin (DESK_1, "POST /test/fault?kind=hang&x=1", ""));
   b = ask ("GET /quote/a", "h2", NULL, "");
-  ck_assert_int_eq (p_status (b), 200);
+  ck_assert_int_eq (p_parse_status (b), 200);
 }
 END_TEST
 
@@ -280,7 +281,7 @@
   g_autofree char *a
       = ask ("POST /chat/a", "s1", "Comfreypost-Token-Count: 10,80\r\n", "");
 
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   for (int e = 1; e <= 20; e++)
     {
       g_autofree char *ev
@@ -300,11 +301,11 @@
   fault_ranks ("cut", 1);
   a = ask ("POST /chat/a", "s2", "Comfreypost-Token-Count: 10,80\r\n", "");
   /* The second rank breaks off too: the route allows two attempts. */
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   ck_assert (!g_str_has_suffix (a, "0\r\n\r\n"));
   ck_assert_uint_eq (count_of (a, "id: 4\n"), 1);
   fault_ranks ("x", 0);
-  g_free (p_test (RANK_1, "POST /test/fault?kind=cut&x=100", ""));
+  g_free (p_call_standin (RANK_1, "POST /test/fault?kind=cut&x=100", ""));
   for (int i = 0; i < 8; i++)
     {
       g_autofree char *id = g_strdup_printf ("s3-%d", i);
@@ -347,7 +348,7 @@
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     {
       g_autofree char *id = g_strdup_printf ("slow%zu", i);
-      g_autofree char *req = p_request (
+      g_autofree char *req = p_build_request (
           "POST /chat/a", id, "Comfreypost-Token-Count: 10,4000\r\n", "");
 
       fds[i] = p_connect (front);
@@ -360,7 +361,7 @@
       g_autofree char *id = g_strdup_printf ("quick%d", i);
       g_autofree char *a = ask ("GET /quote/a", id, NULL, "");
 
-      ck_assert_int_eq (p_status (a), 200);
+      ck_assert_int_eq (p_parse_status (a), 200);
     }
   ck_assert_int_lt (g_get_monotonic_time () / 1000 - begun, 2000);
   ck_assert_int_lt (peak_kb (gateway), 32768);
@@ -372,8 +373,8 @@
 /* A kept connection serves until the idle limit (3 s here), then ends. */
 START_TEST (kept_connections_live_to_the_idle_limit)
 {
-  g_autofree char *first = p_request ("POST /order/a", "i1", NULL, "x");
-  g_autofree char *second = p_request ("POST /order/a", "i2", NULL, "x");
+  g_autofree char *first = p_build_request ("POST /order/a", "i1", NULL, "x");
+  g_autofree char *second = p_build_request ("POST /order/a", "i2", NULL, "x");
   g_autofree char *a = NULL;
   g_autofree char *b = NULL;
   g_autofree char *end = NULL;
@@ -381,14 +382,14 @@
   int fd = p_connect (front);
 
   p_send (fd, first);
-  a = p_read (fd, 2000);
-  ck_assert_int_eq (p_status (a), 200);
+  a = p_read_answer (fd, 2000);
+  ck_assert_int_eq (p_parse_status (a), 200);
   usleep (2600000);
   p_send (fd, second);
-  b = p_read (fd, 2000);
-  ck_assert_int_eq (p_status (b), 200);
+  b = p_read_answer (fd, 2000);
+  ck_assert_int_eq (p_parse_status (b), 200);
   begun = g_get_monotonic_time () / 1000;
-  end = p_read (fd, 5000);
+  end = p_read_answer (fd, 5000);
   ck_assert_str_eq (end, "");
   ck_assert_int_ge (g_get_monotonic_time () / 1000 - begun, 2700);
   ck_assert_int_lt (g_get_monotonic_time () / 1000 - begun, 4500);
@@ -398,7 +399,7 @@
 
 START_TEST (work_of_callers_that_left_is_stopped)
 {
-  g_autofree char *req = p_request ("POST /order/a", "g1", NULL, "x");
+  g_autofree char *req = p_build_request ("POST /order/a", "g1", NULL, "x");
   int fd;
 
   fault_desks ("hang", 1);
@@ -415,7 +416,7 @@
 
 START_TEST (leaving_targets_get_no_new_work)
 {
-  g_free (p_test (DESK_1, "POST /test/drain", ""));
+  g_free (p_call_standin (DESK_1, "POST /test/drain", ""));
   usleep (300000);
   for (int i = 0; i < 10; i++)
     {
@@ -424,12 +425,12 @@
 
       ck_assert_ptr_nonnull (strstr (a, "Signature: desk-1\r\n"));
     }
-  g_free (p_test (STORE, "POST /test/delete?key=servers/desk-1", ""));
+  g_free (p_call_standin (STORE, "POST /test/delete?key=servers/desk-1", ""));
   usleep (300000);
   {
     g_autofree char *a = ask ("POST /order/a", "d-last", NULL, "x");
 
-    ck_assert_int_eq (p_status (a), 503);
+    ck_assert_int_eq (p_parse_status (a), 503);
     ck_assert_ptr_nonnull (strstr (a, "Retry-After: "));
   }
 }
@@ -439,12 +440,12 @@
  * back: a target that leaves then gets no more work at once. */
 START_TEST (leaving_is_heard_after_the_stores_return)
 {
-  g_free (p_test (STORE, "POST /test/mode?mode=busy", ""));
-  g_free (p_test (STORE, "POST /test/forget", ""));
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=busy", ""));
+  g_free (p_call_standin (STORE, "POST /test/forget", ""));
   usleep (500000);
-  g_free (p_test (STORE, "POST /test/mode?mode=up", ""));
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=up", ""));
   usleep (3600000);
-  g_free (p_test (STORE, "POST /test/delete?key=servers/desk-0", ""));
+  g_free (p_call_standin (STORE, "POST /test/delete?key=servers/desk-0", ""));
   usleep (300000);
   for (int i = 0; i < 10; i++)
     {
@@ -467,15 +468,15 @@
  * starts before: those take nothing any more. */
 START_TEST (restarted_targets_are_used_at_once)
 {
-  g_free (p_test (DESK_1, "POST /test/restart", ""));
-  g_free (p_test (DESK_2, "POST /test/restart", ""));
+  g_free (p_call_standin (DESK_1, "POST /test/restart", ""));
+  g_free (p_call_standin (DESK_2, "POST /test/restart", ""));
   usleep (100000);
   for (int i = 0; i < 20; i++)
     {
       g_autofree char *id = g_strdup_printf ("n%d", i);
       g_autofree char *a = ask ("POST /order/a", id, NULL, "x");
 
-      ck_assert_msg (p_status (a) == 200, "%d: %s", i, a);
+      ck_assert_msg (p_parse_status (a) == 200, "%d: %s", i, a);
     }
 }
 END_TEST
@@ -487,10 +488,10 @@
 times_at_desks (const char *id)
 {
   g_autofree char *call = g_strdup_printf ("GET /test/runs?id=%s", id);
-  g_autofree char *a = p_test (DESK_1, call, "");
-  g_autofree char *b = p_test (DESK_2, call, "");
+  g_autofree char *a = p_call_standin (DESK_1, call, "");
+  g_autofree char *b = p_call_standin (DESK_2, call, "");
 
-  return p_number (a, "times") + p_number (b, "times");
+  return p_json_number (a, "times") + p_json_number (b, "times");
 }
 
 /* Both desks work on a request that they will never answer, on VMs that
@@ -499,8 +500,8 @@
  * that may have run: 375 ms of silence is what it takes without. */
 START_TEST (a_restart_under_the_same_id_ends_what_ran_there)
 {
-  g_autofree char *quote = p_request ("GET /quote/a", "s1", "", "");
-  g_autofree char *order = p_request ("POST /order/a", "s2", "", "x");
+  g_autofree char *quote = p_build_request ("GET /quote/a", "s1", "", "");
+  g_autofree char *order = p_build_request ("POST /order/a", "s2", "", "x");
   g_autofree char *a = NULL;
   g_autofree char *b = NULL;
   int fd[2];
@@ -511,12 +512,12 @@
   fd[1] = p_connect (front);
   p_send (fd[1], order);
   usleep (60000);
-  g_free (p_test (DESK_1, "POST /test/restart?same=1", ""));
-  g_free (p_test (DESK_2, "POST /test/restart?same=1", ""));
-  a = p_read (fd[0], 200);
-  b = p_read (fd[1], 200);
-  ck_assert_int_eq (p_status (a), 200);
-  ck_assert_int_eq (p_status (b), 502);
+  g_free (p_call_standin (DESK_1, "POST /test/restart?same=1", ""));
+  g_free (p_call_standin (DESK_2, "POST /test/restart?same=1", ""));
+  a = p_read_answer (fd[0], 200);
+  b = p_read_answer (fd[1], 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
+  ck_assert_int_eq (p_parse_status (b), 502);
   ck_assert_double_eq (times_at_desks ("s1"), 2);
   ck_assert_double_eq (times_at_desks ("s2"), 1);
   close (fd[0]);
@@ -536,10 +537,10 @@
           "\"version\":\"v1\",\"slots\":6,\"state\":\"draining\","
           "\"cold-left-ms\":0,\"seq\":9,\"born\":1000}",
           DESK_1 + i);
-      g_free (p_test (STORE,
-                      i ? "POST /test/put?key=servers/desk-1"
-                        : "POST /test/put?key=servers/desk-0",
-                      late[i]));
+      g_free (p_call_standin (STORE,
+                              i ? "POST /test/put?key=servers/desk-1"
+                                : "POST /test/put?key=servers/desk-0",
+                              late[i]));
       g_free (late[i]);
     }
   usleep (50000);
@@ -547,10 +548,10 @@
     {
       g_autofree char *a = ask ("GET /quote/a", "f1", "", "");
 
-      ck_assert_int_eq (p_status (a), 200);
+      ck_assert_int_eq (p_parse_status (a), 200);
     }
   ck_assert (
-      p_log_says ("t/out/gateway-21000-1.log", "older-incarnation", 500));
+      p_wait_for_log ("t/out/gateway-21000-1.log", "older-incarnation", 500));
 }
 END_TEST
 
@@ -573,19 +574,19 @@
   const char *const log = "t/out/gateway-21000-1.log";
 
   for (gsize i = 0; i < G_N_ELEMENTS (puts); i++)
-    g_free (p_test (STORE, puts[i][0], puts[i][1]));
-  ck_assert (p_log_says_times (log, "outcome=bad", 5, 1000));
+    g_free (p_call_standin (STORE, puts[i][0], puts[i][1]));
+  ck_assert (p_wait_for_log_count (log, "outcome=bad", 5, 1000));
   /* The whole list is read again. */
-  g_free (p_test (STORE, "POST /test/forget", ""));
+  g_free (p_call_standin (STORE, "POST /test/forget", ""));
   usleep (300000);
   for (int i = 0; i < 6; i++)
     {
       g_autofree char *a = ask ("GET /quote/a", "p1", "", "");
 
-      ck_assert_int_eq (p_status (a), 200);
+      ck_assert_int_eq (p_parse_status (a), 200);
       ck_assert_ptr_nonnull (strstr (a, "Server-Signature: desk-0"));
     }
-  ck_assert_uint_eq (p_log_count (log, "outcome=bad"), 5);
+  ck_assert_uint_eq (p_count_in_log (log, "outcome=bad"), 5);
 }
 END_TEST
 
@@ -593,13 +594,13 @@
 {
   int refused = 0;
 
-  g_free (p_test (DESK_1, "POST /test/fault?kind=moved&x=1000", ""));
+  g_free (p_call_standin (DESK_1, "POST /test/fault?kind=moved&x=1000", ""));
   for (int i = 0; i < 30; i++)
     {
       g_autofree char *id = g_strdup_printf ("m%d", i);
       g_autofree char *a = ask ("POST /order/a", id, NULL, "x");
 
-      refused += p_status (a) != 200;
+      refused += p_parse_status (a) != 200;
     }
   ck_assert_int_le (refused, 3);
 }
@@ -613,24 +614,24 @@
   g_autofree char *c = NULL;
   g_autofree char *d = NULL;
 
-  g_free (p_test (STORE, put, CONFIG ("9", "/nine/")));
+  g_free (p_call_standin (STORE, put, CONFIG ("9", "/nine/")));
   usleep (300000);
   a = ask ("GET /nine/", "c1", NULL, "");
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   b = ask ("GET /quote/", "c2", NULL, "");
-  ck_assert_int_eq (p_status (b), 404);
+  ck_assert_int_eq (p_parse_status (b), 404);
   /* An older one and a broken one change nothing. */
-  g_free (p_test (STORE, put, CONFIG ("8", "/eight/")));
-  g_free (p_test (STORE, put, "{\"version\":10,\"routes\":[{}]}"));
+  g_free (p_call_standin (STORE, put, CONFIG ("8", "/eight/")));
+  g_free (p_call_standin (STORE, put, "{\"version\":10,\"routes\":[{}]}"));
   usleep (300000);
   c = ask ("GET /nine/", "c3", NULL, "");
-  ck_assert_int_eq (p_status (c), 200);
+  ck_assert_int_eq (p_parse_status (c), 200);
   /* History forgotten: the next one is found all the same. */
-  g_free (p_test (STORE, "POST /test/forget", ""));
-  g_free (p_test (STORE, put, CONFIG ("11", "/eleven/")));
+  g_free (p_call_standin (STORE, "POST /test/forget", ""));
+  g_free (p_call_standin (STORE, put, CONFIG ("11", "/eleven/")));
   usleep (800000);
   d = ask ("GET /eleven/", "c4", NULL, "");
-  ck_assert_int_eq (p_status (d), 200);
+  ck_assert_int_eq (p_parse_status (d), 200);
 }
 END_TEST
 
@@ -642,16 +643,16 @@
   g_autofree char *a = NULL;
   g_autofree char *b = NULL;
 
-  g_free (p_test (STORE, "POST /test/mode?mode=slow", ""));
-  g_free (p_test (STORE, put, CONFIG ("3", "/three/")));
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=slow", ""));
+  g_free (p_call_standin (STORE, put, CONFIG ("3", "/three/")));
   usleep (1200000);
   a = ask ("GET /three/", "w1", NULL, "");
-  ck_assert_int_eq (p_status (a), 200);
-  g_free (p_test (STORE, "POST /test/mode?mode=some", ""));
-  g_free (p_test (STORE, put, CONFIG ("4", "/four/")));
+  ck_assert_int_eq (p_parse_status (a), 200);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=some", ""));
+  g_free (p_call_standin (STORE, put, CONFIG ("4", "/four/")));
   usleep (1900000);
   b = ask ("GET /four/", "w2", NULL, "");
-  ck_assert_int_eq (p_status (b), 200);
+  ck_assert_int_eq (p_parse_status (b), 200);
 }
 END_TEST
 
@@ -662,15 +663,15 @@
   g_autofree char *a = NULL;
   g_autofree char *b = NULL;
 
-  g_free (p_test (STORE, put, CONFIG ("5", "/five/")));
+  g_free (p_call_standin (STORE, put, CONFIG ("5", "/five/")));
   usleep (300000);
-  g_free (p_test (STORE, "POST /test/mode?mode=stale", ""));
-  g_free (p_test (STORE, put, CONFIG ("6", "/six/")));
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=stale", ""));
+  g_free (p_call_standin (STORE, put, CONFIG ("6", "/six/")));
   usleep (500000);
   a = ask ("GET /five/", "v1", NULL, "");
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   b = ask ("GET /six/", "v2", NULL, "");
-  ck_assert_int_eq (p_status (b), 404);
+  ck_assert_int_eq (p_parse_status (b), 404);
 }
 END_TEST
 
@@ -697,20 +698,20 @@
   g_autofree char *body = g_strnfill (60000, 'b');
   g_autofree char *a = ask ("POST /order/a", "big", NULL, body);
 
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   ck_assert_ptr_nonnull (strstr (a, body));
 }
 END_TEST
 
 START_TEST (a_gateway_without_the_store_learns_from_a_peer)
 {
-  g_autofree char *req = p_request ("POST /order/a", "p1", NULL, "x");
+  g_autofree char *req = p_build_request ("POST /order/a", "p1", NULL, "x");
   g_autofree char *a = NULL;
 
-  g_free (p_test (STORE, "POST /test/mode?mode=silent", ""));
-  p_ready_gateway (BASE, 2);
-  a = p_ask (p_front (BASE, 2), req);
-  ck_assert_int_eq (p_status (a), 200);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=silent", ""));
+  p_start_ready_gateway (BASE, 2);
+  a = p_round_trip (p_front_port (BASE, 2), req);
+  ck_assert_int_eq (p_parse_status (a), 200);
 }
 END_TEST
 
@@ -718,39 +719,39 @@
  * again was refused, most of it for the last time. */
 START_TEST (a_request_waits_for_the_configuration_at_a_start)
 {
-  g_autofree char *req = p_request ("POST /order/a", "u1", NULL, "x");
+  g_autofree char *req = p_build_request ("POST /order/a", "u1", NULL, "x");
   g_autofree char *a = NULL;
   int fd;
 
   p_signal (gateway, SIGKILL);
-  g_free (p_test (STORE, "POST /test/mode?mode=busy", ""));
-  p_gateway (BASE, 1);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=busy", ""));
+  p_start_gateway (BASE, 1);
   fd = p_connect (front);
   p_send (fd, req);
   usleep (300000);
-  g_free (p_test (STORE, "POST /test/mode?mode=good", ""));
-  a = p_read (fd, 2000);
-  ck_assert_int_eq (p_status (a), 200);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=good", ""));
+  a = p_read_answer (fd, 2000);
+  ck_assert_int_eq (p_parse_status (a), 200);
   close (fd);
 }
 END_TEST
 
 START_TEST (a_gateway_that_knows_nothing_is_not_ready)
 {
-  g_autofree char *req = p_request ("POST /order/a", "n1", NULL, "x");
+  g_autofree char *req = p_build_request ("POST /order/a", "n1", NULL, "x");
   g_autofree char *a = NULL;
   g_autofree char *b = NULL;
 
   p_signal (gateway, SIGKILL);
-  g_free (p_test (STORE, "POST /test/mode?mode=busy", ""));
-  p_gateway (BASE, 1);
-  a = p_ask (front + 1, "GET /v1/readyz HTTP/1.1\r\n\r\n");
-  ck_assert_int_eq (p_status (a), 503);
-  b = p_ask (front, req);
-  ck_assert_int_eq (p_status (b), 503);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=busy", ""));
+  p_start_gateway (BASE, 1);
+  a = p_round_trip (front + 1, "GET /v1/readyz HTTP/1.1\r\n\r\n");
+  ck_assert_int_eq (p_parse_status (a), 503);
+  b = p_round_trip (front, req);
+  ck_assert_int_eq (p_parse_status (b), 503);
   ck_assert_ptr_nonnull (strstr (b, "Retry-After: "));
-  g_free (p_test (STORE, "POST /test/mode?mode=up", ""));
-  p_await_ready (BASE, 1);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=up", ""));
+  p_wait_until_ready (BASE, 1);
 }
 END_TEST
 
@@ -759,10 +760,10 @@
  * when this process is there again, since no other takes it. */
 START_TEST (a_planned_stop_ends_what_runs)
 {
-  g_autofree char *stream = p_request (
+  g_autofree char *stream = p_build_request (
       "POST /chat/a", "t1", "Comfreypost-Token-Count: 10,1800\r\n", "");
-  g_autofree char *order = p_request ("POST /order/a", "t2", NULL, "x");
-  g_autofree char *longer = p_request (
+  g_autofree char *order = p_build_request ("POST /order/a", "t2", NULL, "x");
+  g_autofree char *longer = p_build_request (
       "POST /chat/a", "t3", "Comfreypost-Token-Count: 10,4000\r\n", "");
   g_autofree char *early = NULL;
   g_autofree char *late = NULL;
@@ -776,19 +777,19 @@
   usleep (100000);
   kill (gateway, SIGTERM);
   usleep (200000);
-  ready = p_ask (front + 1, "GET /v1/readyz HTTP/1.1\r\n\r\n");
-  ck_assert_int_eq (p_status (ready), 503);
-  early = p_ask (front, order);
-  ck_assert_int_eq (p_status (early), 200);
+  ready = p_round_trip (front + 1, "GET /v1/readyz HTTP/1.1\r\n\r\n");
+  ck_assert_int_eq (p_parse_status (ready), 503);
+  early = p_round_trip (front, order);
+  ck_assert_int_eq (p_parse_status (early), 200);
   ck_assert_ptr_nonnull (strstr (early, "Connection: close"));
   usleep (2300000);
-  late = p_ask (front, order);
-  ck_assert_int_eq (p_status (late), 200);
+  late = p_round_trip (front, order);
+  ck_assert_int_eq (p_parse_status (late), 200);
   ck_assert_ptr_nonnull (strstr (late, "Connection: close"));
-  too_late = p_ask (front, longer);
-  ck_assert_int_eq (p_status (too_late), 503);
+  too_late = p_round_trip (front, longer);
+  ck_assert_int_eq (p_parse_status (too_late), 503);
   ck_assert_ptr_nonnull (strstr (too_late, "Retry-After: 1."));
-  whole = p_read (fd, 5000);
+  whole = p_read_answer (fd, 5000);
   ck_assert (g_str_has_suffix (whole, "0\r\n\r\n"));
   ck_assert_uint_eq (count_of (whole, "id: 450\n"), 1);
   ck_assert_int_eq (p_stop (gateway), 0);
@@ -799,7 +800,7 @@
 
 START_TEST (a_reload_cuts_off_nothing)
 {
-  g_autofree char *stream = p_request (
+  g_autofree char *stream = p_build_request (
       "POST /chat/a", "u1", "Comfreypost-Token-Count: 10,200\r\n", "");
   g_autofree char *whole = NULL;
   int fd = p_connect (front);
@@ -807,7 +808,7 @@
   p_send (fd, stream);
   usleep (50000);
   p_signal (gateway, SIGHUP);
-  whole = p_read (fd, 5000);
+  whole = p_read_answer (fd, 5000);
   ck_assert (g_str_has_suffix (whole, "0\r\n\r\n"));
   close (fd);
 }
@@ -816,10 +817,11 @@
 START_TEST (metrics_are_served)
 {
   g_autofree char *a = ask ("POST /order/a", "m1", NULL, "x");
-  g_autofree char *m = p_ask (front + 3, "GET /metrics HTTP/1.1\r\n\r\n");
+  g_autofree char *m
+      = p_round_trip (front + 3, "GET /metrics HTTP/1.1\r\n\r\n");
 
-  ck_assert_int_eq (p_status (a), 200);
-  ck_assert_int_eq (p_status (m), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
+  ck_assert_int_eq (p_parse_status (m), 200);
   ck_assert_ptr_nonnull (
       strstr (m, "\ncomfrey_outcomes_total{outcome=\"success\"} 1\n"));
   ck_assert_ptr_nonnull (strstr (m, "\ncomfrey_config_version 1\n"));
@@ -838,8 +840,8 @@
 static double
 metric (int n, const char *name)
 {
-  g_autofree char *m
-      = p_ask (p_front (BASE, n) + 3, "GET /metrics HTTP/1.1\r\n\r\n");
+  g_autofree char *m = p_round_trip (p_front_port (BASE, n) + 3,
+                                     "GET /metrics HTTP/1.1\r\n\r\n");
   g_autofree char *line = g_strdup_printf ("\ncomfrey_%s ", name);
   const char *at = strstr (m, line);
 
@@ -866,7 +868,7 @@
           "\"state\":\"draining\",\"seq\":%d}",
           i);
 
-      g_free (p_test (BASE, call, entry));
+      g_free (p_call_standin (BASE, call, entry));
       usleep (REGISTER_EVERY_MS * 1000);
     }
   ck_assert_double_lt (metric (1, "store_calls_total") - before,
@@ -882,47 +884,47 @@
  * is idle makes room for the next, one that waits for its answer does not. */
 START_TEST (callers_leave_descriptors_for_targets)
 {
-  g_autofree char *quick = p_request ("POST /order/a", "f", NULL, "x");
-  g_autofree char *stream = p_request (
+  g_autofree char *quick = p_build_request ("POST /order/a", "f", NULL, "x");
+  g_autofree char *stream = p_build_request (
       "POST /chat/a", "f", "Comfreypost-Token-Count: 10,100\r\n", "");
   int idle[2 * FEW_CALLERS];
   int fds[FEW_CALLERS];
 
-  p_detours.max_fds = FEW_FDS;
-  p_ready_gateway (BASE, 2);
+  p_overrides.max_fds = FEW_FDS;
+  p_start_ready_gateway (BASE, 2);
   for (int i = 0; i < 2 * FEW_CALLERS; i++)
     {
       g_autofree char *a = NULL;
 
-      idle[i] = p_connect (p_front (BASE, 2));
+      idle[i] = p_connect (p_front_port (BASE, 2));
       p_send (idle[i], quick);
-      a = p_read (idle[i], 3000);
-      ck_assert_msg (p_status (a) == 200, "%d: %s", i, a);
+      a = p_read_answer (idle[i], 3000);
+      ck_assert_msg (p_parse_status (a) == 200, "%d: %s", i, a);
     }
   ck_assert_double_eq (metric (2, "callers"), FEW_CALLERS);
   for (int i = 0; i < FEW_CALLERS; i++)
     {
-      fds[i] = p_connect (p_front (BASE, 2));
+      fds[i] = p_connect (p_front_port (BASE, 2));
       p_send (fds[i], stream);
     }
   usleep (100000);
   ck_assert_double_eq (metric (2, "callers"), FEW_CALLERS);
   {
-    g_autofree char *a = p_ask (p_front (BASE, 2), quick);
+    g_autofree char *a = p_round_trip (p_front_port (BASE, 2), quick);
 
     ck_assert_str_eq (a, "");
     ck_assert_double_eq (metric (2, "callers_turned_away_total"), 1);
   }
   for (int i = 0; i < FEW_CALLERS; i++)
     {
-      g_autofree char *a = p_read (fds[i], 8000);
+      g_autofree char *a = p_read_answer (fds[i], 8000);
 
       ck_assert (g_str_has_suffix (a, "0\r\n\r\n"));
     }
   {
-    g_autofree char *a = p_ask (p_front (BASE, 2), quick);
+    g_autofree char *a = p_round_trip (p_front_port (BASE, 2), quick);
 
-    ck_assert_int_eq (p_status (a), 200);
+    ck_assert_int_eq (p_parse_status (a), 200);
   }
   for (int i = 0; i < FEW_CALLERS; i++)
     {
@@ -979,5 +981,5 @@
   tcase_add_test (t, targets_that_register_one_by_one_cost_few_calls);
   tcase_add_test (t, callers_leave_descriptors_for_targets);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-group-map.c
+++ b/t/t-group-map.c
@@ -387,5 +387,5 @@
   tcase_add_test (t, a_map_is_told_by_what_changes);
   tcase_add_test (t, rows_that_do_not_fit_are_refused);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-guard.c
+++ b/t/t-guard.c
@@ -135,5 +135,5 @@
   tcase_add_test (tc, test_claims_are_held_released_and_renewed);
   tcase_add_test (tc, test_quiet_guard_vouches_for_nothing);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-hold-lease.c
+++ b/t/t-hold-lease.c
@@ -70,5 +70,5 @@
   tcase_add_test (t, a_leader_that_was_succeeded_is_ignored);
   tcase_add_test (t, a_token_of_long_ago_does_not_hide_a_new_leader);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-http-reader.c
+++ b/t/t-http-reader.c
@@ -215,5 +215,5 @@
   tcase_add_test (t, messages_follow_each_other);
   tcase_add_test (t, random_damage_is_survived);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-link.c
+++ b/t/t-link.c
@@ -266,5 +266,5 @@
   tcase_set_tags (busy, "busy");
   tcase_add_test (busy, test_busy_link_asks_whether_a_call_is_wanted);
   suite_add_tcase (s, busy);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-log-writer.c
+++ b/t/t-log-writer.c
@@ -164,5 +164,5 @@
   tcase_add_test (t, lines_left_at_the_end_are_counted);
   tcase_add_test (t, lines_come_whole_and_in_order);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-log.c
+++ b/t/t-log.c
@@ -70,5 +70,5 @@
   tcase_add_test (tc, test_a_value_cannot_forge_a_line);
   tcase_add_test (tc, test_a_long_value_is_cut_but_the_line_ends);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-loop-watch.c
+++ b/t/t-loop-watch.c
@@ -61,5 +61,5 @@
   tcase_add_test (t, turns_are_counted);
   tcase_add_test (t, a_long_turn_is_logged_with_its_longest_part);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-map-gain.c
+++ b/t/t-map-gain.c
@@ -68,5 +68,5 @@
   tcase_add_test (t, much_while_little_was_seen);
   tcase_add_test (t, quick_copies_may_be_several);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-map-history.c
+++ b/t/t-map-history.c
@@ -93,5 +93,5 @@
   tcase_add_test (t, the_map_in_use_stays_known_while_others_are_given_up);
   tcase_add_test (t, a_base_that_is_not_known_makes_no_map);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-map.c
+++ b/t/t-map.c
@@ -402,5 +402,5 @@
   tcase_add_test (tc, test_no_step_mixes_maps);
   tcase_add_test (tc, test_slow_reports_do_not_stretch_the_limit);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-membership.c
+++ b/t/t-membership.c
@@ -126,5 +126,5 @@
   tcase_add_test (t, starts_do_not_depend_on_who_tells_first);
   tcase_add_test (t, members_that_fall_silent_are_dropped);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-network.c
+++ b/t/t-network.c
@@ -50,24 +50,24 @@
 static void
 setup (void)
 {
-  platform = p_platform (BASE, "--ranks", "4", NULL);
+  platform = p_start_platform (BASE, "--ranks", "4", NULL);
 }
 
 /* Passes of 70 ms at the map that a group forms with, 110 ms in a crowd. */
 static void
 setup_crowded (void)
 {
-  platform = p_platform (BASE, "--ranks", "4", "--step-ms", "45",
-                         "--per-seq-ms", "5", NULL);
+  platform = p_start_platform (BASE, "--ranks", "4", "--step-ms", "45",
+                               "--per-seq-ms", "5", NULL);
 }
 
 static int
 ask_status (int n, const char *method_and_path, const char *id)
 {
-  g_autofree char *req = p_request (method_and_path, id, NULL, "");
-  g_autofree char *a = p_ask (p_front (BASE, n), req);
+  g_autofree char *req = p_build_request (method_and_path, id, NULL, "");
+  g_autofree char *a = p_round_trip (p_front_port (BASE, n), req);
 
-  return p_status (a);
+  return p_parse_status (a);
 }
 
 /* Whether gateway @n answers a path with 200 within @ms. */
@@ -88,17 +88,17 @@
 {
   g_autofree char *call = g_strdup_printf ("POST /test/put?key=%s", key);
 
-  g_free (p_test (STORE, call, value));
+  g_free (p_call_standin (STORE, call, value));
 }
 
 /* A watch whose connection fell silent is made anew when its answer is
  * overdue; it learns what it missed. */
 START_TEST (a_silent_watch_is_made_anew)
 {
-  pid_t proxy = p_proxy (STORE_PROXY, STORE);
+  pid_t proxy = p_start_fault_proxy (STORE_PROXY, STORE);
 
-  p_detours.store = STORE_PROXY;
-  p_ready_gateway (BASE, 1);
+  p_overrides.store = STORE_PROXY;
+  p_start_ready_gateway (BASE, 1);
   p_signal (proxy, SIGUSR1);
   put ("op/config", CONFIG ("5", "/five/"));
   ck_assert (comes_into_force (1, "GET /five/", 8000));
@@ -108,12 +108,12 @@
 /* Calls reach the store, answers do not come back: peers teach the rest. */
 START_TEST (answers_that_do_not_come_back)
 {
-  pid_t proxy = p_proxy (STORE_PROXY, STORE);
+  pid_t proxy = p_start_fault_proxy (STORE_PROXY, STORE);
 
-  p_detours.store = STORE_PROXY;
-  p_ready_gateway (BASE, 1);
-  p_detours.store = 0;
-  p_ready_gateway (BASE, 2);
+  p_overrides.store = STORE_PROXY;
+  p_start_ready_gateway (BASE, 1);
+  p_overrides.store = 0;
+  p_start_ready_gateway (BASE, 2);
   p_signal (proxy, SIGUSR2);
   usleep (200000);
   put ("op/config", CONFIG ("5", "/five/"));
@@ -125,33 +125,33 @@
 static double
 mixed_passes (void)
 {
-  g_autofree char *a = p_test (RANK_1, "GET /test/runs", "");
+  g_autofree char *a = p_call_standin (RANK_1, "GET /test/runs", "");
 
-  return p_number (a, "mixed");
+  return p_json_number (a, "mixed");
 }
 
 /* Links between agents and the leader fall silent: they are made anew, and
  * maps go on being changed. */
 START_TEST (silent_links_of_agents_are_made_anew)
 {
-  pid_t proxy = p_proxy (SEED_PROXY, SEED_1);
+  pid_t proxy = p_start_fault_proxy (SEED_PROXY, SEED_1);
   int fds[8];
   guint before;
 
   p_stop_all ();
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--shift-s", "0.5",
-              NULL);
-  proxy = p_proxy (SEED_PROXY, SEED_1);
-  p_ready_gateway (BASE, 1);
-  p_detours.seed = SEED_PROXY;
+  p_start_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--shift-s",
+                    "0.5", NULL);
+  proxy = p_start_fault_proxy (SEED_PROXY, SEED_1);
+  p_start_ready_gateway (BASE, 1);
+  p_overrides.seed = SEED_PROXY;
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
-  ck_assert (p_log_says_times (LOG_1, "why=changed", 1, 6000));
+    p_start_agent (BASE, RANK_1 + i);
+  p_start_streams (BASE, fds, G_N_ELEMENTS (fds));
+  ck_assert (p_wait_for_log_count (LOG_1, "why=changed", 1, 6000));
   p_signal (proxy, SIGUSR1);
   usleep (300000);
-  before = p_log_count (LOG_1, "why=changed");
-  ck_assert (p_log_says_times (LOG_1, "why=changed", before + 1, 9000));
+  before = p_count_in_log (LOG_1, "why=changed");
+  ck_assert (p_wait_for_log_count (LOG_1, "why=changed", before + 1, 9000));
   ck_assert_double_eq (mixed_passes (), 0);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
@@ -166,21 +166,21 @@
   pid_t first;
 
   p_stop_all ();
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--copy-ms", "9000",
-              NULL);
-  first = p_ready_gateway (BASE, 1);
+  p_start_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--copy-ms",
+                    "9000", NULL);
+  first = p_start_ready_gateway (BASE, 1);
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
-  ck_assert (p_log_says_times (LOG_1, "to=preparing", 1, 6000));
-  p_ready_gateway (BASE, 2);
+    p_start_agent (BASE, RANK_1 + i);
+  p_start_streams (BASE, fds, G_N_ELEMENTS (fds));
+  ck_assert (p_wait_for_log_count (LOG_1, "to=preparing", 1, 6000));
+  p_start_ready_gateway (BASE, 2);
   usleep (600000);
   p_signal (first, SIGKILL);
   usleep (300000);
-  p_ready_gateway (BASE, 1);
+  p_start_ready_gateway (BASE, 1);
   usleep (4000000);
-  ck_assert_uint_eq (p_log_count (LOG_1, "nothing-pending")
-                         + p_log_count (LOG_2, "nothing-pending"),
+  ck_assert_uint_eq (p_count_in_log (LOG_1, "nothing-pending")
+                         + p_count_in_log (LOG_2, "nothing-pending"),
                      1);
   ck_assert_double_eq (mixed_passes (), 0);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
@@ -194,24 +194,24 @@
   gint64 until;
   int n = 0;
 
-  p_detours.gateway = "t/gateway-clock-step";
-  p_ready_gateway (BASE, 1);
+  p_overrides.gateway = "t/gateway-clock-step";
+  p_start_ready_gateway (BASE, 1);
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
+    p_start_agent (BASE, RANK_1 + i);
   until = g_get_monotonic_time () + 4 * G_USEC_PER_SEC;
   while (g_get_monotonic_time () < until)
     {
       g_autofree char *id = g_strdup_printf ("t%d", n++);
-      g_autofree char *req = p_request (
+      g_autofree char *req = p_build_request (
           "POST /chat/a", id, "Comfreypost-Token-Count: 10,80\r\n", "");
-      g_autofree char *a = p_ask (p_front (BASE, 1), req);
+      g_autofree char *a = p_round_trip (p_front_port (BASE, 1), req);
 
-      ck_assert_msg (p_status (a) == 200, "%s", a);
+      ck_assert_msg (p_parse_status (a) == 200, "%s", a);
       ck_assert (g_str_has_suffix (a, "0\r\n\r\n"));
       ck_assert_int_eq (ask_status (1, "POST /order/a", id), 200);
     }
-  ck_assert (p_log_says_times (LOG_1, "took-the-lead", 1, 3000));
-  ck_assert_uint_eq (p_log_count (LOG_1, "stood-still"), 0);
+  ck_assert (p_wait_for_log_count (LOG_1, "took-the-lead", 1, 3000));
+  ck_assert_uint_eq (p_count_in_log (LOG_1, "stood-still"), 0);
 }
 END_TEST
 
@@ -224,13 +224,14 @@
                       "\"state\":\"ready\",\"cold-left-ms\":0,\"seq\":9,"
                       "\"born\":" LATER_START "}";
 
-  p_ready_gateway (BASE, 1);
-  g_free (p_test (STORE, "POST /test/mode?mode=busy", ""));
-  g_free (p_test (STORE, "POST /test/forget", "")); /* cuts watches */
-  ck_assert (p_log_says_times (LOG_1, "store-lost prefix=servers/", 1, 3000));
-  g_free (p_test (STORE, "POST /test/delete?key=servers/desk-0", ""));
-  g_free (p_test (STORE, "POST /test/delete?key=servers/desk-1", ""));
-  g_free (p_test (STORE, "POST /test/mode?mode=up", ""));
+  p_start_ready_gateway (BASE, 1);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=busy", ""));
+  g_free (p_call_standin (STORE, "POST /test/forget", "")); /* cuts watches */
+  ck_assert (
+      p_wait_for_log_count (LOG_1, "store-lost prefix=servers/", 1, 3000));
+  g_free (p_call_standin (STORE, "POST /test/delete?key=servers/desk-0", ""));
+  g_free (p_call_standin (STORE, "POST /test/delete?key=servers/desk-1", ""));
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=up", ""));
   for (int i = 0; i < 40; i++)
     {
       if (i == 10)
@@ -238,7 +239,8 @@
       ck_assert_int_eq (ask_status (1, "POST /order/a", "l"), 200);
       usleep (50000);
     }
-  ck_assert (p_log_says_times (LOG_1, "target=desk-1 service=desk", 2, 3000));
+  ck_assert (
+      p_wait_for_log_count (LOG_1, "target=desk-1 service=desk", 2, 3000));
   ck_assert_int_eq (ask_status (1, "POST /order/a", "l"), 200);
 }
 END_TEST
@@ -248,24 +250,26 @@
  * lapsed entries get to come back. */
 START_TEST (a_removal_after_the_return_keeps_to_the_drain)
 {
-  p_detours.drain_ms = 700;
-  p_ready_gateway (BASE, 1);
-  g_free (p_test (STORE, "POST /test/mode?mode=busy", ""));
-  g_free (p_test (STORE, "POST /test/forget", "")); /* cuts watches */
-  ck_assert (p_log_says_times (LOG_1, "store-lost prefix=servers/", 1, 3000));
-  g_free (p_test (STORE, "POST /test/mode?mode=up", ""));
-  ck_assert (p_log_says_times (LOG_1, "store-back prefix=servers/", 2, 3000));
-  g_free (p_test (STORE, "POST /test/delete?key=servers/desk-0", ""));
-  ck_assert (p_log_says (LOG_1, "target=desk-0 outcome=missing", 300));
+  p_overrides.drain_ms = 700;
+  p_start_ready_gateway (BASE, 1);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=busy", ""));
+  g_free (p_call_standin (STORE, "POST /test/forget", "")); /* cuts watches */
+  ck_assert (
+      p_wait_for_log_count (LOG_1, "store-lost prefix=servers/", 1, 3000));
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=up", ""));
+  ck_assert (
+      p_wait_for_log_count (LOG_1, "store-back prefix=servers/", 2, 3000));
+  g_free (p_call_standin (STORE, "POST /test/delete?key=servers/desk-0", ""));
+  ck_assert (p_wait_for_log (LOG_1, "target=desk-0 outcome=missing", 300));
   usleep (700000);
   for (int i = 0; i < 20; i++)
     {
-      g_autofree char *req = p_request ("POST /order/a", "d", NULL, "");
-      g_autofree char *a = p_ask (p_front (BASE, 1), req);
+      g_autofree char *req = p_build_request ("POST /order/a", "d", NULL, "");
+      g_autofree char *a = p_round_trip (p_front_port (BASE, 1), req);
 
       ck_assert_ptr_nonnull (strstr (a, "Signature: desk-1\r\n"));
     }
-  ck_assert_uint_eq (p_log_count (LOG_1, "source=drained"), 1);
+  ck_assert_uint_eq (p_count_in_log (LOG_1, "source=drained"), 1);
 }
 END_TEST
 
@@ -275,19 +279,19 @@
   pid_t pids[3];
 
   for (int n = 1; n <= 3; n++)
-    pids[n - 1] = p_gateway (BASE, n);
+    pids[n - 1] = p_start_gateway (BASE, n);
   for (int n = 1; n <= 3; n++)
-    p_await_ready (BASE, n);
+    p_wait_until_ready (BASE, n);
   put ("op/config", CONFIG ("5", "/five/"));
   for (int n = 1; n <= 3; n++)
     ck_assert (comes_into_force (n, "GET /five/", 2000));
   for (int i = 0; i < 3; i++)
     p_signal (pids[i], SIGKILL);
   for (int n = 1; n <= 3; n++)
-    p_gateway (BASE, n);
+    p_start_gateway (BASE, n);
   for (int n = 1; n <= 3; n++)
     {
-      p_await_ready (BASE, n);
+      p_wait_until_ready (BASE, n);
       ck_assert_int_eq (ask_status (n, "GET /five/", "k"), 200);
       ck_assert_int_eq (ask_status (n, "GET /quote/", "k"), 404);
     }
@@ -303,12 +307,12 @@
                         "\"zone\":\"dc1\",\"version\":\"v1\",\"slots\":6,"
                         "\"state\":\"ready\",\"cold-left-ms\":0,\"seq\":9,"
                         "\"born\":" LATER_START "}";
-  pid_t proxy = p_proxy (DESK_PROXY, DESK_1);
+  pid_t proxy = p_start_fault_proxy (DESK_PROXY, DESK_1);
   int lost = 0;
 
-  p_ready_gateway (BASE, 1);
+  p_start_ready_gateway (BASE, 1);
   put ("servers/desk-0", behind);
-  ck_assert (p_log_says (LOG_1, "addr=127.0.0.1:23052", 2000));
+  ck_assert (p_wait_for_log (LOG_1, "addr=127.0.0.1:23052", 2000));
   for (int i = 0; i < 6; i++)
     {
       g_autofree char *id = g_strdup_printf ("w%d", i);
@@ -326,7 +330,7 @@
     }
   /* Each kept connection costs one order at most. */
   ck_assert_int_le (lost, 6);
-  ck_assert_double_eq (p_runs (DESK_1, 2, "doubled"), 0);
+  ck_assert_double_eq (p_sum_runs (DESK_1, 2, "doubled"), 0);
   ck_assert_int_eq (ask_status (1, "POST /order/a", "last"), 200);
 }
 END_TEST
@@ -337,8 +341,8 @@
 {
   g_autofree char *size
       = g_strdup_printf ("Comfreypost-Token-Count: 10,%d\r\n", events * STRIDE);
-  g_autofree char *req = p_request ("POST /chat/a", id, size, "");
-  int fd = p_connect (p_front (BASE, 1));
+  g_autofree char *req = p_build_request ("POST /chat/a", id, size, "");
+  int fd = p_connect (p_front_port (BASE, 1));
 
   p_send (fd, req);
   return fd;
@@ -347,7 +351,7 @@
 static double
 runs_of_ranks (void)
 {
-  return p_runs (RANK_1, N_RANKS, "runs");
+  return p_sum_runs (RANK_1, N_RANKS, "runs");
 }
 
 /* Waits up to @ms until ranks have @n runs. */
@@ -363,19 +367,19 @@
  * is not begun. */
 START_TEST (a_woken_target_begins_nothing_for_who_left)
 {
-  g_autofree char *req = p_request ("GET /quote/a", "w1", NULL, "");
+  g_autofree char *req = p_build_request ("GET /quote/a", "w1", NULL, "");
   int fd;
 
-  p_ready_gateway (BASE, 1);
+  p_start_ready_gateway (BASE, 1);
   p_signal (platform, SIGSTOP);
-  fd = p_connect (p_front (BASE, 1));
+  fd = p_connect (p_front_port (BASE, 1));
   p_send (fd, req);
   usleep (100000);
   close (fd);
   usleep (100000);
   p_signal (platform, SIGCONT);
   usleep (300000);
-  ck_assert_double_eq (p_runs (DESK_1, 2, "runs"), 0);
+  ck_assert_double_eq (p_sum_runs (DESK_1, 2, "runs"), 0);
 }
 END_TEST
 
@@ -386,16 +390,16 @@
   g_autofree char *answer = NULL;
   int fds[3];
 
-  p_detours.one_retry = TRUE;
-  p_ready_gateway (BASE, 1);
+  p_overrides.allow_one_retry = TRUE;
+  p_start_ready_gateway (BASE, 1);
   fds[0] = begin_stream ("s1", 4000);
   ck_assert (ranks_run (1, 2000));
-  p_fault (RANK_1, N_RANKS, "tardy", 2);
+  p_inject_fault (RANK_1, N_RANKS, "tardy", 2);
   fds[1] = begin_stream ("s2", 10);
   ck_assert (ranks_run (3, 2000));
   fds[2] = begin_stream ("s3", 10);
-  answer = p_read (fds[2], 2 * CALLER_STAYS_MS);
-  ck_assert_int_eq (p_status (answer), 200);
+  answer = p_read_answer (fds[2], 2 * CALLER_STAYS_MS);
+  ck_assert_int_eq (p_parse_status (answer), 200);
   ck_assert_double_eq (runs_of_ranks (), 4);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
@@ -410,13 +414,13 @@
   int lively;
   int stream;
 
-  p_ready_gateway (BASE, 1);
+  p_start_ready_gateway (BASE, 1);
   lively = begin_stream ("s1", 4000);
   ck_assert (ranks_run (1, 2000));
-  p_fault (RANK_1, N_RANKS, "hang", 1);
+  p_inject_fault (RANK_1, N_RANKS, "hang", 1);
   stream = begin_stream ("s2", 10);
-  answer = p_read (stream, CALLER_STAYS_MS);
-  ck_assert_int_eq (p_status (answer), 502);
+  answer = p_read_answer (stream, CALLER_STAYS_MS);
+  ck_assert_int_eq (p_parse_status (answer), 502);
   ck_assert_double_eq (runs_of_ranks (), 3);
   close (lively);
   close (stream);
@@ -442,8 +446,8 @@
   int busy[SHARE];
   int stream;
 
-  p_ready_gateway (BASE, 1);
-  p_ready_gateway (BASE, 2);
+  p_start_ready_gateway (BASE, 1);
+  p_start_ready_gateway (BASE, 2);
   usleep (1500000);
   for (int i = 0; i < SHARE; i++)
     {
@@ -461,15 +465,15 @@
   stream = begin_stream ("s3", 10);
   usleep (WAITS_MS * 1000);
   ck_assert_double_eq (runs_of_ranks (), SHARE);
-  p_fault (RANK_1, N_RANKS, "hang", 1);
+  p_inject_fault (RANK_1, N_RANKS, "hang", 1);
   /* It gets the rank of the first, which shows no work then; the rank of the
    * second does. */
   close (busy[0]);
   usleep (20000);
   for (int i = 2; i < SHARE; i++)
     close (busy[i]);
-  answer = p_read (stream, CALLER_STAYS_MS - WAITS_MS - 20);
-  ck_assert_int_eq (p_status (answer), 502);
+  answer = p_read_answer (stream, CALLER_STAYS_MS - WAITS_MS - 20);
+  ck_assert_int_eq (p_parse_status (answer), 502);
   ck_assert_double_eq (runs_of_ranks (), SHARE + 1);
   close (busy[1]);
   close (stream);
@@ -502,5 +506,5 @@
   tcase_add_checked_fixture (crowded, setup_crowded, p_stop_all);
   tcase_add_test (crowded, none_is_sent_once_more_when_its_caller_leaves_first);
   suite_add_tcase (s, crowded);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-once.c
+++ b/t/t-once.c
@@ -43,7 +43,7 @@
                          "target_url = \"" SERVICE "\"\n",
                          i + 1);
 
-  return t_start (name, "./comfrey-agent", s);
+  return t_start_program (name, "./comfrey-agent", s);
 }
 
 static void
@@ -51,13 +51,13 @@
 {
   g_mkdir_with_parents ("t/out", 0755);
   g_file_set_contents ("t/out/o-records.jsonl", records, -1, NULL);
-  t_start ("o-config", "./comfrey-fake-config",
-           "[config]\nlisten = \"127.0.0.1:17400\"\n"
-           "records = \"t/out/o-records.jsonl\"\n");
-  t_start ("o-vmlist", "./comfrey-fake-vmlist",
-           "[vmlist]\nlisten = \"127.0.0.1:17409\"\n");
-  t_start ("o-service", "./comfrey-fake-service",
-           "[service]\nlisten = \"127.0.0.1:17491\"\nwork_ms = 800\n");
+  t_start_program ("o-config", "./comfrey-fake-config",
+                   "[config]\nlisten = \"127.0.0.1:17400\"\n"
+                   "records = \"t/out/o-records.jsonl\"\n");
+  t_start_program ("o-vmlist", "./comfrey-fake-vmlist",
+                   "[vmlist]\nlisten = \"127.0.0.1:17409\"\n");
+  t_start_program ("o-service", "./comfrey-fake-service",
+                   "[service]\nlisten = \"127.0.0.1:17491\"\nwork_ms = 800\n");
   for (int i = 0; i < AGENTS; i++)
     agents[i] = start_agent (i);
   for (int i = 0; i < 2; i++)
@@ -69,14 +69,14 @@
           "[vmlist]\nurl = \"http://127.0.0.1:17409\"\n",
           i + 1, i);
 
-      entry_pids[i] = t_start (name, "./comfrey-entry", s);
+      entry_pids[i] = t_start_program (name, "./comfrey-entry", s);
     }
   for (int i = 0; i < 2; i++)
     {
       g_autofree char *url = g_strconcat (entries[i], "/v1/health", NULL);
 
       /* Three links, and no guard still quiet after its start. */
-      ck_assert (t_wait_for (
+      ck_assert (t_wait_for_body (
           url, "\"config_version\":1,\"links_up\":3,\"guards_quiet\":0",
           15000));
     }
@@ -286,5 +286,5 @@
   tcase_add_test (tc, test_same_key_at_both_entries_at_once);
   tcase_add_test (tc, test_two_of_three_guards_restarted);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-order-watch.c
+++ b/t/t-order-watch.c
@@ -61,5 +61,5 @@
   tcase_add_test (t, an_order_expires_once);
   tcase_add_test (t, a_hold_and_its_end_do_not_wait_for_an_agent);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-outage.c
+++ b/t/t-outage.c
@@ -83,5 +83,5 @@
   tcase_add_test (tc, an_outage_is_long_past_the_time_a_group_takes_to_form);
   tcase_add_test (tc, what_is_recent_is_so_only_after_an_outage);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-outlier.c
+++ b/t/t-outlier.c
@@ -73,5 +73,5 @@
   tcase_add_test (tc, test_ejected_at_once_when_known_to_be_of_no_use);
   tcase_add_test (tc, test_each_ejection_in_a_row_is_longer);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-overload.c
+++ b/t/t-overload.c
@@ -634,5 +634,5 @@
               overload_above_the_usual_peak_ends_within_3_s);
   add_fleets (s, "twice-the-knee",
               goodput_at_twice_the_knee_is_that_at_the_knee);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-pace.c
+++ b/t/t-pace.c
@@ -177,5 +177,5 @@
   tcase_add_test (tc, a_size_beyond_all_measure_is_no_time_at_all);
   tcase_add_test (tc, standing_still_is_no_pace);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-pass-record.c
+++ b/t/t-pass-record.c
@@ -32,5 +32,5 @@
 
   tcase_add_test (t, events_close_together_are_of_one_pass);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-peer-msg.c
+++ b/t/t-peer-msg.c
@@ -338,5 +338,5 @@
   tcase_add_test (t, frames_that_claim_too_much_are_not_read);
   tcase_add_test (t, an_earlier_version_is_understood);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-placement.c
+++ b/t/t-placement.c
@@ -125,5 +125,5 @@
   tcase_add_test (tc, test_a_move_not_worth_its_cost_is_not_made);
   tcase_add_test (tc, test_popularity_follows_late_and_restarted_counters);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-planned-stop.c
+++ b/t/t-planned-stop.c
@@ -44,10 +44,10 @@
 static void
 setup_two (const char *step_ms, const char *per_seq_ms)
 {
-  p_platform (BASE, "--ranks", "4", "--step-ms", step_ms, "--per-seq-ms",
-              per_seq_ms, NULL);
-  gateway = p_ready_gateway (BASE, 1);
-  p_ready_gateway (BASE, 2);
+  p_start_platform (BASE, "--ranks", "4", "--step-ms", step_ms, "--per-seq-ms",
+                    per_seq_ms, NULL);
+  gateway = p_start_ready_gateway (BASE, 1);
+  p_start_ready_gateway (BASE, 2);
 }
 
 static void
@@ -65,8 +65,8 @@
 static void
 setup_slow (void)
 {
-  p_platform (BASE, "--ranks", "4", "--step-ms", "40", NULL);
-  gateway = p_ready_gateway (BASE, 1);
+  p_start_platform (BASE, "--ranks", "4", "--step-ms", "40", NULL);
+  gateway = p_start_ready_gateway (BASE, 1);
 }
 
 /* A stream of @events events at gateway @n; its socket. */
@@ -77,8 +77,8 @@
   g_autofree char *id = g_strdup_printf ("stop%d", ++serial);
   g_autofree char *size
       = g_strdup_printf ("Comfreypost-Token-Count: 10,%d\r\n", events * STRIDE);
-  g_autofree char *req = p_request ("POST /chat/a", id, size, "");
-  int fd = p_connect (p_front (BASE, n));
+  g_autofree char *req = p_build_request ("POST /chat/a", id, size, "");
+  int fd = p_connect (p_front_port (BASE, n));
 
   p_send (fd, req);
   return fd;
@@ -109,7 +109,7 @@
 
   begin_streams (1, events, fds, N_RANKS);
   for (int i = 0; i < N_RANKS; i++)
-    g_free (p_read (fds[i], 8000));
+    g_free (p_read_answer (fds[i], 8000));
   leave_all (fds, N_RANKS);
 }
 
@@ -117,12 +117,13 @@
 static void
 check_not_cut (const char *answer)
 {
-  if (p_status (answer) == 503)
+  if (p_parse_status (answer) == 503)
     ck_assert_ptr_nonnull (strstr (answer, "Retry-After: "));
   else
-    ck_assert_msg (
-        p_status (answer) == 200 && g_str_has_suffix (answer, "0\r\n\r\n"),
-        "cut off: ...%s", answer + MAX ((gssize)strlen (answer) - 60, 0));
+    ck_assert_msg (p_parse_status (answer) == 200
+                       && g_str_has_suffix (answer, "0\r\n\r\n"),
+                   "cut off: ...%s",
+                   answer + MAX ((gssize)strlen (answer) - 60, 0));
 }
 
 START_TEST (a_stream_of_a_lull_is_not_cut)
@@ -142,15 +143,15 @@
   play_streams (45);
   play_streams (30);
   keeper = begin_stream (1, 60);
-  ck_assert (p_log_says (LOG, "close-idle", PICKY_MS));
+  ck_assert (p_wait_for_log (LOG, "close-idle", PICKY_MS));
   stream = begin_stream (1, 70);
   small = begin_stream (1, 12);
   usleep (100000);
   begin_streams (2, 4000, busy, SHARE);
-  brief = p_read (small, 3000);
-  ck_assert_int_eq (p_status (brief), 200);
+  brief = p_read_answer (small, 3000);
+  ck_assert_int_eq (p_parse_status (brief), 200);
   check_not_cut (brief);
-  answer = p_read (stream, 5000);
+  answer = p_read_answer (stream, 5000);
   check_not_cut (answer);
   leave_all (busy, SHARE);
   close (keeper);
@@ -168,7 +169,7 @@
   int keeper;
   int stream;
 
-  p_fault (RANK_1, N_RANKS, "broken", 1000);
+  p_inject_fault (RANK_1, N_RANKS, "broken", 1000);
   first = begin_stream (1, 10);
   p_signal (gateway, SIGTERM);
   usleep (2000000);
@@ -176,8 +177,8 @@
   usleep (PICKY_MS * 1000 - 2000000);
   stream = begin_stream (1, 20);
   usleep (1000000);
-  p_fault (RANK_1, N_RANKS, "none", 0);
-  answer = p_read (stream, 5000);
+  p_inject_fault (RANK_1, N_RANKS, "none", 0);
+  answer = p_read_answer (stream, 5000);
   check_not_cut (answer);
   close (first);
   close (keeper);
@@ -203,9 +204,9 @@
   usleep (1800000);
   stream = begin_stream (1, 40);
   small = begin_stream (1, 8);
-  brief = p_read (small, 3000);
-  ck_assert_int_eq (p_status (brief), 200);
-  answer = p_read (stream, 5000);
+  brief = p_read_answer (small, 3000);
+  ck_assert_int_eq (p_parse_status (brief), 200);
+  answer = p_read_answer (stream, 5000);
   check_not_cut (answer);
   leave_all (busy, SHARE);
   close (small);
@@ -220,7 +221,7 @@
   int first[N_RANKS];
   int fill[SHARE - N_RANKS];
 
-  p_fault (RANK_1, 1, "cut", 1);
+  p_inject_fault (RANK_1, 1, "cut", 1);
   begin_streams (1, 52, first, N_RANKS);
   usleep (20000);
   begin_streams (1, 12, fill, SHARE - N_RANKS);
@@ -228,9 +229,9 @@
   p_signal (gateway, SIGTERM);
   for (int i = 0; i < N_RANKS; i++)
     {
-      g_autofree char *answer = p_read (first[i], 8000);
+      g_autofree char *answer = p_read_answer (first[i], 8000);
 
-      ck_assert_int_eq (p_status (answer), 200);
+      ck_assert_int_eq (p_parse_status (answer), 200);
       check_not_cut (answer);
     }
   leave_all (first, N_RANKS);
@@ -259,8 +260,8 @@
 setup_patient (void)
 {
   setup_slow ();
-  g_free (p_test (BASE, "POST /test/put?key=op/config", patient));
-  ck_assert (p_log_says (LOG, "config-accept version=2", 1000));
+  g_free (p_call_standin (BASE, "POST /test/put?key=op/config", patient));
+  ck_assert (p_wait_for_log (LOG, "config-accept version=2", 1000));
 }
 
 /* A request that no time limit hurries; its socket. */
@@ -271,7 +272,7 @@
       "%s HTTP/1.1\r\nHost: demo.example\r\nComfreypost-Request-Id: %s\r\n"
       "Comfreypost-Token-Count: 10,40\r\nContent-Length: 0\r\n\r\n",
       method_and_path, id);
-  int fd = p_connect (p_front (BASE, 1));
+  int fd = p_connect (p_front_port (BASE, 1));
 
   p_send (fd, req);
   return fd;
@@ -288,8 +289,8 @@
   p_signal (gateway, SIGTERM);
   usleep (200000);
   call = begin_patient ("GET /quote/a", "early");
-  answer = p_read (call, 3000);
-  ck_assert_msg (p_status (answer) == 200, "%s", answer);
+  answer = p_read_answer (call, 3000);
+  ck_assert_msg (p_parse_status (answer) == 200, "%s", answer);
   close (call);
   close (keeper);
 }
@@ -301,13 +302,13 @@
   g_autofree char *answer = NULL;
   int call;
 
-  p_fault (BASE + 1, 2, "hang", 1);
+  p_inject_fault (BASE + 1, 2, "hang", 1);
   call = begin_patient ("GET /quote/a", "hung");
   usleep (150000);
-  p_fault (BASE + 1, 2, "none", 0);
+  p_inject_fault (BASE + 1, 2, "none", 0);
   p_signal (gateway, SIGTERM);
-  answer = p_read (call, 6000);
-  ck_assert_msg (p_status (answer) == 200, "%s", answer);
+  answer = p_read_answer (call, 6000);
+  ck_assert_msg (p_parse_status (answer) == 200, "%s", answer);
   close (call);
 }
 END_TEST
@@ -320,13 +321,13 @@
   gint64 sent_ms;
   int call;
 
-  p_fault (BASE + 1, 2, "hang", 1000);
+  p_inject_fault (BASE + 1, 2, "hang", 1000);
   p_signal (gateway, SIGTERM);
   usleep (2000000);
   sent_ms = g_get_monotonic_time () / 1000;
   call = begin_patient ("GET /quote/a", "hung");
-  answer = p_read (call, 6000);
-  ck_assert_int_eq (p_status (answer), 502);
+  answer = p_read_answer (call, 6000);
+  ck_assert_int_eq (p_parse_status (answer), 502);
   ck_assert_int_ge (g_get_monotonic_time () / 1000 - sent_ms, 2000);
   close (call);
 }
@@ -340,7 +341,7 @@
   int half;
   g_autofree char *answer = NULL;
 
-  p_fault (RANK_1, N_RANKS, "broken", 1000000);
+  p_inject_fault (RANK_1, N_RANKS, "broken", 1000000);
   for (int i = 0; i < 3; i++)
     {
       g_autofree char *id = g_strdup_printf ("wait%d", i);
@@ -350,17 +351,17 @@
     }
   usleep (300000);
   p_signal (gateway, SIGTERM);
-  half = p_connect (p_front (BASE, 1));
+  half = p_connect (p_front_port (BASE, 1));
   p_send (half, "POST /chat/a HTTP/1.1\r\nHost: demo.example\r\n"
                 "Content-Length: 9\r\n\r\nhalf");
   for (int i = 0; i < 3; i++)
     {
-      g_autofree char *waited = p_read (fds[i], 7000);
+      g_autofree char *waited = p_read_answer (fds[i], 7000);
 
-      ck_assert_msg (p_status (waited) == 503, "%d: %s", i, waited);
+      ck_assert_msg (p_parse_status (waited) == 503, "%d: %s", i, waited);
     }
-  answer = p_read (half, 7000);
-  ck_assert_msg (p_status (answer) == 503, "%s", answer);
+  answer = p_read_answer (half, 7000);
+  ck_assert_msg (p_parse_status (answer) == 503, "%s", answer);
   leave_all (fds, 3);
   close (half);
 }
@@ -391,5 +392,5 @@
   add_case (s, "silent", setup_patient, a_silent_target_is_replaced);
   add_case (s, "last", setup_patient, a_try_is_not_ended_for_none);
   add_case (s, "queued", setup_patient, what_waits_at_the_end_is_answered);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-platform.c
+++ b/t/t-platform.c
@@ -506,5 +506,5 @@
   tcase_add_test (t, headers_are_known);
   tcase_add_test (t, named_rates_are_read);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-quarantine.c
+++ b/t/t-quarantine.c
@@ -30,11 +30,11 @@
 static void
 setup (void)
 {
-  p_platform (BASE, "--ranks", "4", NULL);
+  p_start_platform (BASE, "--ranks", "4", NULL);
   for (int n = 1; n <= N_GATEWAYS; n++)
-    gateways[n] = p_ready_gateway (BASE, n);
+    gateways[n] = p_start_ready_gateway (BASE, n);
   for (int i = 0; i < N_TARGETS; i++)
-    g_free (p_test (DESK_1 + i, "POST /test/crasher", "boom"));
+    g_free (p_call_standin (DESK_1 + i, "POST /test/crasher", "boom"));
   usleep (SPREAD_MS * 1000);
 }
 
@@ -43,11 +43,11 @@
 ask (int n, int k, const char *method_and_path, const char *body)
 {
   g_autofree char *id = g_strdup_printf ("%s-%d-%d", body, n, k);
-  g_autofree char *req = p_request (method_and_path, id,
-                                    "Comfreypost-Token-Count: 10,80\r\n", body);
-  g_autofree char *a = p_ask (p_front (BASE, n), req);
+  g_autofree char *req = p_build_request (
+      method_and_path, id, "Comfreypost-Token-Count: 10,80\r\n", body);
+  g_autofree char *a = p_round_trip (p_front_port (BASE, n), req);
 
-  return p_status (a);
+  return p_parse_status (a);
 }
 
 /* Targets that crashed so far; waits until the last one is up again. */
@@ -55,7 +55,7 @@
 crashes (void)
 {
   usleep (RELIST_MS * 1000);
-  return p_runs (DESK_1, N_TARGETS, "crashes");
+  return p_sum_runs (DESK_1, N_TARGETS, "crashes");
 }
 
 /* Attempts at gateway @n until @want targets have crashed. */
@@ -98,7 +98,7 @@
   crash_targets (1, CRASHES);
   usleep (SPREAD_MS * 1000);
   p_signal (gateways[1], SIGKILL);
-  gateways[1] = p_ready_gateway (BASE, 1);
+  gateways[1] = p_start_ready_gateway (BASE, 1);
   usleep (2 * SPREAD_MS * 1000);
   ck_assert_int_eq (ask (1, 100, "POST /order/a", "boom"), 503);
   ck_assert_double_eq (crashes (), CRASHES);
@@ -108,14 +108,14 @@
 START_TEST (crashes_are_known_after_all_gateways_were_killed)
 {
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
+    p_start_agent (BASE, RANK_1 + i);
   usleep (2 * SPREAD_MS * 1000);
   crash_targets (1, CRASHES);
   usleep (SPREAD_MS * 1000);
   for (int n = 1; n <= N_GATEWAYS; n++)
     p_signal (gateways[n], SIGKILL);
   for (int n = 1; n <= N_GATEWAYS; n++)
-    gateways[n] = p_ready_gateway (BASE, n);
+    gateways[n] = p_start_ready_gateway (BASE, n);
   usleep (2 * SPREAD_MS * 1000);
   for (int n = 1; n <= N_GATEWAYS; n++)
     ck_assert_int_eq (ask (n, 100, "POST /order/a", "boom"), 503);
@@ -138,10 +138,10 @@
 {
   for (int k = 0; k < 3 * CRASHES; k++)
     {
-      p_fault (DESK_1, 1, "lost", 1);
-      p_fault (DESK_1 + 1, 1, "lost", 1);
+      p_inject_fault (DESK_1, 1, "lost", 1);
+      p_inject_fault (DESK_1 + 1, 1, "lost", 1);
       ask (1, k, "POST /quote/a", "q");
-      p_fault (DESK_1, N_DESKS, "none", 0);
+      p_inject_fault (DESK_1, N_DESKS, "none", 0);
       ck_assert_int_eq (ask (1, 100 + k, "POST /quote/a", "q"), 200);
     }
 }
@@ -389,10 +389,10 @@
 /* Targets that reset connections and go on have not crashed. */
 START_TEST (resets_do_not_quarantine_a_request)
 {
-  p_fault (RANK_1, N_RANKS, "cut", 100);
+  p_inject_fault (RANK_1, N_RANKS, "cut", 100);
   for (int k = 0; k < 2 * CRASHES; k++)
     ask (1, k, "POST /chat/a", "c");
-  p_fault (RANK_1, N_RANKS, "none", 0);
+  p_inject_fault (RANK_1, N_RANKS, "none", 0);
   for (int n = 1; n <= N_GATEWAYS; n++)
     ck_assert_int_eq (ask (n, 100, "POST /chat/a", "c"), 200);
 }
@@ -401,18 +401,18 @@
 /* The same request is at all of them, as a popular one may be. */
 START_TEST (targets_that_crash_together_do_not_quarantine)
 {
-  g_autofree char *req = p_request (
+  g_autofree char *req = p_build_request (
       "POST /chat/a", "hot", "Comfreypost-Token-Count: 10,4000\r\n", "hot");
   int fds[4 * N_RANKS];
 
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     {
-      fds[i] = p_connect (p_front (BASE, 1 + (int)i % N_GATEWAYS));
+      fds[i] = p_connect (p_front_port (BASE, 1 + (int)i % N_GATEWAYS));
       p_send (fds[i], req);
     }
   usleep (SPREAD_MS * 1000);
   for (int i = 0; i < N_RANKS; i++)
-    g_free (p_test (RANK_1 + i, "POST /test/crash", ""));
+    g_free (p_call_standin (RANK_1 + i, "POST /test/crash", ""));
   usleep (SPREAD_MS * 1000);
   ck_assert_double_ge (crashes (), CRASHES);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
@@ -456,5 +456,5 @@
   tcase_add_test (restart, a_restarted_gateway_learns_of_crashes);
   tcase_add_test (restart, crashes_are_known_after_all_gateways_were_killed);
   suite_add_tcase (s, restart);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-rank-groups.c
+++ b/t/t-rank-groups.c
@@ -21,44 +21,44 @@
 static void
 setup (void)
 {
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, NULL);
-  gateway = p_ready_gateway (BASE, 1);
+  p_start_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, NULL);
+  gateway = p_start_ready_gateway (BASE, 1);
 }
 
 static void
 fault_ranks (const char *kind, int x)
 {
-  p_fault (RANK_1, N_RANKS, kind, x);
+  p_inject_fault (RANK_1, N_RANKS, kind, x);
 }
 
 static double
 at_ranks (const char *what)
 {
-  return p_runs (RANK_1, N_RANKS, what);
+  return p_sum_runs (RANK_1, N_RANKS, what);
 }
 
 /* While a group forms, its ranks refuse all work: a request waits until the
  * group makes passes again, and its attempts are not used up. */
 START_TEST (requests_wait_for_a_group_to_open)
 {
-  g_autofree char *req = p_request ("POST /chat/a", "o1",
-                                    "Comfreypost-Token-Count: 100,40\r\n"
-                                    "Comfreypost-Deadline-Ms: 8000\r\n",
-                                    "x");
+  g_autofree char *req = p_build_request ("POST /chat/a", "o1",
+                                          "Comfreypost-Token-Count: 100,40\r\n"
+                                          "Comfreypost-Deadline-Ms: 8000\r\n",
+                                          "x");
   g_autofree char *first = NULL;
   g_autofree char *a = NULL;
   int fd;
 
   fault_ranks ("broken", 1000);
-  first = p_request ("POST /chat/a", "o0",
-                     "Comfreypost-Token-Count: 100,40\r\n", "x");
-  g_free (p_ask (p_front (BASE, 1), first));
-  fd = p_connect (p_front (BASE, 1));
+  first = p_build_request ("POST /chat/a", "o0",
+                           "Comfreypost-Token-Count: 100,40\r\n", "x");
+  g_free (p_round_trip (p_front_port (BASE, 1), first));
+  fd = p_connect (p_front_port (BASE, 1));
   p_send (fd, req);
   usleep (500000);
   fault_ranks ("none", 0);
-  a = p_read (fd, 4000);
-  ck_assert_msg (p_status (a) == 200, "%s", a);
+  a = p_read_answer (fd, 4000);
+  ck_assert_msg (p_parse_status (a) == 200, "%s", a);
   close (fd);
 }
 END_TEST
@@ -67,21 +67,21 @@
  * seconds, the next gateway leads. */
 START_TEST (a_group_that_stays_broken_refuses_at_once)
 {
-  g_autofree char *probe = p_request ("POST /chat/a", "q0", NULL, "x");
-  g_autofree char *req = p_request ("POST /chat/a", "q1",
-                                    "Comfreypost-Deadline-Ms: 8000\r\n", "x");
+  g_autofree char *probe = p_build_request ("POST /chat/a", "q0", NULL, "x");
+  g_autofree char *req = p_build_request (
+      "POST /chat/a", "q1", "Comfreypost-Deadline-Ms: 8000\r\n", "x");
   g_autofree char *answer = NULL;
   const char *after;
   gint64 start;
 
   fault_ranks ("broken", 100000);
-  g_free (p_ask (p_front (BASE, 1), probe));
+  g_free (p_round_trip (p_front_port (BASE, 1), probe));
   usleep (5200000);
   /* One may be the request that is sent to see. */
-  g_free (p_ask (p_front (BASE, 1), probe));
+  g_free (p_round_trip (p_front_port (BASE, 1), probe));
   start = g_get_monotonic_time ();
-  answer = p_ask (p_front (BASE, 1), req);
-  ck_assert_int_eq (p_status (answer), 503);
+  answer = p_round_trip (p_front_port (BASE, 1), req);
+  ck_assert_int_eq (p_parse_status (answer), 503);
   ck_assert_int_lt (g_get_monotonic_time () - start, 300000);
   after = strstr (answer, "Retry-After: ");
   ck_assert_ptr_nonnull (after);
@@ -91,27 +91,28 @@
 
 START_TEST (a_stopping_leader_hands_on_the_lead)
 {
-  g_autofree char *stream = p_request (
+  g_autofree char *stream = p_build_request (
       "POST /chat/a", "l1", "Comfreypost-Token-Count: 10,4000\r\n", "");
   g_autofree char *log_1 = g_strdup_printf ("t/out/gateway-%d-1.log", BASE);
   g_autofree char *log_2 = g_strdup_printf ("t/out/gateway-%d-2.log", BASE);
-  pid_t second = p_gateway (BASE, 2);
+  pid_t second = p_start_gateway (BASE, 2);
   gboolean first_leads;
   pid_t leader;
   int fd;
 
-  p_await_ready (BASE, 2);
+  p_wait_until_ready (BASE, 2);
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
+    p_start_agent (BASE, RANK_1 + i);
   usleep (2500000);
-  first_leads = p_log_says (log_1, "took-the-lead", 20);
-  ck_assert_int_ne (first_leads, p_log_says (log_2, "took-the-lead", 20));
+  first_leads = p_wait_for_log (log_1, "took-the-lead", 20);
+  ck_assert_int_ne (first_leads, p_wait_for_log (log_2, "took-the-lead", 20));
   leader = first_leads ? gateway : second;
-  fd = p_connect (p_front (BASE, first_leads ? 1 : 2));
+  fd = p_connect (p_front_port (BASE, first_leads ? 1 : 2));
   p_send (fd, stream);
   usleep (100000);
   kill (leader, SIGTERM);
-  ck_assert (p_log_says (first_leads ? log_2 : log_1, "took-the-lead", 3500));
+  ck_assert (
+      p_wait_for_log (first_leads ? log_2 : log_1, "took-the-lead", 3500));
   ck_assert_int_eq (kill (leader, 0), 0);
   close (fd);
 }
@@ -128,20 +129,21 @@
   int fds[8];
 
   p_stop_all ();
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--copy-ms", "9000",
-              NULL);
-  gateway = p_gateway (BASE, 1);
-  second = p_gateway (BASE, 2);
-  p_await_ready (BASE, 1);
-  p_await_ready (BASE, 2);
+  p_start_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--copy-ms",
+                    "9000", NULL);
+  gateway = p_start_gateway (BASE, 1);
+  second = p_start_gateway (BASE, 2);
+  p_wait_until_ready (BASE, 1);
+  p_wait_until_ready (BASE, 2);
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
-  ck_assert (p_log_says (log_1, "to=preparing", 2000)
-             || p_log_says (log_2, "to=preparing", 4000));
-  first_leads = p_log_says (log_1, "to=preparing", 20);
+    p_start_agent (BASE, RANK_1 + i);
+  p_start_streams (BASE, fds, G_N_ELEMENTS (fds));
+  ck_assert (p_wait_for_log (log_1, "to=preparing", 2000)
+             || p_wait_for_log (log_2, "to=preparing", 4000));
+  first_leads = p_wait_for_log (log_1, "to=preparing", 20);
   p_signal (first_leads ? gateway : second, SIGKILL);
-  ck_assert (p_log_says (first_leads ? log_2 : log_1, "nothing-pending", 3200));
+  ck_assert (
+      p_wait_for_log (first_leads ? log_2 : log_1, "nothing-pending", 3200));
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
 }
@@ -156,17 +158,18 @@
   int fds[8];
 
   p_stop_all ();
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--shift-s", "0.4",
-              NULL);
-  gateway = p_ready_gateway (BASE, 1);
+  p_start_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--shift-s",
+                    "0.4", NULL);
+  gateway = p_start_ready_gateway (BASE, 1);
   for (int i = 0; i < N_RANKS; i++)
     {
-      p_agent (BASE, RANK_1 + i);
-      g_free (p_test (RANK_1 + i, "POST /test/late-orders?tenths=8", ""));
+      p_start_agent (BASE, RANK_1 + i);
+      g_free (
+          p_call_standin (RANK_1 + i, "POST /test/late-orders?tenths=8", ""));
     }
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
+  p_start_streams (BASE, fds, G_N_ELEMENTS (fds));
   usleep (5000000);
-  ck_assert_uint_ge (p_log_count (log, "why=changed"), 5);
+  ck_assert_uint_ge (p_count_in_log (log, "why=changed"), 5);
   ck_assert_double_eq (at_ranks ("mixed"), 0);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
@@ -184,16 +187,16 @@
 begin_many (int *fds, gboolean mute)
 {
   p_stop_all ();
-  p_platform (BASE, "--ranks", G_STRINGIFY (MANY_RANKS), "--step-ms", STEP_MS,
-              "--shift-s", "0.8", NULL);
-  gateway = p_ready_gateway (BASE, 1);
+  p_start_platform (BASE, "--ranks", G_STRINGIFY (MANY_RANKS), "--step-ms",
+                    STEP_MS, "--shift-s", "0.8", NULL);
+  gateway = p_start_ready_gateway (BASE, 1);
   for (int i = 0; i < MANY_RANKS; i++)
     {
-      p_agent (BASE, RANK_1 + i);
+      p_start_agent (BASE, RANK_1 + i);
       if (mute)
-        g_free (p_test (RANK_1 + i, "POST /test/mute-orders", ""));
+        g_free (p_call_standin (RANK_1 + i, "POST /test/mute-orders", ""));
     }
-  p_load_ranks (BASE, fds, MANY_STREAMS);
+  p_start_streams (BASE, fds, MANY_STREAMS);
 }
 /** A change may take so long from the end of its hold until the leader may
  * plan the next: a pass, the agents' reading of it, and a margin. */
@@ -255,7 +258,7 @@
   int fds[MANY_STREAMS];
 
   begin_many (fds, TRUE);
-  ck_assert (p_log_says_times (log, "why=changed", 3, 8000));
+  ck_assert (p_wait_for_log_count (log, "why=changed", 3, 8000));
   ck_assert_double_lt (median_ms (log, "why=released", "why=changed"),
                        SWITCH_MS);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
@@ -279,13 +282,14 @@
   int fds[MANY_STREAMS];
 
   begin_many (fds, FALSE);
-  ck_assert (p_log_says (log, "why=changed", 8000));
+  ck_assert (p_wait_for_log (log, "why=changed", 8000));
   for (int i = 0; i < 2; i++)
     {
-      guint n = p_log_count (log, "why=nothing-pending");
+      guint n = p_count_in_log (log, "why=nothing-pending");
 
-      g_free (p_test (RANK_1 + i, "POST /test/restart?same=1", ""));
-      ck_assert (p_log_says_times (log, "why=nothing-pending", n + 1, 5000));
+      g_free (p_call_standin (RANK_1 + i, "POST /test/restart?same=1", ""));
+      ck_assert (
+          p_wait_for_log_count (log, "why=nothing-pending", n + 1, 5000));
       usleep (300000);
     }
   ck_assert_double_lt (median_ms (log, "why=new-epoch", "why=nothing-pending"),
@@ -303,8 +307,8 @@
   double after;
 
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
+    p_start_agent (BASE, RANK_1 + i);
+  p_start_streams (BASE, fds, G_N_ELEMENTS (fds));
   usleep (400000);
   before = at_ranks ("skew") / N_RANKS;
   usleep (4000000);
@@ -326,21 +330,21 @@
   int fds[8];
 
   p_stop_all ();
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--shift-s", "0.4",
-              "--copy-ms", "60", NULL);
-  gateway = p_ready_gateway (BASE, 1);
+  p_start_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--shift-s",
+                    "0.4", "--copy-ms", "60", NULL);
+  gateway = p_start_ready_gateway (BASE, 1);
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
-  ck_assert (p_log_says (log, "why=changed", 4000));
+    p_start_agent (BASE, RANK_1 + i);
+  p_start_streams (BASE, fds, G_N_ELEMENTS (fds));
+  ck_assert (p_wait_for_log (log, "why=changed", 4000));
   for (int i = 0; i < 3; i++)
     {
-      ck_assert (p_log_says_times (
-          log, "to=preparing", p_log_count (log, "to=preparing") + 1, 4000));
-      g_free (p_test (RANK_1 + i, "POST /test/restart?same=1", ""));
+      ck_assert (p_wait_for_log_count (
+          log, "to=preparing", p_count_in_log (log, "to=preparing") + 1, 4000));
+      g_free (p_call_standin (RANK_1 + i, "POST /test/restart?same=1", ""));
     }
-  before = p_log_count (log, "why=changed");
-  ck_assert (p_log_says_times (log, "why=changed", before + 2, 5000));
+  before = p_count_in_log (log, "why=changed");
+  ck_assert (p_wait_for_log_count (log, "why=changed", before + 2, 5000));
   ck_assert_double_eq (at_ranks ("mixed"), 0);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
@@ -357,20 +361,20 @@
   int fds[8];
 
   p_stop_all ();
-  p_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--shift-s", "0.4",
-              NULL);
-  gateway = p_ready_gateway (BASE, 1);
+  p_start_platform (BASE, "--ranks", "4", "--step-ms", STEP_MS, "--shift-s",
+                    "0.4", NULL);
+  gateway = p_start_ready_gateway (BASE, 1);
   for (int i = 0; i < N_RANKS; i++)
-    agents[i] = p_agent (BASE, RANK_1 + i);
-  p_load_ranks (BASE, fds, G_N_ELEMENTS (fds));
-  ck_assert (p_log_says (log, "why=changed", 5000));
+    agents[i] = p_start_agent (BASE, RANK_1 + i);
+  p_start_streams (BASE, fds, G_N_ELEMENTS (fds));
+  ck_assert (p_wait_for_log (log, "why=changed", 5000));
   for (int i = 0; i < 2; i++)
     {
       p_signal (agents[i], SIGKILL);
-      p_agent (BASE, RANK_1 + i);
+      p_start_agent (BASE, RANK_1 + i);
     }
-  changes = p_log_count (log, "why=changed");
-  ck_assert (p_log_says_times (log, "why=changed", changes + 2, 6000));
+  changes = p_count_in_log (log, "why=changed");
+  ck_assert (p_wait_for_log_count (log, "why=changed", changes + 2, 6000));
   ck_assert_double_eq (at_ranks ("mixed"), 0);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     close (fds[i]);
@@ -396,5 +400,5 @@
   tcase_add_test (t, agents_that_start_anew_are_told_maps_in_whole);
   tcase_add_test (t, a_rank_restarts_under_its_id_in_mid_change);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-rate-limit.c
+++ b/t/t-rate-limit.c
@@ -28,9 +28,9 @@
 static void
 setup (void)
 {
-  p_platform (BASE, "--ranks", "0", NULL);
+  p_start_platform (BASE, "--ranks", "0", NULL);
   for (int n = 1; n <= N_GATEWAYS; n++)
-    gateways[n] = p_ready_gateway (BASE, n);
+    gateways[n] = p_start_ready_gateway (BASE, n);
   usleep (SETTLE_MS * 1000);
 }
 
@@ -40,7 +40,7 @@
   g_autofree char *call = g_strdup_printf (
       "POST /test/limit%s%s", per_s ? "?per-s=" : "", per_s ? per_s : "");
 
-  g_free (p_test (DESK_1, call, ""));
+  g_free (p_call_standin (DESK_1, call, ""));
 }
 
 /* One request at the next gateway; its status. */
@@ -49,11 +49,11 @@
 {
   int n = 1 + n_asked % N_GATEWAYS;
   g_autofree char *id = g_strdup_printf ("r-%d", n_asked++);
-  g_autofree char *req = p_request ("GET /quote/a", id, NULL, "");
-  g_autofree char *a = p_ask (p_front (BASE, n), req);
+  g_autofree char *req = p_build_request ("GET /quote/a", id, NULL, "");
+  g_autofree char *a = p_round_trip (p_front_port (BASE, n), req);
 
   usleep (PAUSE_MS * 1000);
-  return p_status (a);
+  return p_parse_status (a);
 }
 
 /* Requests for @ms; how many are not answered with 200. */
@@ -71,7 +71,7 @@
 static double
 runs (void)
 {
-  return p_runs (DESK_1, 1, "runs");
+  return p_sum_runs (DESK_1, 1, "runs");
 }
 
 /* In a window the target gets no more than it takes, and some of it. */
@@ -103,7 +103,7 @@
   for (int n = 1; n <= N_GATEWAYS; n++)
     {
       p_signal (gateways[n], SIGKILL);
-      gateways[n] = p_ready_gateway (BASE, n);
+      gateways[n] = p_start_ready_gateway (BASE, n);
     }
   load (SETTLE_MS);
   check_window ();
@@ -116,7 +116,7 @@
   int refused = 0;
 
   name_limit ("1.1");
-  g_free (p_test (DESK_1 + 1, "POST /test/limit?per-s=1.1", ""));
+  g_free (p_call_standin (DESK_1 + 1, "POST /test/limit?per-s=1.1", ""));
   load (SETTLE_MS);
   for (int i = 0; i < 50; i++)
     {
@@ -247,5 +247,5 @@
   tcase_add_test (t, what_no_rate_allows_is_refused_at_once);
   tcase_add_test (t, a_target_without_a_limit_is_used_fully_again);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-rebalance.c
+++ b/t/t-rebalance.c
@@ -42,7 +42,7 @@
       "move_weight = 0.0\n",
       rank, rank);
 
-  return t_start (name, "./comfrey-agent", s);
+  return t_start_program (name, "./comfrey-agent", s);
 }
 
 static void *
@@ -129,16 +129,17 @@
 static void
 start_all (pthread_t *load)
 {
-  t_start ("r-weights", "./comfrey-fake-weights",
-           "[weights]\nlisten = \"127.0.0.1:18291\"\nmb_per_s = 4000\n");
-  t_start ("r-engine", "./comfrey-fake-engine",
-           "[engine]\nlisten = \"127.0.0.1:18290\"\nranks = 4\n"
-           "experts = 32\nplaces = 10\ncheck_fence = false\n"
-           "weights_url = \"http://127.0.0.1:18291\"\n"
-           "step_base_us = 1000\nload_lag_ms = 100\n");
+  t_start_program (
+      "r-weights", "./comfrey-fake-weights",
+      "[weights]\nlisten = \"127.0.0.1:18291\"\nmb_per_s = 4000\n");
+  t_start_program ("r-engine", "./comfrey-fake-engine",
+                   "[engine]\nlisten = \"127.0.0.1:18290\"\nranks = 4\n"
+                   "experts = 32\nplaces = 10\ncheck_fence = false\n"
+                   "weights_url = \"http://127.0.0.1:18291\"\n"
+                   "step_base_us = 1000\nload_lag_ms = 100\n");
   for (int r = 0; r < RANKS; r++)
     agents[r] = start_agent (r);
-  ck_assert (t_wait_for (ENGINE "/test/steps", "steps", 5000));
+  ck_assert (t_wait_for_body (ENGINE "/test/steps", "steps", 5000));
   stop_load = answered = failed = 0;
   for (int i = 0; i < CALLERS; i++)
     pthread_create (&load[i], NULL, caller, NULL);
@@ -306,5 +307,5 @@
   tcase_add_test (tc, test_change_waits_for_the_weight_store);
   tcase_add_test (tc, test_no_step_mixes_maps_under_faults);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-records.c
+++ b/t/t-records.c
@@ -88,5 +88,5 @@
   tcase_add_test (tc, test_both_schemas_side_by_side);
   tcase_add_test (tc, test_errors_name_line_and_remedy);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-report.c
+++ b/t/t-report.c
@@ -75,5 +75,5 @@
   tcase_add_test (t, each_second_says_what_binds);
   tcase_add_test (t, empty_logs_are_no_error);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-retry-budget.c
+++ b/t/t-retry-budget.c
@@ -40,5 +40,5 @@
 
   tcase_add_test (tc, test_retries_stay_within_their_share);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-route.c
+++ b/t/t-route.c
@@ -139,5 +139,5 @@
   tcase_add_test (tc, test_guards_are_distinct_and_do_not_depend_on_order);
   tcase_add_test (tc, test_guards_of_a_small_configuration);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-session.c
+++ b/t/t-session.c
@@ -54,32 +54,33 @@
   g_auto (GStrv) lines = NULL;
   GString *out = g_string_new (NULL);
 
-  t_start ("s-config", "./comfrey-fake-config",
-           "[config]\nlisten = \"127.0.0.1:17000\"\n"
-           "records = \"t/session-records.jsonl\"\n");
-  t_start ("s-vmlist", "./comfrey-fake-vmlist",
-           "[vmlist]\nlisten = \"127.0.0.1:17001\"\n");
-  t_start ("s-engine", "./comfrey-fake-engine",
-           "[engine]\nlisten = \"127.0.0.1:17201\"\nstep_base_us = 500\n");
-  t_start ("s-service", "./comfrey-fake-service",
-           "[service]\nlisten = \"127.0.0.1:17301\"\n");
-  t_start ("s-agent-1", "./comfrey-agent",
-           "[agent]\nlisten = \"127.0.0.1:17101\"\n"
-           "target_url = \"http://127.0.0.1:17201\"\n");
-  t_start ("s-agent-2", "./comfrey-agent",
-           "[agent]\nlisten = \"127.0.0.1:17102\"\n"
-           "target_url = \"http://127.0.0.1:17201\"\n");
-  t_start ("s-agent-3", "./comfrey-agent",
-           "[agent]\nlisten = \"127.0.0.1:17103\"\n"
-           "target_url = \"http://127.0.0.1:17301\"\n");
-  t_start ("s-entry", "./comfrey-entry",
-           "[entry]\nname = \"t\"\nlisten = \"127.0.0.1:17080\"\n"
-           "[config]\nurl = \"http://127.0.0.1:17000\"\n"
-           "[vmlist]\nurl = \"http://127.0.0.1:17001\"\n");
-  ck_assert_msg (t_wait_for (ENTRY "/v1/health",
-                             "\"config_version\":1,\"links_up\":3,"
-                             "\"guards_quiet\":0",
-                             15000),
+  t_start_program ("s-config", "./comfrey-fake-config",
+                   "[config]\nlisten = \"127.0.0.1:17000\"\n"
+                   "records = \"t/session-records.jsonl\"\n");
+  t_start_program ("s-vmlist", "./comfrey-fake-vmlist",
+                   "[vmlist]\nlisten = \"127.0.0.1:17001\"\n");
+  t_start_program (
+      "s-engine", "./comfrey-fake-engine",
+      "[engine]\nlisten = \"127.0.0.1:17201\"\nstep_base_us = 500\n");
+  t_start_program ("s-service", "./comfrey-fake-service",
+                   "[service]\nlisten = \"127.0.0.1:17301\"\n");
+  t_start_program ("s-agent-1", "./comfrey-agent",
+                   "[agent]\nlisten = \"127.0.0.1:17101\"\n"
+                   "target_url = \"http://127.0.0.1:17201\"\n");
+  t_start_program ("s-agent-2", "./comfrey-agent",
+                   "[agent]\nlisten = \"127.0.0.1:17102\"\n"
+                   "target_url = \"http://127.0.0.1:17201\"\n");
+  t_start_program ("s-agent-3", "./comfrey-agent",
+                   "[agent]\nlisten = \"127.0.0.1:17103\"\n"
+                   "target_url = \"http://127.0.0.1:17301\"\n");
+  t_start_program ("s-entry", "./comfrey-entry",
+                   "[entry]\nname = \"t\"\nlisten = \"127.0.0.1:17080\"\n"
+                   "[config]\nurl = \"http://127.0.0.1:17000\"\n"
+                   "[vmlist]\nurl = \"http://127.0.0.1:17001\"\n");
+  ck_assert_msg (t_wait_for_body (ENTRY "/v1/health",
+                                  "\"config_version\":1,\"links_up\":3,"
+                                  "\"guards_quiet\":0",
+                                  15000),
                  "the entry never had its configuration and three links");
 
   g_file_get_contents ("t/session.jsonl", &session, NULL, NULL);
@@ -115,5 +116,5 @@
   tcase_set_timeout (tc, 60);
   tcase_add_test (tc, test_session_matches_golden);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-settings.c
+++ b/t/t-settings.c
@@ -137,5 +137,5 @@
   tcase_add_test (tc, test_table_reads_every_kind);
   tcase_add_test (tc, test_table_errors_name_key_and_value);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-standstill.c
+++ b/t/t-standstill.c
@@ -158,5 +158,5 @@
   tcase_add_checked_fixture (t, setup, teardown);
   tcase_add_test (t, the_other_group_gets_what_comes);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-target.c
+++ b/t/t-target.c
@@ -160,5 +160,5 @@
   tcase_add_test (t, an_incarnation_is_said_always_or_never);
   tcase_add_test (t, an_unnamed_service_takes_no_address);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-wait-queue.c
+++ b/t/t-wait-queue.c
@@ -280,5 +280,5 @@
   tcase_add_test (t, fewer_are_lost_after_an_outage_than_by_arrival);
   tcase_add_test (t, of_the_late_the_shortest_of_time_goes_first);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-watch-batcher.c
+++ b/t/t-watch-batcher.c
@@ -44,5 +44,5 @@
   tcase_add_test (t, rare_events_are_polled_for_at_once);
   tcase_add_test (t, frequent_events_are_batched);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-wire.c
+++ b/t/t-wire.c
@@ -76,5 +76,5 @@
   tcase_add_test (tc, test_refusal_keeps_ran);
   tcase_add_test (tc, test_bad_frames_are_refused);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
