--- a/t/clock-step.c
+++ b/t/clock-step.c
@@ -1,53 +1,53 @@
 /*
- * Linked into a program under test, before the C library: the time of day jumps
- * ahead by 2.4 s and back again each half second, while the steady clock runs
- * on.
+ * Clock functions for a program under test, linked so that they override those
+ * of the C library.  The wall clock jumps ahead by 2.4 s in the second half of
+ * each second and back at its end; the monotonic clock is unchanged.
  */
 #include <dlfcn.h>
 #include <stddef.h>
 #include <sys/time.h>
 #include <time.h>
 
-#define STEP_S 2
-#define STEP_NS 400000000L
-#define SECOND_NS 1000000000L
+#define JUMP_S 2
+#define JUMP_NS 400000000L
+#define NS_PER_S 1000000000L
 
-typedef int (*ClockGettime) (clockid_t, struct timespec *);
+typedef int (*ClockGettimeFunc) (clockid_t, struct timespec *);
 
-static ClockGettime
-real_clock (void)
+static ClockGettimeFunc
+libc_clock_gettime (void)
 {
-  static ClockGettime real;
+  static ClockGettimeFunc func;
 
-  if (!real)
-    real = (ClockGettime)dlsym (RTLD_NEXT, "clock_gettime");
-  return real;
+  if (!func)
+    func = (ClockGettimeFunc)dlsym (RTLD_NEXT, "clock_gettime");
+  return func;
 }
 
 static void
-step (struct timespec *t)
+add_jump (struct timespec *t)
 {
-  struct timespec steady;
+  struct timespec monotonic;
 
-  real_clock () (CLOCK_MONOTONIC, &steady);
-  if (steady.tv_nsec < SECOND_NS / 2)
+  libc_clock_gettime () (CLOCK_MONOTONIC, &monotonic);
+  if (monotonic.tv_nsec < NS_PER_S / 2)
     return;
-  t->tv_sec += STEP_S;
-  t->tv_nsec += STEP_NS;
-  if (t->tv_nsec >= SECOND_NS)
+  t->tv_sec += JUMP_S;
+  t->tv_nsec += JUMP_NS;
+  if (t->tv_nsec >= NS_PER_S)
     {
       t->tv_sec++;
-      t->tv_nsec -= SECOND_NS;
+      t->tv_nsec -= NS_PER_S;
     }
 }
 
 int
 clock_gettime (clockid_t id, struct timespec *t)
 {
-  int rc = real_clock () (id, t);
+  int rc = libc_clock_gettime () (id, t);
 
   if (rc == 0 && (id == CLOCK_REALTIME || id == CLOCK_REALTIME_COARSE))
-    step (t);
+    add_jump (t);
   return rc;
 }
 
--- a/t/harness.c
+++ b/t/harness.c
@@ -12,11 +12,12 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-static GArray *started;
+static GArray *child_pids;
 
-/* A folder for each test program, so that programs run side by side. */
+/* Each test program writes to a directory of its own, so that several can run
+ * at the same time. */
 static char *
-out_file (const char *name, const char *suffix)
+output_path (const char *name, const char *suffix)
 {
   g_autofree char *dir
       = g_strdup_printf ("t/out/%s", program_invocation_short_name);
@@ -28,35 +29,35 @@
 pid_t
 t_start_program (const char *name, const char *prog, const char *settings)
 {
-  g_autofree char *conf = out_file (name, "toml");
-  g_autofree char *log = out_file (name, "log");
+  g_autofree char *settings_path = output_path (name, "toml");
+  g_autofree char *log_path = output_path (name, "log");
   pid_t pid;
 
-  g_file_set_contents (conf, settings, -1, NULL);
-  if (started == NULL)
-    started = g_array_new (FALSE, FALSE, sizeof (pid_t));
+  g_file_set_contents (settings_path, settings, -1, NULL);
+  if (child_pids == NULL)
+    child_pids = g_array_new (FALSE, FALSE, sizeof (pid_t));
   pid = fork ();
   if (pid == 0)
     {
-      int fd = open (log, O_WRONLY | O_CREAT | O_TRUNC, 0644);
+      int fd = open (log_path, O_WRONLY | O_CREAT | O_TRUNC, 0644);
 
       dup2 (fd, 2);
-      execl (prog, prog, "--settings", conf, (char *)NULL);
+      execl (prog, prog, "--settings", settings_path, (char *)NULL);
       _exit (127);
     }
-  g_array_append_val (started, pid);
+  g_array_append_val (child_pids, pid);
   return pid;
 }
 
 void
 t_stop_all (void)
 {
-  for (guint i = 0; started && i < started->len; i++)
-    kill (g_array_index (started, pid_t, i), SIGTERM);
-  for (guint i = 0; started && i < started->len; i++)
-    waitpid (g_array_index (started, pid_t, i), NULL, 0);
-  if (started)
-    g_array_set_size (started, 0);
+  for (guint i = 0; child_pids && i < child_pids->len; i++)
+    kill (g_array_index (child_pids, pid_t, i), SIGTERM);
+  for (guint i = 0; child_pids && i < child_pids->len; i++)
+    waitpid (g_array_index (child_pids, pid_t, i), NULL, 0);
+  if (child_pids)
+    g_array_set_size (child_pids, 0);
 }
 
 gboolean
@@ -75,8 +76,9 @@
   return FALSE;
 }
 
-/* Each test program has fixed ports: the same one run from another tree at
- * the same time would meet this one's processes, so it waits its turn. */
+/* Each test program uses fixed ports.  If the same test program runs from
+ * another source tree at the same time, it would connect to the processes of
+ * this one; the lock makes it wait. */
 int
 t_acquire_lock (const char *name)
 {
@@ -85,31 +87,32 @@
   int fd = open (path, O_RDWR | O_CREAT | O_CLOEXEC, 0666);
 
   if (fd < 0 || flock (fd, LOCK_EX) != 0)
-    fprintf (stderr, "%s: %s: no turns are taken\n", path, strerror (errno));
+    fprintf (stderr, "cannot lock %s: %s; running without the lock\n", path,
+             strerror (errno));
   return fd;
 }
 
 int
 t_run_suite (Suite *s)
 {
-  int turn = t_acquire_lock (program_invocation_short_name);
-  SRunner *sr = srunner_create (s);
+  int lock_fd = t_acquire_lock (program_invocation_short_name);
+  SRunner *runner = srunner_create (s);
   int failed;
 
-  srunner_run_all (sr, CK_NORMAL);
-  failed = srunner_ntests_failed (sr);
-  srunner_free (sr);
-  if (turn >= 0)
-    close (turn);
+  srunner_run_all (runner, CK_NORMAL);
+  failed = srunner_ntests_failed (runner);
+  srunner_free (runner);
+  if (lock_fd >= 0)
+    close (lock_fd);
   return failed ? 1 : 0;
 }
 
 char *
 t_read_log (const char *name)
 {
-  g_autofree char *log = out_file (name, "log");
+  g_autofree char *log_path = output_path (name, "log");
   char *text = NULL;
 
-  g_file_get_contents (log, &text, NULL, NULL);
+  g_file_get_contents (log_path, &text, NULL, NULL);
   return text ? text : g_strdup ("");
 }
--- a/t/harness.h
+++ b/t/harness.h
@@ -6,28 +6,37 @@
 
 /**
  * t_start_program:
- * Starts a program of ours with a settings file written from @settings,
- * its standard error going to t/out/PROGRAM/@name.log.  Returns its pid.
+ * @name: base name of the settings file and of the log
+ * @prog: path of the program
+ * @settings: contents of the settings file
+ *
+ * Starts @prog with a settings file written from @settings; its standard error
+ * goes to t/out/TEST-PROGRAM/@name.log.
+ *
+ * Returns: its pid.
  */
 pid_t t_start_program (const char *name, const char *prog,
                        const char *settings);
 
-/** t_stop_all: sends SIGTERM to everything t_start_program() started and waits.
- */
+/** t_stop_all: sends SIGTERM to all programs that t_start_program() started,
+ * and waits for them to exit. */
 void t_stop_all (void);
 
 /** t_wait_for_body: polls @url until its body contains @needle; FALSE on
  * timeout. */
 gboolean t_wait_for_body (const char *url, const char *needle, int timeout_ms);
 
-/** t_read_log: the log of @name, as written so far. */
+/** t_read_log: returns the log of @name, as written so far. */
 char *t_read_log (const char *name);
 
 /**
- * t_acquire_lock: waits until no other process of this machine has the turn
- * of @name.  Returns: what to close at its end; negative if there are none.
+ * t_acquire_lock:
+ * Waits until no other process of this machine holds the lock @name.
+ *
+ * Returns: a file descriptor that holds the lock until it is closed; it holds
+ * none if locking failed, and is negative if the lock file cannot be opened.
  */
 int t_acquire_lock (const char *name);
 
-/** t_run_suite: runs @s, frees it; returns main()'s exit status. */
+/** t_run_suite: runs @s and frees it; returns the exit status for main(). */
 int t_run_suite (Suite *s);
--- a/t/platform-harness.c
+++ b/t/platform-harness.c
@@ -14,46 +14,47 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/** How often a log is looked at while something is waited for. */
-#define LOG_LOOK_MS 20
-#define DRAIN_MS 2000
-#define MAX_FDS 1024
+/** Interval at which p_wait_for_log_count() reads the log. */
+#define LOG_POLL_MS 20
+#define DEFAULT_DRAIN_MS 2000
+#define DEFAULT_MAX_FDS 1024
 
-static GArray *started;
+static GArray *child_pids;
 POverrides p_overrides;
 
 static pid_t
 spawn (const char *log_name, const char *settings, char **argv)
 {
-  const char *folder = p_overrides.out ? p_overrides.out : "t/out";
-  g_autofree char *conf = g_strdup_printf ("%s/%s.conf", folder, log_name);
-  g_autofree char *log = g_strdup_printf ("%s/%s.log", folder, log_name);
-  int how = p_overrides.out ? O_APPEND : O_TRUNC;
+  const char *log_dir = p_overrides.log_dir ? p_overrides.log_dir : "t/out";
+  g_autofree char *settings_path
+      = g_strdup_printf ("%s/%s.conf", log_dir, log_name);
+  g_autofree char *log_path = g_strdup_printf ("%s/%s.log", log_dir, log_name);
+  int open_mode = p_overrides.log_dir ? O_APPEND : O_TRUNC;
   pid_t pid;
 
-  g_mkdir_with_parents (folder, 0755);
+  g_mkdir_with_parents (log_dir, 0755);
   if (settings)
-    g_file_set_contents (conf, settings, -1, NULL);
-  if (started == NULL)
-    started = g_array_new (FALSE, FALSE, sizeof (pid_t));
+    g_file_set_contents (settings_path, settings, -1, NULL);
+  if (child_pids == NULL)
+    child_pids = g_array_new (FALSE, FALSE, sizeof (pid_t));
   pid = fork ();
   if (pid == 0)
     {
-      int fd = open (log, O_WRONLY | O_CREAT | how, 0644);
+      int fd = open (log_path, O_WRONLY | O_CREAT | open_mode, 0644);
 
       prctl (PR_SET_PDEATHSIG, SIGKILL);
       dup2 (fd, 1);
       dup2 (fd, 2);
-      setenv ("COMFREYPOST_CONFIG", conf, 1);
+      setenv ("COMFREYPOST_CONFIG", settings_path, 1);
       execv (argv[0], argv);
       _exit (127);
     }
-  g_array_append_val (started, pid);
+  g_array_append_val (child_pids, pid);
   return pid;
 }
 
 static gboolean
-listens (int port)
+is_listening (int port)
 {
   int fd = p_connect (port);
 
@@ -64,15 +65,15 @@
 }
 
 static void
-await_port (int port)
+wait_for_port (int port)
 {
   for (int i = 0; i < 500; i++)
     {
-      if (listens (port))
+      if (is_listening (port))
         return;
       usleep (10000);
     }
-  ck_abort_msg ("nothing listens at port %d", port);
+  ck_abort_msg ("port %d is not accepting connections after 5 s", port);
 }
 
 pid_t
@@ -94,7 +95,7 @@
   g_ptr_array_add (argv, NULL);
   pid = spawn (name, NULL, (char **)argv->pdata);
   g_ptr_array_free (argv, TRUE);
-  await_port (base);
+  wait_for_port (base);
   return pid;
 }
 
@@ -112,8 +113,8 @@
       p_overrides.allow_one_retry
           ? "bounds.retry-slack=0\nbounds.retry-ratio=0\n"
           : "bounds.retry-slack=60\n",
-      p_overrides.drain_ms ? p_overrides.drain_ms : DRAIN_MS,
-      p_overrides.max_fds ? p_overrides.max_fds : MAX_FDS);
+      p_overrides.drain_ms ? p_overrides.drain_ms : DEFAULT_DRAIN_MS,
+      p_overrides.max_fds ? p_overrides.max_fds : DEFAULT_MAX_FDS);
 }
 
 int
@@ -138,7 +139,7 @@
   char *argv[] = { (char *)program, "--metrics-port", metrics, NULL };
   pid_t pid = spawn (name, s, argv);
 
-  await_port (p_front_port (base, n) + 1);
+  wait_for_port (p_front_port (base, n) + 1);
   return pid;
 }
 
@@ -151,7 +152,7 @@
   char *argv[] = { "target/comfrey-fault-proxy", from_addr, to_addr, NULL };
   pid_t pid = spawn (name, NULL, argv);
 
-  await_port (port);
+  wait_for_port (port);
   return pid;
 }
 
@@ -179,7 +180,7 @@
         return;
       usleep (20000);
     }
-  ck_abort_msg ("gateway %d is not ready", n);
+  ck_abort_msg ("gateway %d is not ready after 5 s", n);
 }
 
 pid_t
@@ -192,12 +193,12 @@
 }
 
 static void
-forget (pid_t pid)
+remove_pid (pid_t pid)
 {
-  for (guint i = 0; i < started->len; i++)
-    if (g_array_index (started, pid_t, i) == pid)
+  for (guint i = 0; i < child_pids->len; i++)
+    if (g_array_index (child_pids, pid_t, i) == pid)
       {
-        g_array_remove_index (started, i);
+        g_array_remove_index (child_pids, i);
         return;
       }
 }
@@ -207,7 +208,7 @@
 {
   if (waitpid (pid, status, WNOHANG) != pid)
     return FALSE;
-  forget (pid);
+  remove_pid (pid);
   return TRUE;
 }
 
@@ -218,7 +219,7 @@
 
   kill (pid, SIGTERM);
   waitpid (pid, &status, 0);
-  forget (pid);
+  remove_pid (pid);
   return WIFEXITED (status) ? WEXITSTATUS (status) : -1;
 }
 
@@ -229,7 +230,7 @@
   if (sig == SIGKILL)
     {
       waitpid (pid, NULL, 0);
-      forget (pid);
+      remove_pid (pid);
     }
 }
 
@@ -237,12 +238,12 @@
 p_stop_all (void)
 {
   memset (&p_overrides, 0, sizeof p_overrides);
-  for (guint i = 0; started && i < started->len; i++)
-    kill (g_array_index (started, pid_t, i), SIGKILL);
-  for (guint i = 0; started && i < started->len; i++)
-    waitpid (g_array_index (started, pid_t, i), NULL, 0);
-  if (started)
-    g_array_set_size (started, 0);
+  for (guint i = 0; child_pids && i < child_pids->len; i++)
+    kill (g_array_index (child_pids, pid_t, i), SIGKILL);
+  for (guint i = 0; child_pids && i < child_pids->len; i++)
+    waitpid (g_array_index (child_pids, pid_t, i), NULL, 0);
+  if (child_pids)
+    g_array_set_size (child_pids, 0);
 }
 
 int
@@ -276,7 +277,7 @@
 }
 
 static gboolean
-is_whole (const GString *s)
+is_answer_complete (const GString *s)
 {
   const char *end = strstr (s->str, "\r\n\r\n");
   const char *len = strstr (s->str, "Content-Length: ");
@@ -295,16 +296,16 @@
 p_read_answer (int fd, int ms)
 {
   GString *s = g_string_new (NULL);
-  gint64 until = g_get_monotonic_time () / 1000 + ms;
+  gint64 deadline_ms = g_get_monotonic_time () / 1000 + ms;
 
-  while (!is_whole (s))
+  while (!is_answer_complete (s))
     {
       struct pollfd p = { fd, POLLIN, 0 };
-      gint64 left = until - g_get_monotonic_time () / 1000;
+      gint64 remaining_ms = deadline_ms - g_get_monotonic_time () / 1000;
       char buf[8192];
       ssize_t n;
 
-      if (left <= 0 || poll (&p, 1, (int)left) <= 0)
+      if (remaining_ms <= 0 || poll (&p, 1, (int)remaining_ms) <= 0)
         break;
       n = recv (fd, buf, sizeof buf, 0);
       if (n <= 0)
@@ -386,11 +387,11 @@
 gboolean
 p_wait_for_log_count (const char *file, const char *needle, guint n, int ms)
 {
-  for (int i = 0; i <= ms; i += LOG_LOOK_MS)
+  for (int i = 0; i <= ms; i += LOG_POLL_MS)
     {
       if (p_count_in_log (file, needle) >= n)
         return TRUE;
-      usleep (LOG_LOOK_MS * 1000);
+      usleep (LOG_POLL_MS * 1000);
     }
   return FALSE;
 }
@@ -415,25 +416,26 @@
 }
 
 void
-p_inject_fault (int first, int n, const char *kind, int x)
+p_inject_fault (int first_port, int n_targets, const char *kind, int n_requests)
 {
   g_autofree char *call
-      = g_strdup_printf ("POST /test/fault?kind=%s&x=%d", kind, x);
+      = g_strdup_printf ("POST /test/fault?kind=%s&x=%d", kind, n_requests);
 
-  for (int i = 0; i < n; i++)
-    g_free (p_call_standin (first + i, call, ""));
+  for (int i = 0; i < n_targets; i++)
+    g_free (p_call_standin (first_port + i, call, ""));
 }
 
 double
-p_sum_runs (int first, int n, const char *what)
+p_sum_runs (int first_port, int n_targets, const char *counter)
 {
   double sum = 0;
 
-  for (int i = 0; i < n; i++)
+  for (int i = 0; i < n_targets; i++)
     {
-      g_autofree char *a = p_call_standin (first + i, "GET /test/runs", "");
+      g_autofree char *json
+          = p_call_standin (first_port + i, "GET /test/runs", "");
 
-      sum += p_json_number (a, what);
+      sum += p_json_number (json, counter);
     }
   return sum;
 }
--- a/t/platform-harness.h
+++ b/t/platform-harness.h
@@ -5,15 +5,19 @@
 
 /**
  * Helpers for tests that run the gateway's processes against the stand-in
- * of the platform, on ports of their own: @base is the store's, the plain
- * targets follow, then the ranks; gateway n listens at @base + 100 n.
+ * of the platform.  Each test uses a range of ports from @base on: the store
+ * listens at @base, the plain targets at the ports after it, then the ranks;
+ * gateway n listens at @base + 100 n.
  */
 
-/** p_start_platform: starts the stand-in with two plain targets. */
+/** p_start_platform: starts the stand-in of the platform, with two plain
+ * targets unless an argument says otherwise, and waits until it listens.
+ * @first_arg and those after it are its command-line arguments. */
 pid_t p_start_platform (int base, const char *first_arg,
                         ...) G_GNUC_NULL_TERMINATED;
 
-/** p_start_gateway: starts gateway @n (from 1), the first three being seeds. */
+/** p_start_gateway: starts gateway @n (from 1) and waits until it listens; the
+ * first three gateways are seeds. */
 pid_t p_start_gateway (int base, int n);
 
 /** p_start_agent: starts the agent of the rank at port @rank_port. */
@@ -22,96 +26,115 @@
 /** p_start_ready_gateway: starts gateway @n and waits until it is ready. */
 pid_t p_start_ready_gateway (int base, int n);
 
-/** p_wait_until_ready: until gateway @n is ready; fails the test after 5 s. */
+/** p_wait_until_ready: waits until gateway @n is ready; fails the test after
+ * 5 s. */
 void p_wait_until_ready (int base, int n);
 
 /**
- * p_start_fault_proxy: passes connections to @port on to @to, and harms them
- * when told by a signal (standins/comfrey-fault-proxy.c).
+ * p_start_fault_proxy: starts a proxy that forwards connections from @port to
+ * port @to and injects network faults on signals
+ * (standins/comfrey-fault-proxy.c).
  */
 pid_t p_start_fault_proxy (int port, int to);
 
-/** POverrides: what programs started next use in place of the usual; 0 for
- * the usual. */
+/** POverrides: values that replace the defaults for programs started later;
+ * 0 or %NULL keeps the default. */
 typedef struct
 {
-  int store;
-  int seed;                 /**< the first seed's */
-  int max_fds;              /**< descriptors of a process */
-  int drain_ms;             /**< the platform's bound on draining */
-  gboolean allow_one_retry; /**< all that the retry budget allows */
-  const char *gateway;      /**< (nullable): the program */
-  const char *out; /**< (nullable): the folder of logs, which go on where
-                        a former process of their name ended */
+  int store;                /**< port of the store */
+  int seed;                 /**< port of the first seed */
+  int max_fds;              /**< limit of file descriptors per process */
+  int drain_ms;             /**< the platform's limit on the time to drain */
+  gboolean allow_one_retry; /**< the retry budget allows one retry only */
+  const char *gateway;      /**< (nullable): the gateway program */
+  const char *log_dir;      /**< (nullable): directory of the logs; a process
+                                 started again appends to the log of its
+                                 predecessor */
 } POverrides;
 
-/** p_overrides: for the programs started from now on; a fixture's end drops
- * them. */
+/** p_overrides: applies to programs started from now on; p_stop_all() clears
+ * it. */
 extern POverrides p_overrides;
 
-/** p_stop: SIGTERM, and the exit status; -1 if it was killed. */
+/** p_stop: sends SIGTERM and waits; returns the exit status, or -1 if a signal
+ * ended the process. */
 int p_stop (pid_t pid);
 
-/** p_has_ended: whether it ended; then @status is as waitpid() says. */
+/** p_has_ended: whether the process has ended, without waiting; if so, sets
+ * @status as waitpid() does. */
 gboolean p_has_ended (pid_t pid, int *status);
 
-/** p_signal: another signal to a process started here. */
+/** p_signal: sends @sig to a process started here; after SIGKILL, also waits
+ * for its end. */
 void p_signal (pid_t pid, int sig);
 
-/** p_stop_all: ends all that was started, for a fixture. */
+/** p_stop_all: kills all processes started here; for the teardown of a
+ * fixture. */
 void p_stop_all (void);
 
-/** p_front_port: the port where gateway @n takes callers. */
+/** p_front_port: the port where gateway @n accepts callers. */
 int p_front_port (int base, int n);
 
-/** p_connect: a socket to @port of the loopback address. */
+/** p_connect: connects to @port of the loopback address; returns the socket,
+ * or -1. */
 int p_connect (int port);
 
-/** p_send: writes all of @text. */
+/** p_send: writes all of @text; stops silently on an error. */
 void p_send (int fd, const char *text);
 
 /**
- * p_read_answer: reads until a whole HTTP answer is in, the peer closes, or
- * @ms have passed.  Returns: what came; free with g_free().
+ * p_read_answer: reads until an HTTP answer is complete, the peer closes, or
+ * @ms have passed.
+ *
+ * Returns: what was received; free with g_free().
  */
 char *p_read_answer (int fd, int ms);
 
-/** p_round_trip: sends @text on a connection of its own; what came back. */
+/** p_round_trip: sends @text on a new connection and returns the answer; empty
+ * if the connection fails. */
 char *p_round_trip (int port, const char *text);
 
 /**
- * p_build_request: a request of the demo's tenant.
- * @method: with the path, such as "POST /order/a"
+ * p_build_request: builds a request of the demo's tenant.
+ * @method_and_path: such as "POST /order/a"
  * @id: its request id
+ * @more_headers: (nullable): further header lines
+ * @body: its body
  */
 char *p_build_request (const char *method_and_path, const char *id,
                        const char *more_headers, const char *body);
 
-/** p_parse_status: the status of an answer; 0 if it is none. */
+/** p_parse_status: the status code of an answer; 0 if @answer is not HTTP. */
 int p_parse_status (const char *answer);
 
-/** p_call_standin: a steering call of a stand-in; its body. */
+/** p_call_standin: sends a control request such as "POST /test/drain" to a
+ * stand-in and returns the body of its answer; the status has to be 200. */
 char *p_call_standin (int port, const char *call, const char *body);
 
-/** p_inject_fault: the next @x requests at each of @n targets from port @first
- * on meet @kind. */
-void p_inject_fault (int first, int n, const char *kind, int x);
+/** p_inject_fault: injects fault @kind into the next @n_requests requests at
+ * each of the @n_targets targets that listen from @first_port on. */
+void p_inject_fault (int first_port, int n_targets, const char *kind,
+                     int n_requests);
 
-/** p_sum_runs: the sum of @what over what those targets say of their runs. */
-double p_sum_runs (int first, int n, const char *what);
+/** p_sum_runs: the sum of the member @counter of /test/runs over the
+ * @n_targets targets that listen from @first_port on. */
+double p_sum_runs (int first_port, int n_targets, const char *counter);
 
-/** p_json_number: the number behind "name": in a JSON text. */
+/** p_json_number: the number of member @name in a JSON text; fails the test if
+ * there is none. */
 double p_json_number (const char *json, const char *name);
 
-/** p_count_in_log: how often @needle is in the log @file so far. */
+/** p_count_in_log: the number of occurrences of @needle in the log @file. */
 guint p_count_in_log (const char *file, const char *needle);
 
-/** p_wait_for_log: waits up to @ms for @needle in the log @file. */
+/** p_wait_for_log: waits up to @ms until the log @file contains @needle. */
 gboolean p_wait_for_log (const char *file, const char *needle, int ms);
 
-/** p_wait_for_log_count: the same for the @n th time. */
+/** p_wait_for_log_count: waits up to @ms until the log @file contains @needle
+ * @n times. */
 gboolean p_wait_for_log_count (const char *file, const char *needle, guint n,
                                int ms);
 
-/** p_start_streams: begins @n long streams at gateway 1; their sockets. */
+/** p_start_streams: starts @n long streams at gateway 1, which keep the ranks
+ * busy, and writes their sockets to @fds. */
 void p_start_streams (int base, int *fds, gsize n);
--- a/t/soak.c
+++ b/t/soak.c
@@ -63,7 +63,7 @@
   SoakResult r = { 0 };
 
   ck_assert_ptr_nonnull (freopen (out, "w", stdout));
-  p_overrides.out = seed.folder;
+  p_overrides.log_dir = seed.folder;
   play (seed.plan, &r);
   fflush (stdout);
   ck_assert_int_eq (write (seed.result_fd, &r, sizeof r), sizeof r);
