--- a/t/t-agent.c
+++ b/t/t-agent.c
@@ -27,7 +27,7 @@
                                         "\"\ntarget_url = \"%s\"\n%s",
                                         target, extra_settings);
 
-  return t_start ("a-agent", "./comfrey-agent", s);
+  return t_start_program ("a-agent", "./comfrey-agent", s);
 }
 
 static pid_t
@@ -51,8 +51,8 @@
 static int
 start_with_engine (pid_t *agent)
 {
-  t_start ("a-engine", "./comfrey-fake-engine",
-           "[engine]\nlisten = \"127.0.0.1:17790\"\n");
+  t_start_program ("a-engine", "./comfrey-fake-engine",
+                   "[engine]\nlisten = \"127.0.0.1:17790\"\n");
   *agent = start_agent (ENGINE);
   return connect_agent ();
 }
@@ -105,8 +105,9 @@
   long code = 0;
   int fd;
 
-  t_start ("a-engine", "./comfrey-fake-engine",
-           "[engine]\nlisten = \"127.0.0.1:17790\"\ncheck_fence = false\n");
+  t_start_program (
+      "a-engine", "./comfrey-fake-engine",
+      "[engine]\nlisten = \"127.0.0.1:17790\"\ncheck_fence = false\n");
   start_agent (ENGINE);
   fd = connect_agent ();
   send_order (fd, 1, 5, &r);
@@ -264,7 +265,7 @@
   CfMsg r;
   int fd;
 
-  t_start ("a-service", "./comfrey-fake-service", service);
+  t_start_program ("a-service", "./comfrey-fake-service", service);
   *agent = start_agent_with (SERVICE, extra_settings);
   fd = connect_agent ();
   /* The agent learns from this call how long a call takes. */
@@ -412,8 +413,8 @@
   long code = 0;
   int fd;
 
-  t_start ("a-service", "./comfrey-fake-service",
-           "[service]\nlisten = \"127.0.0.1:17791\"\nwork_ms = 500\n");
+  t_start_program ("a-service", "./comfrey-fake-service",
+                   "[service]\nlisten = \"127.0.0.1:17791\"\nwork_ms = 500\n");
   /* This agent has no quiet period; the one that replaces it has. */
   agent = start_agent_with (SERVICE, "guard_quiet_ms = 0\n");
   fd = connect_agent ();
@@ -446,8 +447,8 @@
   long code = 0;
   int fd;
 
-  t_start ("a-service", "./comfrey-fake-service",
-           "[service]\nlisten = \"127.0.0.1:17791\"\nwork_ms = 1\n");
+  t_start_program ("a-service", "./comfrey-fake-service",
+                   "[service]\nlisten = \"127.0.0.1:17791\"\nwork_ms = 1\n");
   start_agent_with (SERVICE, "workers = 1\nguard_quiet_ms = 0\n");
   fd = connect_agent ();
   /* After this call the only worker has a connection to reuse. */
@@ -505,5 +506,5 @@
   tcase_add_test (queue, test_stop_starts_no_call_it_cannot_finish);
   tcase_add_test (queue, test_stop_refuses_queued_calls);
   suite_add_tcase (s, queue);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-balancer.c
+++ b/t/t-balancer.c
@@ -533,5 +533,5 @@
   tcase_add_test (t, concurrency_limit_bounds_requests_in_flight);
   tcase_add_test (t, retry_after_is_bounded_by_remaining_time);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-callers.c
+++ b/t/t-callers.c
@@ -272,5 +272,5 @@
   tcase_add_test (t, gateway_never_answers);
   tcase_add_test (t, retry_after_is_invalid);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-concurrency-limit.c
+++ b/t/t-concurrency-limit.c
@@ -126,5 +126,5 @@
   tcase_add_test (t, non_binding_limit_is_lifted);
   tcase_add_test (t, slow_passes_alone_set_no_limit);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-coordinator.c
+++ b/t/t-coordinator.c
@@ -967,5 +967,5 @@
   tcase_add_test (u, all_ranks_use_one_map_per_pass_without_fences);
   suite_add_tcase (s, t);
   suite_add_tcase (s, u);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-decode-fuzz.c
+++ b/t/t-decode-fuzz.c
@@ -408,5 +408,5 @@
   tcase_add_test (t, store_replies);
   tcase_add_test (t, peer_messages);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-demo.c
+++ b/t/t-demo.c
@@ -181,5 +181,5 @@
 
   add_case (s, "platform", two_demos_side_by_side_print_their_summaries);
   add_case (s, "own", two_own_demos_side_by_side_print_their_summaries);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-expert-counts.c
+++ b/t/t-expert-counts.c
@@ -89,5 +89,5 @@
   tcase_add_test (t, no_increase_after_a_counter_reset);
   tcase_add_test (t, no_increase_over_a_long_time);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-explain.c
+++ b/t/t-explain.c
@@ -69,5 +69,5 @@
   tcase_add_test (tc, only_lines_of_the_request_are_shown_in_order);
   tcase_add_test (tc, unknown_ids_and_reasons_are_reported);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-fleet.c
+++ b/t/t-fleet.c
@@ -229,5 +229,5 @@
   tcase_add_test (t, each_gateway_has_a_distinct_place);
   tcase_add_test (t, larger_fleets_get_smaller_shares);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-gateway.c
+++ b/t/t-gateway.c
@@ -23,19 +23,19 @@
 static void
 setup (void)
 {
-  p_platform (BASE, "--ranks", "4", NULL);
-  gateway = p_gateway (BASE, 1);
-  front = p_front (BASE, 1);
-  p_await_ready (BASE, 1);
+  p_start_platform (BASE, "--ranks", "4", NULL);
+  gateway = p_start_gateway (BASE, 1);
+  front = p_front_port (BASE, 1);
+  p_wait_until_ready (BASE, 1);
 }
 
 static char *
 send_request (const char *method_and_path, const char *id, const char *headers,
               const char *body)
 {
-  g_autofree char *req = p_request (method_and_path, id, headers, body);
+  g_autofree char *req = p_build_request (method_and_path, id, headers, body);
 
-  return p_ask (front, req);
+  return p_round_trip (front, req);
 }
 
 /* Makes the next @x requests at each plain target, or each rank, meet the fault
@@ -43,20 +43,20 @@
 static void
 set_desk_fault (const char *kind, int x)
 {
-  p_fault (DESK_1, 2, kind, x);
+  p_inject_fault (DESK_1, 2, kind, x);
 }
 
 static void
 set_rank_fault (const char *kind, int x)
 {
-  p_fault (RANK_1, N_RANKS, kind, x);
+  p_inject_fault (RANK_1, N_RANKS, kind, x);
 }
 
 /* The sum of the counter @what over the plain targets. */
 static double
 desk_counter (const char *what)
 {
-  return p_runs (DESK_1, 2, what);
+  return p_sum_runs (DESK_1, 2, what);
 }
 
 START_TEST (request_is_forwarded_unchanged)
@@ -65,7 +65,7 @@
       "POST /order/a%20b?c=d", "r1",
       "X-Other: 1\r\nComfreypost-Tenant: forged\r\n", "two parcels");
 
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   ck_assert_ptr_nonnull (strstr (a, "Comfreypost-Server-Signature: desk-"));
   ck_assert_ptr_nonnull (strstr (a, "Comfreypost-Request-Id: r1\r\n"));
   ck_assert_ptr_nonnull (strstr (a, " POST /order/a%20b?c=d org=museum "
@@ -76,11 +76,11 @@
 START_TEST (public_route_needs_no_api_key)
 {
   g_autofree char *a
-      = p_ask (front, "GET /open/x HTTP/1.1\r\nHost: demo.example\r\n"
-                      "Comfreypost-Tenant: forged\r\n"
-                      "Comfreypost-Request-Id: r1\r\n\r\n");
+      = p_round_trip (front, "GET /open/x HTTP/1.1\r\nHost: demo.example\r\n"
+                             "Comfreypost-Tenant: forged\r\n"
+                             "Comfreypost-Request-Id: r1\r\n\r\n");
 
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   ck_assert_ptr_nonnull (strstr (a, "org=- key=hidden"));
 }
 END_TEST
@@ -109,9 +109,10 @@
 
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      g_autofree char *a = p_ask (front, cases[i].text);
+      g_autofree char *a = p_round_trip (front, cases[i].text);
 
-      ck_assert_msg (p_status (a) == cases[i].status, "case %zu: %s", i, a);
+      ck_assert_msg (p_parse_status (a) == cases[i].status, "case %zu: %s", i,
+                     a);
     }
 }
 END_TEST
@@ -124,8 +125,8 @@
   for (int i = 0; i < 5000; i++)
     g_string_append_c (s, 'x');
   g_string_append (s, "\r\n\r\n");
-  a = p_ask (front, s->str);
-  ck_assert_int_eq (p_status (a), 431);
+  a = p_round_trip (front, s->str);
+  ck_assert_int_eq (p_parse_status (a), 431);
   g_string_free (s, TRUE);
 }
 END_TEST
@@ -138,12 +139,12 @@
     {
       g_autofree char *id = g_strdup_printf ("k%d", i);
       g_autofree char *want = g_strdup_printf ("Request-Id: %s\r\n", id);
-      g_autofree char *req = p_request ("POST /order/a", id, NULL, "x");
+      g_autofree char *req = p_build_request ("POST /order/a", id, NULL, "x");
       g_autofree char *a = NULL;
 
       p_send (fd, req);
-      a = p_read (fd, 2000);
-      ck_assert_int_eq (p_status (a), 200);
+      a = p_read_answer (fd, 2000);
+      ck_assert_int_eq (p_parse_status (a), 200);
       ck_assert_ptr_nonnull (strstr (a, want));
     }
   close (fd);
@@ -160,7 +161,7 @@
       g_autofree char *want = g_strdup_printf ("Request-Id: %s\r\n", id);
       g_autofree char *a = send_request ("GET /quote/a", id, NULL, "");
 
-      ck_assert_int_eq (p_status (a), 200);
+      ck_assert_int_eq (p_parse_status (a), 200);
       ck_assert_ptr_nonnull (strstr (a, want));
       ck_assert_ptr_null (strstr (a, "\r\nextra"));
     }
@@ -179,10 +180,10 @@
       g_autofree char *a = NULL;
 
       /* One target fails once; the request may reach the other first. */
-      g_free (p_test (DESK_1, call, ""));
+      g_free (p_call_standin (DESK_1, call, ""));
       a = send_request ("GET /quote/a", kinds[i], NULL, "");
-      ck_assert_msg (p_status (a) == 200, "%s: %s", kinds[i], a);
-      g_free (p_test (DESK_1, "POST /test/fault?kind=x&x=0", ""));
+      ck_assert_msg (p_parse_status (a) == 200, "%s: %s", kinds[i], a);
+      g_free (p_call_standin (DESK_1, "POST /test/fault?kind=x&x=0", ""));
     }
 }
 END_TEST
@@ -193,7 +194,7 @@
 
   set_desk_fault ("unframed", 1);
   a = send_request ("GET /quote/a", "u1", NULL, "");
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   ck_assert_ptr_nonnull (strstr (a, "unframed desk-"));
 }
 END_TEST
@@ -210,7 +211,7 @@
 
       set_desk_fault (kinds[i], 1);
       a = send_request ("POST /order/a", kinds[i], NULL, "x");
-      ck_assert_msg (p_status (a) == 502, "%s: %s", kinds[i], a);
+      ck_assert_msg (p_parse_status (a) == 502, "%s: %s", kinds[i], a);
       set_desk_fault ("x", 0);
     }
   ck_assert_double_eq (desk_counter ("runs"), G_N_ELEMENTS (kinds));
@@ -224,7 +225,7 @@
 
   set_desk_fault ("full", 1);
   a = send_request ("POST /order/a", "f1", NULL, "x");
-  ck_assert_int_eq (p_status (a), 503);
+  ck_assert_int_eq (p_parse_status (a), 503);
   ck_assert_ptr_nonnull (strstr (a, "Retry-After: "));
   ck_assert_ptr_null (strstr (a, "Signature"));
   ck_assert_double_eq (desk_counter ("runs"), 0);
@@ -237,7 +238,7 @@
 
   set_desk_fault ("fail", 1);
   a = send_request ("POST /order/a", "x1", NULL, "x");
-  ck_assert_int_eq (p_status (a), 500);
+  ck_assert_int_eq (p_parse_status (a), 500);
   ck_assert_ptr_nonnull (strstr (a, "Signature: desk-"));
   ck_assert_ptr_nonnull (strstr (a, "failed\n"));
 }
@@ -256,13 +257,13 @@
   set_desk_fault ("hang", 1);
   a = send_request ("POST /order/a", "h1", NULL, "x");
   ms = g_get_monotonic_time () / 1000 - begun;
-  ck_assert_int_eq (p_status (a), 504);
+  ck_assert_int_eq (p_parse_status (a), 504);
   ck_assert_int_ge (ms, 750);
   ck_assert_int_le (ms, 1200);
   set_desk_fault ("x", 0);
-  g_free (p_test (DESK_1, "POST /test/fault?kind=hang&x=1", ""));
+  g_free (p_call_standin (DESK_1, "POST /test/fault?kind=hang&x=1", ""));
   b = send_request ("GET /quote/a", "h2", NULL, "");
-  ck_assert_int_eq (p_status (b), 200);
+  ck_assert_int_eq (p_parse_status (b), 200);
 }
 END_TEST
 
@@ -284,7 +285,7 @@
   g_autofree char *a = send_request ("POST /chat/a", "s1",
                                      "Comfreypost-Token-Count: 10,80\r\n", "");
 
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   for (int e = 1; e <= 20; e++)
     {
       g_autofree char *ev
@@ -305,11 +306,11 @@
   a = send_request ("POST /chat/a", "s2", "Comfreypost-Token-Count: 10,80\r\n",
                     "");
   /* The second rank cuts it off too, and the route allows two attempts. */
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   ck_assert (!g_str_has_suffix (a, "0\r\n\r\n"));
   ck_assert_uint_eq (count_occurrences (a, "id: 4\n"), 1);
   set_rank_fault ("x", 0);
-  g_free (p_test (RANK_1, "POST /test/fault?kind=cut&x=100", ""));
+  g_free (p_call_standin (RANK_1, "POST /test/fault?kind=cut&x=100", ""));
   for (int i = 0; i < 8; i++)
     {
       g_autofree char *id = g_strdup_printf ("s3-%d", i);
@@ -352,7 +353,7 @@
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     {
       g_autofree char *id = g_strdup_printf ("slow%zu", i);
-      g_autofree char *req = p_request (
+      g_autofree char *req = p_build_request (
           "POST /chat/a", id, "Comfreypost-Token-Count: 10,4000\r\n", "");
 
       fds[i] = p_connect (front);
@@ -365,7 +366,7 @@
       g_autofree char *id = g_strdup_printf ("quick%d", i);
       g_autofree char *a = send_request ("GET /quote/a", id, NULL, "");
 
-      ck_assert_int_eq (p_status (a), 200);
+      ck_assert_int_eq (p_parse_status (a), 200);
     }
   ck_assert_int_lt (g_get_monotonic_time () / 1000 - begun, 2000);
   ck_assert_int_lt (peak_rss_kb (gateway), 32768);
@@ -378,8 +379,8 @@
  * closed. */
 START_TEST (idle_connection_closes_after_timeout)
 {
-  g_autofree char *first = p_request ("POST /order/a", "i1", NULL, "x");
-  g_autofree char *second = p_request ("POST /order/a", "i2", NULL, "x");
+  g_autofree char *first = p_build_request ("POST /order/a", "i1", NULL, "x");
+  g_autofree char *second = p_build_request ("POST /order/a", "i2", NULL, "x");
   g_autofree char *a = NULL;
   g_autofree char *b = NULL;
   g_autofree char *end = NULL;
@@ -387,14 +388,14 @@
   int fd = p_connect (front);
 
   p_send (fd, first);
-  a = p_read (fd, 2000);
-  ck_assert_int_eq (p_status (a), 200);
+  a = p_read_answer (fd, 2000);
+  ck_assert_int_eq (p_parse_status (a), 200);
   usleep (2600000);
   p_send (fd, second);
-  b = p_read (fd, 2000);
-  ck_assert_int_eq (p_status (b), 200);
+  b = p_read_answer (fd, 2000);
+  ck_assert_int_eq (p_parse_status (b), 200);
   begun = g_get_monotonic_time () / 1000;
-  end = p_read (fd, 5000);
+  end = p_read_answer (fd, 5000);
   ck_assert_str_eq (end, "");
   ck_assert_int_ge (g_get_monotonic_time () / 1000 - begun, 2700);
   ck_assert_int_lt (g_get_monotonic_time () / 1000 - begun, 4500);
@@ -404,7 +405,7 @@
 
 START_TEST (request_is_cancelled_when_caller_leaves)
 {
-  g_autofree char *req = p_request ("POST /order/a", "g1", NULL, "x");
+  g_autofree char *req = p_build_request ("POST /order/a", "g1", NULL, "x");
   int fd;
 
   set_desk_fault ("hang", 1);
@@ -421,7 +422,7 @@
 
 START_TEST (draining_target_gets_no_new_requests)
 {
-  g_free (p_test (DESK_1, "POST /test/drain", ""));
+  g_free (p_call_standin (DESK_1, "POST /test/drain", ""));
   usleep (300000);
   for (int i = 0; i < 10; i++)
     {
@@ -430,12 +431,12 @@
 
       ck_assert_ptr_nonnull (strstr (a, "Signature: desk-1\r\n"));
     }
-  g_free (p_test (STORE, "POST /test/delete?key=servers/desk-1", ""));
+  g_free (p_call_standin (STORE, "POST /test/delete?key=servers/desk-1", ""));
   usleep (300000);
   {
     g_autofree char *a = send_request ("POST /order/a", "d-last", NULL, "x");
 
-    ck_assert_int_eq (p_status (a), 503);
+    ck_assert_int_eq (p_parse_status (a), 503);
     ck_assert_ptr_nonnull (strstr (a, "Retry-After: "));
   }
 }
@@ -446,12 +447,12 @@
  * requests at once. */
 START_TEST (target_removal_is_seen_after_store_outage)
 {
-  g_free (p_test (STORE, "POST /test/mode?mode=busy", ""));
-  g_free (p_test (STORE, "POST /test/forget", ""));
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=busy", ""));
+  g_free (p_call_standin (STORE, "POST /test/forget", ""));
   usleep (500000);
-  g_free (p_test (STORE, "POST /test/mode?mode=up", ""));
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=up", ""));
   usleep (3600000);
-  g_free (p_test (STORE, "POST /test/delete?key=servers/desk-0", ""));
+  g_free (p_call_standin (STORE, "POST /test/delete?key=servers/desk-0", ""));
   usleep (300000);
   for (int i = 0; i < 10; i++)
     {
@@ -474,15 +475,15 @@
  * old incarnations, which accept nothing any more. */
 START_TEST (restarted_targets_are_used_immediately)
 {
-  g_free (p_test (DESK_1, "POST /test/restart", ""));
-  g_free (p_test (DESK_2, "POST /test/restart", ""));
+  g_free (p_call_standin (DESK_1, "POST /test/restart", ""));
+  g_free (p_call_standin (DESK_2, "POST /test/restart", ""));
   usleep (100000);
   for (int i = 0; i < 20; i++)
     {
       g_autofree char *id = g_strdup_printf ("n%d", i);
       g_autofree char *a = send_request ("POST /order/a", id, NULL, "x");
 
-      ck_assert_msg (p_status (a) == 200, "%d: %s", i, a);
+      ck_assert_msg (p_parse_status (a) == 200, "%d: %s", i, a);
     }
 }
 END_TEST
@@ -492,10 +493,10 @@
 run_count (const char *id)
 {
   g_autofree char *call = g_strdup_printf ("GET /test/runs?id=%s", id);
-  g_autofree char *a = p_test (DESK_1, call, "");
-  g_autofree char *b = p_test (DESK_2, call, "");
+  g_autofree char *a = p_call_standin (DESK_1, call, "");
+  g_autofree char *b = p_call_standin (DESK_2, call, "");
 
-  return p_number (a, "times") + p_number (b, "times");
+  return p_json_number (a, "times") + p_json_number (b, "times");
 }
 
 /* Both plain targets work on a request that they will never answer, since their
@@ -505,8 +506,8 @@
  * noticed, either takes 375 ms of silence. */
 START_TEST (a_restart_under_the_same_id_ends_what_ran_there)
 {
-  g_autofree char *quote = p_request ("GET /quote/a", "s1", "", "");
-  g_autofree char *order = p_request ("POST /order/a", "s2", "", "x");
+  g_autofree char *quote = p_build_request ("GET /quote/a", "s1", "", "");
+  g_autofree char *order = p_build_request ("POST /order/a", "s2", "", "x");
   g_autofree char *a = NULL;
   g_autofree char *b = NULL;
   int fd[2];
@@ -517,12 +518,12 @@
   fd[1] = p_connect (front);
   p_send (fd[1], order);
   usleep (60000);
-  g_free (p_test (DESK_1, "POST /test/restart?same=1", ""));
-  g_free (p_test (DESK_2, "POST /test/restart?same=1", ""));
-  a = p_read (fd[0], 200);
-  b = p_read (fd[1], 200);
-  ck_assert_int_eq (p_status (a), 200);
-  ck_assert_int_eq (p_status (b), 502);
+  g_free (p_call_standin (DESK_1, "POST /test/restart?same=1", ""));
+  g_free (p_call_standin (DESK_2, "POST /test/restart?same=1", ""));
+  a = p_read_answer (fd[0], 200);
+  b = p_read_answer (fd[1], 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
+  ck_assert_int_eq (p_parse_status (b), 502);
   ck_assert_double_eq (run_count ("s1"), 2);
   ck_assert_double_eq (run_count ("s2"), 1);
   close (fd[0]);
@@ -542,10 +543,10 @@
           "\"version\":\"v1\",\"slots\":6,\"state\":\"draining\","
           "\"cold-left-ms\":0,\"seq\":9,\"born\":1000}",
           DESK_1 + i);
-      g_free (p_test (STORE,
-                      i ? "POST /test/put?key=servers/desk-1"
-                        : "POST /test/put?key=servers/desk-0",
-                      late[i]));
+      g_free (p_call_standin (STORE,
+                              i ? "POST /test/put?key=servers/desk-1"
+                                : "POST /test/put?key=servers/desk-0",
+                              late[i]));
       g_free (late[i]);
     }
   usleep (50000);
@@ -553,10 +554,10 @@
     {
       g_autofree char *a = send_request ("GET /quote/a", "f1", "", "");
 
-      ck_assert_int_eq (p_status (a), 200);
+      ck_assert_int_eq (p_parse_status (a), 200);
     }
   ck_assert (
-      p_log_says ("t/out/gateway-21000-1.log", "older-incarnation", 500));
+      p_wait_for_log ("t/out/gateway-21000-1.log", "older-incarnation", 500));
 }
 END_TEST
 
@@ -580,19 +581,19 @@
   const char *const log = "t/out/gateway-21000-1.log";
 
   for (gsize i = 0; i < G_N_ELEMENTS (puts); i++)
-    g_free (p_test (STORE, puts[i][0], puts[i][1]));
-  ck_assert (p_log_says_times (log, "outcome=bad", 5, 1000));
+    g_free (p_call_standin (STORE, puts[i][0], puts[i][1]));
+  ck_assert (p_wait_for_log_count (log, "outcome=bad", 5, 1000));
   /* Makes the gateway read the complete list again. */
-  g_free (p_test (STORE, "POST /test/forget", ""));
+  g_free (p_call_standin (STORE, "POST /test/forget", ""));
   usleep (300000);
   for (int i = 0; i < 6; i++)
     {
       g_autofree char *a = send_request ("GET /quote/a", "p1", "", "");
 
-      ck_assert_int_eq (p_status (a), 200);
+      ck_assert_int_eq (p_parse_status (a), 200);
       ck_assert_ptr_nonnull (strstr (a, "Server-Signature: desk-0"));
     }
-  ck_assert_uint_eq (p_log_count (log, "outcome=bad"), 5);
+  ck_assert_uint_eq (p_count_in_log (log, "outcome=bad"), 5);
 }
 END_TEST
 
@@ -603,13 +604,13 @@
 {
   int refused = 0;
 
-  g_free (p_test (DESK_1, "POST /test/fault?kind=moved&x=1000", ""));
+  g_free (p_call_standin (DESK_1, "POST /test/fault?kind=moved&x=1000", ""));
   for (int i = 0; i < 30; i++)
     {
       g_autofree char *id = g_strdup_printf ("m%d", i);
       g_autofree char *a = send_request ("POST /order/a", id, NULL, "x");
 
-      refused += p_status (a) != 200;
+      refused += p_parse_status (a) != 200;
     }
   ck_assert_int_le (refused, 3);
 }
@@ -623,24 +624,24 @@
   g_autofree char *c = NULL;
   g_autofree char *d = NULL;
 
-  g_free (p_test (STORE, put, CONFIG ("9", "/nine/")));
+  g_free (p_call_standin (STORE, put, CONFIG ("9", "/nine/")));
   usleep (300000);
   a = send_request ("GET /nine/", "c1", NULL, "");
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   b = send_request ("GET /quote/", "c2", NULL, "");
-  ck_assert_int_eq (p_status (b), 404);
+  ck_assert_int_eq (p_parse_status (b), 404);
   /* An older version and an invalid one change nothing. */
-  g_free (p_test (STORE, put, CONFIG ("8", "/eight/")));
-  g_free (p_test (STORE, put, "{\"version\":10,\"routes\":[{}]}"));
+  g_free (p_call_standin (STORE, put, CONFIG ("8", "/eight/")));
+  g_free (p_call_standin (STORE, put, "{\"version\":10,\"routes\":[{}]}"));
   usleep (300000);
   c = send_request ("GET /nine/", "c3", NULL, "");
-  ck_assert_int_eq (p_status (c), 200);
+  ck_assert_int_eq (p_parse_status (c), 200);
   /* The store has dropped its history: the next version is still found. */
-  g_free (p_test (STORE, "POST /test/forget", ""));
-  g_free (p_test (STORE, put, CONFIG ("11", "/eleven/")));
+  g_free (p_call_standin (STORE, "POST /test/forget", ""));
+  g_free (p_call_standin (STORE, put, CONFIG ("11", "/eleven/")));
   usleep (800000);
   d = send_request ("GET /eleven/", "c4", NULL, "");
-  ck_assert_int_eq (p_status (d), 200);
+  ck_assert_int_eq (p_parse_status (d), 200);
 }
 END_TEST
 
@@ -652,16 +653,16 @@
   g_autofree char *a = NULL;
   g_autofree char *b = NULL;
 
-  g_free (p_test (STORE, "POST /test/mode?mode=slow", ""));
-  g_free (p_test (STORE, put, CONFIG ("3", "/three/")));
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=slow", ""));
+  g_free (p_call_standin (STORE, put, CONFIG ("3", "/three/")));
   usleep (1200000);
   a = send_request ("GET /three/", "w1", NULL, "");
-  ck_assert_int_eq (p_status (a), 200);
-  g_free (p_test (STORE, "POST /test/mode?mode=some", ""));
-  g_free (p_test (STORE, put, CONFIG ("4", "/four/")));
+  ck_assert_int_eq (p_parse_status (a), 200);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=some", ""));
+  g_free (p_call_standin (STORE, put, CONFIG ("4", "/four/")));
   usleep (1900000);
   b = send_request ("GET /four/", "w2", NULL, "");
-  ck_assert_int_eq (p_status (b), 200);
+  ck_assert_int_eq (p_parse_status (b), 200);
 }
 END_TEST
 
@@ -672,15 +673,15 @@
   g_autofree char *a = NULL;
   g_autofree char *b = NULL;
 
-  g_free (p_test (STORE, put, CONFIG ("5", "/five/")));
+  g_free (p_call_standin (STORE, put, CONFIG ("5", "/five/")));
   usleep (300000);
-  g_free (p_test (STORE, "POST /test/mode?mode=stale", ""));
-  g_free (p_test (STORE, put, CONFIG ("6", "/six/")));
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=stale", ""));
+  g_free (p_call_standin (STORE, put, CONFIG ("6", "/six/")));
   usleep (500000);
   a = send_request ("GET /five/", "v1", NULL, "");
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   b = send_request ("GET /six/", "v2", NULL, "");
-  ck_assert_int_eq (p_status (b), 404);
+  ck_assert_int_eq (p_parse_status (b), 404);
 }
 END_TEST
 
@@ -708,20 +709,20 @@
   g_autofree char *body = g_strnfill (60000, 'b');
   g_autofree char *a = send_request ("POST /order/a", "big", NULL, body);
 
-  ck_assert_int_eq (p_status (a), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
   ck_assert_ptr_nonnull (strstr (a, body));
 }
 END_TEST
 
 START_TEST (gateway_without_store_learns_from_peer)
 {
-  g_autofree char *req = p_request ("POST /order/a", "p1", NULL, "x");
+  g_autofree char *req = p_build_request ("POST /order/a", "p1", NULL, "x");
   g_autofree char *a = NULL;
 
-  g_free (p_test (STORE, "POST /test/mode?mode=silent", ""));
-  p_ready_gateway (BASE, 2);
-  a = p_ask (p_front (BASE, 2), req);
-  ck_assert_int_eq (p_status (a), 200);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=silent", ""));
+  p_start_ready_gateway (BASE, 2);
+  a = p_round_trip (p_front_port (BASE, 2), req);
+  ck_assert_int_eq (p_parse_status (a), 200);
 }
 END_TEST
 
@@ -729,39 +730,39 @@
  * read the configuration were refused, most of them on their last attempt. */
 START_TEST (request_waits_for_config_at_startup)
 {
-  g_autofree char *req = p_request ("POST /order/a", "u1", NULL, "x");
+  g_autofree char *req = p_build_request ("POST /order/a", "u1", NULL, "x");
   g_autofree char *a = NULL;
   int fd;
 
   p_signal (gateway, SIGKILL);
-  g_free (p_test (STORE, "POST /test/mode?mode=busy", ""));
-  p_gateway (BASE, 1);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=busy", ""));
+  p_start_gateway (BASE, 1);
   fd = p_connect (front);
   p_send (fd, req);
   usleep (300000);
-  g_free (p_test (STORE, "POST /test/mode?mode=good", ""));
-  a = p_read (fd, 2000);
-  ck_assert_int_eq (p_status (a), 200);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=good", ""));
+  a = p_read_answer (fd, 2000);
+  ck_assert_int_eq (p_parse_status (a), 200);
   close (fd);
 }
 END_TEST
 
 START_TEST (gateway_without_config_is_not_ready)
 {
-  g_autofree char *req = p_request ("POST /order/a", "n1", NULL, "x");
+  g_autofree char *req = p_build_request ("POST /order/a", "n1", NULL, "x");
   g_autofree char *a = NULL;
   g_autofree char *b = NULL;
 
   p_signal (gateway, SIGKILL);
-  g_free (p_test (STORE, "POST /test/mode?mode=busy", ""));
-  p_gateway (BASE, 1);
-  a = p_ask (front + 1, "GET /v1/readyz HTTP/1.1\r\n\r\n");
-  ck_assert_int_eq (p_status (a), 503);
-  b = p_ask (front, req);
-  ck_assert_int_eq (p_status (b), 503);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=busy", ""));
+  p_start_gateway (BASE, 1);
+  a = p_round_trip (front + 1, "GET /v1/readyz HTTP/1.1\r\n\r\n");
+  ck_assert_int_eq (p_parse_status (a), 503);
+  b = p_round_trip (front, req);
+  ck_assert_int_eq (p_parse_status (b), 503);
   ck_assert_ptr_nonnull (strstr (b, "Retry-After: "));
-  g_free (p_test (STORE, "POST /test/mode?mode=up", ""));
-  p_await_ready (BASE, 1);
+  g_free (p_call_standin (STORE, "POST /test/mode?mode=up", ""));
+  p_wait_until_ready (BASE, 1);
 }
 END_TEST
 
@@ -771,10 +772,10 @@
  * accepts it. */
 START_TEST (planned_stop_completes_running_requests)
 {
-  g_autofree char *stream = p_request (
+  g_autofree char *stream = p_build_request (
       "POST /chat/a", "t1", "Comfreypost-Token-Count: 10,1800\r\n", "");
-  g_autofree char *order = p_request ("POST /order/a", "t2", NULL, "x");
-  g_autofree char *longer = p_request (
+  g_autofree char *order = p_build_request ("POST /order/a", "t2", NULL, "x");
+  g_autofree char *longer = p_build_request (
       "POST /chat/a", "t3", "Comfreypost-Token-Count: 10,4000\r\n", "");
   g_autofree char *early = NULL;
   g_autofree char *late = NULL;
@@ -788,19 +789,19 @@
   usleep (100000);
   kill (gateway, SIGTERM);
   usleep (200000);
-  ready = p_ask (front + 1, "GET /v1/readyz HTTP/1.1\r\n\r\n");
-  ck_assert_int_eq (p_status (ready), 503);
-  early = p_ask (front, order);
-  ck_assert_int_eq (p_status (early), 200);
+  ready = p_round_trip (front + 1, "GET /v1/readyz HTTP/1.1\r\n\r\n");
+  ck_assert_int_eq (p_parse_status (ready), 503);
+  early = p_round_trip (front, order);
+  ck_assert_int_eq (p_parse_status (early), 200);
   ck_assert_ptr_nonnull (strstr (early, "Connection: close"));
   usleep (2300000);
-  late = p_ask (front, order);
-  ck_assert_int_eq (p_status (late), 200);
+  late = p_round_trip (front, order);
+  ck_assert_int_eq (p_parse_status (late), 200);
   ck_assert_ptr_nonnull (strstr (late, "Connection: close"));
-  too_late = p_ask (front, longer);
-  ck_assert_int_eq (p_status (too_late), 503);
+  too_late = p_round_trip (front, longer);
+  ck_assert_int_eq (p_parse_status (too_late), 503);
   ck_assert_ptr_nonnull (strstr (too_late, "Retry-After: 1."));
-  whole = p_read (fd, 5000);
+  whole = p_read_answer (fd, 5000);
   ck_assert (g_str_has_suffix (whole, "0\r\n\r\n"));
   ck_assert_uint_eq (count_occurrences (whole, "id: 450\n"), 1);
   ck_assert_int_eq (p_stop (gateway), 0);
@@ -811,7 +812,7 @@
 
 START_TEST (reload_interrupts_no_stream)
 {
-  g_autofree char *stream = p_request (
+  g_autofree char *stream = p_build_request (
       "POST /chat/a", "u1", "Comfreypost-Token-Count: 10,200\r\n", "");
   g_autofree char *whole = NULL;
   int fd = p_connect (front);
@@ -819,7 +820,7 @@
   p_send (fd, stream);
   usleep (50000);
   p_signal (gateway, SIGHUP);
-  whole = p_read (fd, 5000);
+  whole = p_read_answer (fd, 5000);
   ck_assert (g_str_has_suffix (whole, "0\r\n\r\n"));
   close (fd);
 }
@@ -828,10 +829,11 @@
 START_TEST (metrics_are_served)
 {
   g_autofree char *a = send_request ("POST /order/a", "m1", NULL, "x");
-  g_autofree char *m = p_ask (front + 3, "GET /metrics HTTP/1.1\r\n\r\n");
+  g_autofree char *m
+      = p_round_trip (front + 3, "GET /metrics HTTP/1.1\r\n\r\n");
 
-  ck_assert_int_eq (p_status (a), 200);
-  ck_assert_int_eq (p_status (m), 200);
+  ck_assert_int_eq (p_parse_status (a), 200);
+  ck_assert_int_eq (p_parse_status (m), 200);
   ck_assert_ptr_nonnull (
       strstr (m, "\ncomfrey_outcomes_total{outcome=\"success\"} 1\n"));
   ck_assert_ptr_nonnull (strstr (m, "\ncomfrey_config_version 1\n"));
@@ -850,8 +852,8 @@
 static double
 metric (int n, const char *name)
 {
-  g_autofree char *m
-      = p_ask (p_front (BASE, n) + 3, "GET /metrics HTTP/1.1\r\n\r\n");
+  g_autofree char *m = p_round_trip (p_front_port (BASE, n) + 3,
+                                     "GET /metrics HTTP/1.1\r\n\r\n");
   g_autofree char *line = g_strdup_printf ("\ncomfrey_%s ", name);
   const char *at = strstr (m, line);
 
@@ -879,7 +881,7 @@
           "\"state\":\"draining\",\"seq\":%d}",
           i);
 
-      g_free (p_test (BASE, call, entry));
+      g_free (p_call_standin (BASE, call, entry));
       usleep (REGISTRATION_INTERVAL_MS * 1000);
     }
   ck_assert_double_lt (metric (1, "store_calls_total") - before,
@@ -897,47 +899,47 @@
  * is not. */
 START_TEST (callers_do_not_use_up_file_descriptors)
 {
-  g_autofree char *quick = p_request ("POST /order/a", "f", NULL, "x");
-  g_autofree char *stream = p_request (
+  g_autofree char *quick = p_build_request ("POST /order/a", "f", NULL, "x");
+  g_autofree char *stream = p_build_request (
       "POST /chat/a", "f", "Comfreypost-Token-Count: 10,100\r\n", "");
   int idle[2 * MAX_CALLERS];
   int fds[MAX_CALLERS];
 
-  p_detours.max_fds = MAX_FDS;
-  p_ready_gateway (BASE, 2);
+  p_overrides.max_fds = MAX_FDS;
+  p_start_ready_gateway (BASE, 2);
   for (int i = 0; i < 2 * MAX_CALLERS; i++)
     {
       g_autofree char *a = NULL;
 
-      idle[i] = p_connect (p_front (BASE, 2));
+      idle[i] = p_connect (p_front_port (BASE, 2));
       p_send (idle[i], quick);
-      a = p_read (idle[i], 3000);
-      ck_assert_msg (p_status (a) == 200, "%d: %s", i, a);
+      a = p_read_answer (idle[i], 3000);
+      ck_assert_msg (p_parse_status (a) == 200, "%d: %s", i, a);
     }
   ck_assert_double_eq (metric (2, "callers"), MAX_CALLERS);
   for (int i = 0; i < MAX_CALLERS; i++)
     {
-      fds[i] = p_connect (p_front (BASE, 2));
+      fds[i] = p_connect (p_front_port (BASE, 2));
       p_send (fds[i], stream);
     }
   usleep (100000);
   ck_assert_double_eq (metric (2, "callers"), MAX_CALLERS);
   {
-    g_autofree char *a = p_ask (p_front (BASE, 2), quick);
+    g_autofree char *a = p_round_trip (p_front_port (BASE, 2), quick);
 
     ck_assert_str_eq (a, "");
     ck_assert_double_eq (metric (2, "callers_turned_away_total"), 1);
   }
   for (int i = 0; i < MAX_CALLERS; i++)
     {
-      g_autofree char *a = p_read (fds[i], 8000);
+      g_autofree char *a = p_read_answer (fds[i], 8000);
 
       ck_assert (g_str_has_suffix (a, "0\r\n\r\n"));
     }
   {
-    g_autofree char *a = p_ask (p_front (BASE, 2), quick);
+    g_autofree char *a = p_round_trip (p_front_port (BASE, 2), quick);
 
-    ck_assert_int_eq (p_status (a), 200);
+    ck_assert_int_eq (p_parse_status (a), 200);
   }
   for (int i = 0; i < MAX_CALLERS; i++)
     {
@@ -994,5 +996,5 @@
   tcase_add_test (t, registrations_are_batched_into_few_store_calls);
   tcase_add_test (t, callers_do_not_use_up_file_descriptors);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-group-map.c
+++ b/t/t-group-map.c
@@ -396,5 +396,5 @@
   tcase_add_test (t, a_diff_rebuilds_the_map);
   tcase_add_test (t, rows_that_do_not_fit_are_rejected);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-http-reader.c
+++ b/t/t-http-reader.c
@@ -215,5 +215,5 @@
   tcase_add_test (t, pipelined_messages_are_read_in_turn);
   tcase_add_test (t, damaged_requests_neither_crash_nor_hang);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-loop-watch.c
+++ b/t/t-loop-watch.c
@@ -61,5 +61,5 @@
   tcase_add_test (t, iterations_are_counted);
   tcase_add_test (t, a_long_iteration_is_logged_with_its_longest_activity);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-map-gain.c
+++ b/t/t-map-gain.c
@@ -75,5 +75,5 @@
   tcase_add_test (t, high_gain_while_few_windows_were_counted);
   tcase_add_test (t, a_rank_may_make_several_quick_copies);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-map-history.c
+++ b/t/t-map-history.c
@@ -93,5 +93,5 @@
   tcase_add_test (t, the_map_in_use_is_kept_while_others_are_dropped);
   tcase_add_test (t, an_unknown_base_gives_no_map);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-membership.c
+++ b/t/t-membership.c
@@ -126,5 +126,5 @@
   tcase_add_test (t, ring_starts_do_not_depend_on_order_of_heartbeats);
   tcase_add_test (t, silent_members_expire);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-order-watch.c
+++ b/t/t-order-watch.c
@@ -61,5 +61,5 @@
   tcase_add_test (t, an_order_times_out_once);
   tcase_add_test (t, a_hold_and_its_release_bypass_the_agent);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-outage.c
+++ b/t/t-outage.c
@@ -83,5 +83,5 @@
   tcase_add_test (tc, outage_is_long_after_group_should_have_formed);
   tcase_add_test (tc, recent_end_needs_an_outage);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-outlier.c
+++ b/t/t-outlier.c
@@ -75,5 +75,5 @@
   tcase_add_test (tc, test_unusable_target_is_ejected_at_once);
   tcase_add_test (tc, test_consecutive_ejections_get_longer);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-overload.c
+++ b/t/t-overload.c
@@ -661,5 +661,5 @@
   add_fleets (s, "burst", overload_ends_within_3_s_of_burst);
   add_fleets (s, "burst-above-peak", overload_above_usual_peak_ends_within_3_s);
   add_fleets (s, "twice-the-knee", goodput_at_twice_the_knee_is_kept);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-peer-msg.c
+++ b/t/t-peer-msg.c
@@ -348,5 +348,5 @@
   tcase_add_test (t, frames_with_excessive_lengths_are_rejected);
   tcase_add_test (t, status_without_incarnation_is_accepted);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-placement.c
+++ b/t/t-placement.c
@@ -126,5 +126,5 @@
   tcase_add_test (tc, test_move_below_its_cost_is_rejected);
   tcase_add_test (tc, test_popularity_average_handles_restarted_counters);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-planned-stop.c
+++ b/t/t-planned-stop.c
@@ -40,10 +40,10 @@
 static void
 start_two_gateways (const char *step_ms, const char *per_seq_ms)
 {
-  p_platform (BASE, "--ranks", "4", "--step-ms", step_ms, "--per-seq-ms",
-              per_seq_ms, NULL);
-  gateway = p_ready_gateway (BASE, 1);
-  p_ready_gateway (BASE, 2);
+  p_start_platform (BASE, "--ranks", "4", "--step-ms", step_ms, "--per-seq-ms",
+                    per_seq_ms, NULL);
+  gateway = p_start_ready_gateway (BASE, 1);
+  p_start_ready_gateway (BASE, 2);
 }
 
 static void
@@ -61,8 +61,8 @@
 static void
 setup_slow (void)
 {
-  p_platform (BASE, "--ranks", "4", "--step-ms", "40", NULL);
-  gateway = p_ready_gateway (BASE, 1);
+  p_start_platform (BASE, "--ranks", "4", "--step-ms", "40", NULL);
+  gateway = p_start_ready_gateway (BASE, 1);
 }
 
 /* Begins a stream of @events events at gateway @n.  Returns its socket. */
@@ -73,8 +73,8 @@
   g_autofree char *id = g_strdup_printf ("stop%d", ++serial);
   g_autofree char *size = g_strdup_printf ("Comfreypost-Token-Count: 10,%d\r\n",
                                            events * TOKENS_PER_EVENT);
-  g_autofree char *req = p_request ("POST /chat/a", id, size, "");
-  int fd = p_connect (p_front (BASE, n));
+  g_autofree char *req = p_build_request ("POST /chat/a", id, size, "");
+  int fd = p_connect (p_front_port (BASE, n));
 
   p_send (fd, req);
   return fd;
@@ -105,7 +105,7 @@
 
   begin_streams (1, events, fds, N_RANKS);
   for (int i = 0; i < N_RANKS; i++)
-    g_free (p_read (fds[i], 8000));
+    g_free (p_read_answer (fds[i], 8000));
   close_all (fds, N_RANKS);
 }
 
@@ -113,12 +113,13 @@
 static void
 check_not_cut_off (const char *answer)
 {
-  if (p_status (answer) == 503)
+  if (p_parse_status (answer) == 503)
     ck_assert_ptr_nonnull (strstr (answer, "Retry-After: "));
   else
-    ck_assert_msg (
-        p_status (answer) == 200 && g_str_has_suffix (answer, "0\r\n\r\n"),
-        "cut off: ...%s", answer + MAX ((gssize)strlen (answer) - 60, 0));
+    ck_assert_msg (p_parse_status (answer) == 200
+                       && g_str_has_suffix (answer, "0\r\n\r\n"),
+                   "cut off: ...%s",
+                   answer + MAX ((gssize)strlen (answer) - 60, 0));
 }
 
 START_TEST (stream_accepted_in_lull_is_not_cut_off)
@@ -138,15 +139,15 @@
   run_streams (45);
   run_streams (30);
   kept_caller = begin_stream (1, 60);
-  ck_assert (p_log_says (LOG, "close-idle", STRICT_CHECK_MS));
+  ck_assert (p_wait_for_log (LOG, "close-idle", STRICT_CHECK_MS));
   stream = begin_stream (1, 70);
   short_stream = begin_stream (1, 12);
   usleep (100000);
   begin_streams (2, 4000, busy, GATEWAY_SLOTS);
-  short_answer = p_read (short_stream, 3000);
-  ck_assert_int_eq (p_status (short_answer), 200);
+  short_answer = p_read_answer (short_stream, 3000);
+  ck_assert_int_eq (p_parse_status (short_answer), 200);
   check_not_cut_off (short_answer);
-  answer = p_read (stream, 5000);
+  answer = p_read_answer (stream, 5000);
   check_not_cut_off (answer);
   close_all (busy, GATEWAY_SLOTS);
   close (kept_caller);
@@ -164,7 +165,7 @@
   int kept_caller;
   int stream;
 
-  p_fault (RANK_1, N_RANKS, "broken", 1000);
+  p_inject_fault (RANK_1, N_RANKS, "broken", 1000);
   first = begin_stream (1, 10);
   p_signal (gateway, SIGTERM);
   usleep (2000000);
@@ -172,8 +173,8 @@
   usleep (STRICT_CHECK_MS * 1000 - 2000000);
   stream = begin_stream (1, 20);
   usleep (1000000);
-  p_fault (RANK_1, N_RANKS, "none", 0);
-  answer = p_read (stream, 5000);
+  p_inject_fault (RANK_1, N_RANKS, "none", 0);
+  answer = p_read_answer (stream, 5000);
   check_not_cut_off (answer);
   close (first);
   close (kept_caller);
@@ -200,9 +201,9 @@
   usleep (1800000);
   stream = begin_stream (1, 40);
   short_stream = begin_stream (1, 8);
-  short_answer = p_read (short_stream, 3000);
-  ck_assert_int_eq (p_status (short_answer), 200);
-  answer = p_read (stream, 5000);
+  short_answer = p_read_answer (short_stream, 3000);
+  ck_assert_int_eq (p_parse_status (short_answer), 200);
+  answer = p_read_answer (stream, 5000);
   check_not_cut_off (answer);
   close_all (busy, GATEWAY_SLOTS);
   close (short_stream);
@@ -217,7 +218,7 @@
   int first[N_RANKS];
   int fill[GATEWAY_SLOTS - N_RANKS];
 
-  p_fault (RANK_1, 1, "cut", 1);
+  p_inject_fault (RANK_1, 1, "cut", 1);
   begin_streams (1, 52, first, N_RANKS);
   usleep (20000);
   begin_streams (1, 12, fill, GATEWAY_SLOTS - N_RANKS);
@@ -225,9 +226,9 @@
   p_signal (gateway, SIGTERM);
   for (int i = 0; i < N_RANKS; i++)
     {
-      g_autofree char *answer = p_read (first[i], 8000);
+      g_autofree char *answer = p_read_answer (first[i], 8000);
 
-      ck_assert_int_eq (p_status (answer), 200);
+      ck_assert_int_eq (p_parse_status (answer), 200);
       check_not_cut_off (answer);
     }
   close_all (first, N_RANKS);
@@ -256,8 +257,9 @@
 setup_long_timeouts (void)
 {
   setup_slow ();
-  g_free (p_test (BASE, "POST /test/put?key=op/config", long_timeouts_config));
-  ck_assert (p_log_says (LOG, "config-accept version=2", 1000));
+  g_free (p_call_standin (BASE, "POST /test/put?key=op/config",
+                          long_timeouts_config));
+  ck_assert (p_wait_for_log (LOG, "config-accept version=2", 1000));
 }
 
 /* Begins a request without a deadline of its own.  Returns its socket. */
@@ -268,7 +270,7 @@
       "%s HTTP/1.1\r\nHost: demo.example\r\nComfreypost-Request-Id: %s\r\n"
       "Comfreypost-Token-Count: 10,40\r\nContent-Length: 0\r\n\r\n",
       method_and_path, id);
-  int fd = p_connect (p_front (BASE, 1));
+  int fd = p_connect (p_front_port (BASE, 1));
 
   p_send (fd, req);
   return fd;
@@ -285,8 +287,8 @@
   p_signal (gateway, SIGTERM);
   usleep (200000);
   call = begin_request ("GET /quote/a", "early");
-  answer = p_read (call, 3000);
-  ck_assert_msg (p_status (answer) == 200, "%s", answer);
+  answer = p_read_answer (call, 3000);
+  ck_assert_msg (p_parse_status (answer) == 200, "%s", answer);
   close (call);
   close (kept_caller);
 }
@@ -298,13 +300,13 @@
   g_autofree char *answer = NULL;
   int call;
 
-  p_fault (BASE + 1, 2, "hang", 1);
+  p_inject_fault (BASE + 1, 2, "hang", 1);
   call = begin_request ("GET /quote/a", "hung");
   usleep (150000);
-  p_fault (BASE + 1, 2, "none", 0);
+  p_inject_fault (BASE + 1, 2, "none", 0);
   p_signal (gateway, SIGTERM);
-  answer = p_read (call, 6000);
-  ck_assert_msg (p_status (answer) == 200, "%s", answer);
+  answer = p_read_answer (call, 6000);
+  ck_assert_msg (p_parse_status (answer) == 200, "%s", answer);
   close (call);
 }
 END_TEST
@@ -317,13 +319,13 @@
   gint64 sent_ms;
   int call;
 
-  p_fault (BASE + 1, 2, "hang", 1000);
+  p_inject_fault (BASE + 1, 2, "hang", 1000);
   p_signal (gateway, SIGTERM);
   usleep (2000000);
   sent_ms = g_get_monotonic_time () / 1000;
   call = begin_request ("GET /quote/a", "hung");
-  answer = p_read (call, 6000);
-  ck_assert_int_eq (p_status (answer), 502);
+  answer = p_read_answer (call, 6000);
+  ck_assert_int_eq (p_parse_status (answer), 502);
   ck_assert_int_ge (g_get_monotonic_time () / 1000 - sent_ms, 2000);
   close (call);
 }
@@ -337,7 +339,7 @@
   int half;
   g_autofree char *answer = NULL;
 
-  p_fault (RANK_1, N_RANKS, "broken", 1000000);
+  p_inject_fault (RANK_1, N_RANKS, "broken", 1000000);
   for (int i = 0; i < 3; i++)
     {
       g_autofree char *id = g_strdup_printf ("wait%d", i);
@@ -347,17 +349,17 @@
     }
   usleep (300000);
   p_signal (gateway, SIGTERM);
-  half = p_connect (p_front (BASE, 1));
+  half = p_connect (p_front_port (BASE, 1));
   p_send (half, "POST /chat/a HTTP/1.1\r\nHost: demo.example\r\n"
                 "Content-Length: 9\r\n\r\nhalf");
   for (int i = 0; i < 3; i++)
     {
-      g_autofree char *waited = p_read (fds[i], 7000);
+      g_autofree char *waited = p_read_answer (fds[i], 7000);
 
-      ck_assert_msg (p_status (waited) == 503, "%d: %s", i, waited);
+      ck_assert_msg (p_parse_status (waited) == 503, "%d: %s", i, waited);
     }
-  answer = p_read (half, 7000);
-  ck_assert_msg (p_status (answer) == 503, "%s", answer);
+  answer = p_read_answer (half, 7000);
+  ck_assert_msg (p_parse_status (answer) == 503, "%s", answer);
   close_all (fds, 3);
   close (half);
 }
@@ -390,5 +392,5 @@
             last_attempt_keeps_its_remaining_time);
   add_case (s, "queued", setup_long_timeouts,
             queued_requests_are_answered_at_exit);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-platform.c
+++ b/t/t-platform.c
@@ -516,5 +516,5 @@
   tcase_add_test (t, headers_are_recognized_and_forwarded);
   tcase_add_test (t, rate_limits_are_parsed);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-quarantine.c
+++ b/t/t-quarantine.c
@@ -31,11 +31,11 @@
 static void
 setup (void)
 {
-  p_platform (BASE, "--ranks", "4", NULL);
+  p_start_platform (BASE, "--ranks", "4", NULL);
   for (int n = 1; n <= N_GATEWAYS; n++)
-    gateways[n] = p_ready_gateway (BASE, n);
+    gateways[n] = p_start_ready_gateway (BASE, n);
   for (int i = 0; i < N_TARGETS; i++)
-    g_free (p_test (DESK_1 + i, "POST /test/crasher", "boom"));
+    g_free (p_call_standin (DESK_1 + i, "POST /test/crasher", "boom"));
   usleep (PROPAGATION_MS * 1000);
 }
 
@@ -44,11 +44,11 @@
 send_attempt (int n, int k, const char *method_and_path, const char *body)
 {
   g_autofree char *id = g_strdup_printf ("%s-%d-%d", body, n, k);
-  g_autofree char *req = p_request (method_and_path, id,
-                                    "Comfreypost-Token-Count: 10,80\r\n", body);
-  g_autofree char *a = p_ask (p_front (BASE, n), req);
+  g_autofree char *req = p_build_request (
+      method_and_path, id, "Comfreypost-Token-Count: 10,80\r\n", body);
+  g_autofree char *a = p_round_trip (p_front_port (BASE, n), req);
 
-  return p_status (a);
+  return p_parse_status (a);
 }
 
 /* Waits until the last crashed target is up again; returns the number of
@@ -57,7 +57,7 @@
 count_crashes (void)
 {
   usleep (RESTART_MS * 1000);
-  return p_runs (DESK_1, N_TARGETS, "crashes");
+  return p_sum_runs (DESK_1, N_TARGETS, "crashes");
 }
 
 /* Sends attempts to gateway @n until there were @want crashes. */
@@ -102,7 +102,7 @@
   crash_targets (1, CRASHES);
   usleep (PROPAGATION_MS * 1000);
   p_signal (gateways[1], SIGKILL);
-  gateways[1] = p_ready_gateway (BASE, 1);
+  gateways[1] = p_start_ready_gateway (BASE, 1);
   usleep (2 * PROPAGATION_MS * 1000);
   ck_assert_int_eq (send_attempt (1, 100, "POST /order/a", "boom"), 503);
   ck_assert_double_eq (count_crashes (), CRASHES);
@@ -112,14 +112,14 @@
 START_TEST (crashes_are_known_after_all_gateways_were_killed)
 {
   for (int i = 0; i < N_RANKS; i++)
-    p_agent (BASE, RANK_1 + i);
+    p_start_agent (BASE, RANK_1 + i);
   usleep (2 * PROPAGATION_MS * 1000);
   crash_targets (1, CRASHES);
   usleep (PROPAGATION_MS * 1000);
   for (int n = 1; n <= N_GATEWAYS; n++)
     p_signal (gateways[n], SIGKILL);
   for (int n = 1; n <= N_GATEWAYS; n++)
-    gateways[n] = p_ready_gateway (BASE, n);
+    gateways[n] = p_start_ready_gateway (BASE, n);
   usleep (2 * PROPAGATION_MS * 1000);
   for (int n = 1; n <= N_GATEWAYS; n++)
     ck_assert_int_eq (send_attempt (n, 100, "POST /order/a", "boom"), 503);
@@ -142,10 +142,10 @@
 {
   for (int k = 0; k < 3 * CRASHES; k++)
     {
-      p_fault (DESK_1, 1, "lost", 1);
-      p_fault (DESK_1 + 1, 1, "lost", 1);
+      p_inject_fault (DESK_1, 1, "lost", 1);
+      p_inject_fault (DESK_1 + 1, 1, "lost", 1);
       send_attempt (1, k, "POST /quote/a", "q");
-      p_fault (DESK_1, N_DESKS, "none", 0);
+      p_inject_fault (DESK_1, N_DESKS, "none", 0);
       ck_assert_int_eq (send_attempt (1, 100 + k, "POST /quote/a", "q"), 200);
     }
 }
@@ -395,10 +395,10 @@
 /* Targets that reset connections but keep running have not crashed. */
 START_TEST (resets_do_not_quarantine_a_request)
 {
-  p_fault (RANK_1, N_RANKS, "cut", 100);
+  p_inject_fault (RANK_1, N_RANKS, "cut", 100);
   for (int k = 0; k < 2 * CRASHES; k++)
     send_attempt (1, k, "POST /chat/a", "c");
-  p_fault (RANK_1, N_RANKS, "none", 0);
+  p_inject_fault (RANK_1, N_RANKS, "none", 0);
   for (int n = 1; n <= N_GATEWAYS; n++)
     ck_assert_int_eq (send_attempt (n, 100, "POST /chat/a", "c"), 200);
 }
@@ -407,18 +407,18 @@
 /* All of them have the same request, as with a popular one. */
 START_TEST (targets_that_crash_together_do_not_quarantine_request)
 {
-  g_autofree char *req = p_request (
+  g_autofree char *req = p_build_request (
       "POST /chat/a", "hot", "Comfreypost-Token-Count: 10,4000\r\n", "hot");
   int fds[4 * N_RANKS];
 
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
     {
-      fds[i] = p_connect (p_front (BASE, 1 + (int)i % N_GATEWAYS));
+      fds[i] = p_connect (p_front_port (BASE, 1 + (int)i % N_GATEWAYS));
       p_send (fds[i], req);
     }
   usleep (PROPAGATION_MS * 1000);
   for (int i = 0; i < N_RANKS; i++)
-    g_free (p_test (RANK_1 + i, "POST /test/crash", ""));
+    g_free (p_call_standin (RANK_1 + i, "POST /test/crash", ""));
   usleep (PROPAGATION_MS * 1000);
   ck_assert_double_ge (count_crashes (), CRASHES);
   for (gsize i = 0; i < G_N_ELEMENTS (fds); i++)
@@ -463,5 +463,5 @@
   tcase_add_test (counting, a_restarted_gateway_learns_of_crashes);
   tcase_add_test (counting, crashes_are_known_after_all_gateways_were_killed);
   suite_add_tcase (s, counting);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-rate-limit.c
+++ b/t/t-rate-limit.c
@@ -31,9 +31,9 @@
 static void
 setup (void)
 {
-  p_platform (BASE, "--ranks", "0", NULL);
+  p_start_platform (BASE, "--ranks", "0", NULL);
   for (int n = 1; n <= N_GATEWAYS; n++)
-    gateways[n] = p_ready_gateway (BASE, n);
+    gateways[n] = p_start_ready_gateway (BASE, n);
   usleep (SETTLE_MS * 1000);
 }
 
@@ -43,7 +43,7 @@
   g_autofree char *call = g_strdup_printf (
       "POST /test/limit%s%s", per_s ? "?per-s=" : "", per_s ? per_s : "");
 
-  g_free (p_test (DESK_1, call, ""));
+  g_free (p_call_standin (DESK_1, call, ""));
 }
 
 /* Sends one request to the next gateway; returns the status. */
@@ -52,11 +52,11 @@
 {
   int n = 1 + n_requests % N_GATEWAYS;
   g_autofree char *id = g_strdup_printf ("r-%d", n_requests++);
-  g_autofree char *req = p_request ("GET /quote/a", id, NULL, "");
-  g_autofree char *a = p_ask (p_front (BASE, n), req);
+  g_autofree char *req = p_build_request ("GET /quote/a", id, NULL, "");
+  g_autofree char *a = p_round_trip (p_front_port (BASE, n), req);
 
   usleep (REQUEST_INTERVAL_MS * 1000);
-  return p_status (a);
+  return p_parse_status (a);
 }
 
 /* Sends requests for @ms; returns how many were not answered with 200. */
@@ -74,7 +74,7 @@
 static double
 count_runs (void)
 {
-  return p_runs (DESK_1, 1, "runs");
+  return p_sum_runs (DESK_1, 1, "runs");
 }
 
 /* Checks that in one window the target gets requests, but no more than its
@@ -108,7 +108,7 @@
   for (int n = 1; n <= N_GATEWAYS; n++)
     {
       p_signal (gateways[n], SIGKILL);
-      gateways[n] = p_ready_gateway (BASE, n);
+      gateways[n] = p_start_ready_gateway (BASE, n);
     }
   send_requests (SETTLE_MS);
   check_window ();
@@ -121,7 +121,7 @@
   int refused = 0;
 
   set_limit ("1.1");
-  g_free (p_test (DESK_1 + 1, "POST /test/limit?per-s=1.1", ""));
+  g_free (p_call_standin (DESK_1 + 1, "POST /test/limit?per-s=1.1", ""));
   send_requests (SETTLE_MS);
   for (int i = 0; i < 50; i++)
     {
@@ -256,5 +256,5 @@
   tcase_add_test (t, requests_beyond_all_limits_are_refused_at_once);
   tcase_add_test (t, target_is_fully_used_after_limit_is_lifted);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-report.c
+++ b/t/t-report.c
@@ -75,5 +75,5 @@
   tcase_add_test (t, each_second_counts_outcomes_and_causes);
   tcase_add_test (t, empty_logs_give_an_empty_report);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-settings.c
+++ b/t/t-settings.c
@@ -139,5 +139,5 @@
   tcase_add_test (tc, test_fields_of_every_kind_are_read);
   tcase_add_test (tc, test_field_errors_name_key_and_value);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-standstill.c
+++ b/t/t-standstill.c
@@ -162,5 +162,5 @@
   tcase_add_checked_fixture (t, setup, teardown);
   tcase_add_test (t, requests_go_to_group_that_is_not_stalled);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-stream-latency.c
+++ b/t/t-stream-latency.c
@@ -207,5 +207,5 @@
   tcase_add_test (tc, huge_answer_does_not_overflow);
   tcase_add_test (tc, stalls_do_not_count);
   suite_add_tcase (s, tc);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-target.c
+++ b/t/t-target.c
@@ -162,5 +162,5 @@
   tcase_add_test (t, record_without_incarnation_is_invalid);
   tcase_add_test (t, unconfigured_service_takes_no_address);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
--- a/t/t-wait-queue.c
+++ b/t/t-wait-queue.c
@@ -290,5 +290,5 @@
   tcase_add_test (t, fewer_requests_lost_than_in_order_of_arrival);
   tcase_add_test (t, late_waiter_with_least_slack_goes_first);
   suite_add_tcase (s, t);
-  return t_run (s);
+  return t_run_suite (s);
 }
