--- a/admission.c
+++ b/admission.c
@@ -9,8 +9,8 @@
   pthread_mutex_init (&a->lock, NULL);
   a->by_org = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   a->max = max;
-  a->low_max = max * low_percent / 100;
-  a->open_max = max * (100 - reserve_percent) / 100;
+  a->low_priority_max = max * low_percent / 100;
+  a->unreserved_max = max * (100 - reserve_percent) / 100;
   a->in_progress = 0;
 }
 
@@ -36,17 +36,18 @@
   return MAX (a->max / orgs, 1);
 }
 
-CfAdmit
-cf_admission_enter (CfAdmission *a, const char *org, gint64 priority)
+CfAdmissionResult
+cf_admission_acquire (CfAdmission *a, const char *org, gint64 priority)
 {
-  CfAdmit res = CF_ADMIT_OK;
+  CfAdmissionResult res = CF_ADMIT_OK;
   gint64 own;
 
   pthread_mutex_lock (&a->lock);
   own = count_of (a, org);
-  if (a->in_progress >= (priority < HIGH_PRIORITY ? a->low_max : a->max))
+  if (a->in_progress
+      >= (priority < HIGH_PRIORITY ? a->low_priority_max : a->max))
     res = CF_ADMIT_FULL;
-  else if (a->in_progress >= a->open_max && own >= fair_share (a, own))
+  else if (a->in_progress >= a->unreserved_max && own >= fair_share (a, own))
     res = CF_ADMIT_FAIR_SHARE;
   else
     {
@@ -59,7 +60,7 @@
 }
 
 void
-cf_admission_leave (CfAdmission *a, const char *org)
+cf_admission_release (CfAdmission *a, const char *org)
 {
   gint64 own;
 
--- a/admission.h
+++ b/admission.h
@@ -3,13 +3,13 @@
 #include <glib.h>
 #include <pthread.h>
 
-/** CfAdmit: whether an entry takes a request on, and why not. */
+/** CfAdmissionResult: whether an entry takes a request on, and why not. */
 typedef enum
 {
   CF_ADMIT_OK,
   CF_ADMIT_FULL,       /**< at the limit for requests of its priority */
   CF_ADMIT_FAIR_SHARE, /**< its organisation is at its fair share */
-} CfAdmit;
+} CfAdmissionResult;
 
 /**
  * CfAdmission:
@@ -22,10 +22,10 @@
 typedef struct
 {
   pthread_mutex_t lock;
-  GHashTable *by_org; /**< organisation -> requests in progress */
-  gint64 max;         /**< requests in progress at most */
-  gint64 low_max;     /**< of them, while priority is below 5 */
-  gint64 open_max;    /**< of them, without regard to fair shares */
+  GHashTable *by_org;      /**< organisation -> requests in progress */
+  gint64 max;              /**< requests in progress at most */
+  gint64 low_priority_max; /**< of them, while priority is below 5 */
+  gint64 unreserved_max;   /**< of them, without regard to fair shares */
   gint64 in_progress;
 } CfAdmission;
 
@@ -41,12 +41,13 @@
 void cf_admission_clear (CfAdmission *a);
 
 /**
- * cf_admission_enter:
+ * cf_admission_acquire:
  * Takes a request of @org on, if there is room; after %CF_ADMIT_OK it must
- * be ended with cf_admission_leave().
+ * be ended with cf_admission_release().
  */
-CfAdmit cf_admission_enter (CfAdmission *a, const char *org, gint64 priority);
-void cf_admission_leave (CfAdmission *a, const char *org);
+CfAdmissionResult cf_admission_acquire (CfAdmission *a, const char *org,
+                                        gint64 priority);
+void cf_admission_release (CfAdmission *a, const char *org);
 
 /** cf_admission_in_progress: how many requests are in progress now. */
 gint64 cf_admission_in_progress (CfAdmission *a);
--- a/agent-jobs.c
+++ b/agent-jobs.c
@@ -29,7 +29,7 @@
       = { .in_flight = MAX (ck_pr_load_int (&a->in_flight) - (int)queued, 0),
           .queued = queued,
           .draining = ck_pr_load_int (&a->draining),
-          .quiet_ms = cf_guard_quiet_ms (&a->guard, cf_now_ms ()) };
+          .quiet_remaining_ms = cf_guard_quiet_ms (&a->guard, cf_now_ms ()) };
 
   return l;
 }
@@ -51,7 +51,7 @@
 }
 
 void
-cf_agent_refuse (CfAgentConn *c, guint64 id, CfRan ran, const char *reason,
+cf_agent_refuse (CfAgentConn *c, guint64 id, CfRanState ran, const char *reason,
                  gint64 retry_ms)
 {
   CfMsg m = { .kind = CF_MSG_REFUSAL, .id = id };
@@ -313,7 +313,7 @@
     }
   if (m->u.request.key == NULL)
     return TRUE;
-  switch (cf_guard_begin (&a->guard, m->u.request.key, m->u.request.keyed,
+  switch (cf_guard_begin (&a->guard, m->u.request.key, m->u.request.key_state,
                           cf_now_ms (), &code, &kept))
     {
     case CF_GUARD_NEW:
--- a/agent-link.c
+++ b/agent-link.c
@@ -52,7 +52,7 @@
   CfPending *p;
 
   l->load = m->load;
-  l->quiet_until_ms = l->last_rx_ms + m->load.quiet_ms;
+  l->guard_quiet_until_ms = l->last_receive_ms + m->load.quiet_remaining_ms;
   if (m->kind != CF_MSG_ANSWER && m->kind != CF_MSG_REFUSAL
       && m->kind != CF_MSG_CLAIMED)
     {
@@ -77,24 +77,25 @@
 heartbeat (CfLink *l, long long now)
 {
   CfMsg ping = { .kind = CF_MSG_PING };
-  long long every = l->outstanding > 0 || l->unanswered_ms > 0
-                        ? CF_LINK_PING_MS
-                        : l->idle_ping_ms;
+  long long every = l->outstanding > 0 || l->unanswered_since_ms > 0
+                        ? CF_LINK_PING_INTERVAL_MS
+                        : l->idle_ping_interval_ms;
 
-  if (l->unanswered_ms > 0 && now - l->unanswered_ms > CF_LINK_SILENT_MS)
+  if (l->unanswered_since_ms > 0
+      && now - l->unanswered_since_ms > CF_LINK_SILENCE_TIMEOUT_MS)
     {
       fail_all (l, "silent");
       return;
     }
   /* Replies carry the agent's load and prove it alive, so a link that
    * heard from its agent within the interval needs no ping. */
-  if (now - l->last_ping_ms >= every && now - l->last_rx_ms >= every)
+  if (now - l->last_ping_ms >= every && now - l->last_receive_ms >= every)
     {
       l->last_ping_ms = now;
       l->pings++;
       ping.config = l->config;
-      if (l->unanswered_ms == 0)
-        l->unanswered_ms = now;
+      if (l->unanswered_since_ms == 0)
+        l->unanswered_since_ms = now;
       if (cf_msg_write (l->fd, &ping) != CF_OK)
         fail_all (l, "write-failed");
     }
@@ -131,16 +132,16 @@
           l->fd = fd;
           l->ready = FALSE;
           /* Long ago, so that the first ping goes out at once. */
-          l->last_rx_ms = 0;
+          l->last_receive_ms = 0;
           l->last_ping_ms = 0;
-          l->unanswered_ms = 0;
+          l->unanswered_since_ms = 0;
           heartbeat (l, cf_now_ms ());
           pthread_mutex_unlock (&l->lock);
         }
 
       pfd.fd = fd;
       pfd.events = POLLIN;
-      if (poll (&pfd, 1, CF_LINK_PING_MS / 2) <= 0)
+      if (poll (&pfd, 1, CF_LINK_PING_INTERVAL_MS / 2) <= 0)
         {
           pthread_mutex_lock (&l->lock);
           if (l->fd == fd)
@@ -157,15 +158,15 @@
           continue;
         }
       pthread_mutex_lock (&l->lock);
-      l->last_rx_ms = cf_now_ms ();
-      l->unanswered_ms = 0;
+      l->last_receive_ms = cf_now_ms ();
+      l->unanswered_since_ms = 0;
       if (!l->ready)
         {
           l->ready = TRUE;
           cf_log (LOG_INFO, CF_EV_LINK_UP, "target=%s", l->addr);
         }
       take_reply (l, &m);
-      heartbeat (l, l->last_rx_ms);
+      heartbeat (l, l->last_receive_ms);
       pthread_mutex_unlock (&l->lock);
     }
   return NULL;
@@ -179,7 +180,7 @@
 
   l->addr = g_strdup (addr);
   l->fd = -1;
-  l->idle_ping_ms = CF_LINK_PING_MS;
+  l->idle_ping_interval_ms = CF_LINK_PING_INTERVAL_MS;
   l->pending = g_hash_table_new (g_int64_hash, g_int64_equal);
   pthread_mutex_init (&l->lock, NULL);
   pthread_condattr_init (&ca);
@@ -296,33 +297,33 @@
 }
 
 void
-cf_link_set_idle_ping (CfLink *l, gint64 ms)
+cf_link_set_idle_ping_interval (CfLink *l, gint64 ms)
 {
   pthread_mutex_lock (&l->lock);
-  l->idle_ping_ms = MAX (ms, CF_LINK_PING_MS);
+  l->idle_ping_interval_ms = MAX (ms, CF_LINK_PING_INTERVAL_MS);
   pthread_mutex_unlock (&l->lock);
 }
 
 void
-cf_link_set_config (CfLink *l, gint64 version)
+cf_link_set_config_version (CfLink *l, gint64 version)
 {
   pthread_mutex_lock (&l->lock);
   l->config = version;
   pthread_mutex_unlock (&l->lock);
 }
 
-CfLinkView
-cf_link_view (CfLink *l)
+CfLinkSnapshot
+cf_link_snapshot (CfLink *l)
 {
   long long now = cf_now_ms ();
-  CfLinkView v;
+  CfLinkSnapshot v;
 
   pthread_mutex_lock (&l->lock);
   v.up = l->fd >= 0 && l->ready;
   v.ejected = cf_outlier_ejected (&l->outlier, now);
   v.load = l->load;
   /* The heartbeat may be seconds old; the time it names has gone on. */
-  v.load.quiet_ms = MAX (l->quiet_until_ms - now, 0);
+  v.load.quiet_remaining_ms = MAX (l->guard_quiet_until_ms - now, 0);
   v.outstanding = l->outstanding;
   v.pings = l->pings;
   pthread_mutex_unlock (&l->lock);
@@ -330,7 +331,7 @@
 }
 
 void
-cf_link_judge (CfLink *l, gboolean healthy)
+cf_link_record_outcome (CfLink *l, gboolean healthy)
 {
   gint64 ms = 0;
 
--- a/agent-link.h
+++ b/agent-link.h
@@ -6,8 +6,8 @@
 #include <pthread.h>
 
 /** How often a link sends a heartbeat, and when silence means it is lost. */
-#define CF_LINK_PING_MS 1000
-#define CF_LINK_SILENT_MS 3000
+#define CF_LINK_PING_INTERVAL_MS 1000
+#define CF_LINK_SILENCE_TIMEOUT_MS 3000
 
 /**
  * CfLink:
@@ -30,13 +30,15 @@
   GHashTable *pending; /**< id -> CfPending */
   CfLoad load;         /**< as the agent last reported it */
   gint64 outstanding;  /**< our calls waiting on it now */
-  long long last_rx_ms;
-  long long quiet_until_ms; /**< until when its guard abstains */
+  long long last_receive_ms;
+  long long guard_quiet_until_ms; /**< until when its guard abstains */
   long long last_ping_ms;
-  long long unanswered_ms; /**< oldest ping without an answer; 0 if none */
-  gint64 idle_ping_ms;     /**< ping interval while nothing is outstanding */
-  CfOutlier outlier;       /**< failures of the target behind it */
-  guint64 pings;           /**< heartbeats sent, for the capacity page */
+  long long
+      unanswered_since_ms; /**< oldest ping without an answer; 0 if none */
+  gint64
+      idle_ping_interval_ms; /**< ping interval while nothing is outstanding */
+  CfOutlier outlier;         /**< failures of the target behind it */
+  guint64 pings;             /**< heartbeats sent, for the capacity page */
   pthread_t thread;
 } CfLink;
 
@@ -78,16 +80,16 @@
 void cf_link_send (CfLink *l, const CfMsg *m);
 
 /**
- * cf_link_set_idle_ping:
+ * cf_link_set_idle_ping_interval:
  * @ms: how often to ping while no call is outstanding, in ms; a link with
- *   calls outstanding is always pinged every %CF_LINK_PING_MS
+ *   calls outstanding is always pinged every %CF_LINK_PING_INTERVAL_MS
  */
-void cf_link_set_idle_ping (CfLink *l, gint64 ms);
+void cf_link_set_idle_ping_interval (CfLink *l, gint64 ms);
 
-/** cf_link_set_config: the configuration version that pings carry. */
-void cf_link_set_config (CfLink *l, gint64 version);
+/** cf_link_set_config_version: the configuration version that pings carry. */
+void cf_link_set_config_version (CfLink *l, gint64 version);
 
-/** CfLinkView: a link and the agent behind it, as seen now. */
+/** CfLinkSnapshot: a link and the agent behind it, as seen now. */
 typedef struct
 {
   gboolean up;
@@ -95,13 +97,13 @@
   CfLoad load;        /**< as the agent last reported it */
   gint64 outstanding; /**< our calls waiting on it */
   guint64 pings;      /**< heartbeats sent so far */
-} CfLinkView;
+} CfLinkSnapshot;
 
-/** cf_link_view: what is known of @l now. */
-CfLinkView cf_link_view (CfLink *l);
+/** cf_link_snapshot: what is known of @l now. */
+CfLinkSnapshot cf_link_snapshot (CfLink *l);
 
 /**
- * cf_link_judge:
+ * cf_link_record_outcome:
  * Records whether the target behind @l answered as a healthy one would.
  */
-void cf_link_judge (CfLink *l, gboolean healthy);
+void cf_link_record_outcome (CfLink *l, gboolean healthy);
--- a/agent-parts.h
+++ b/agent-parts.h
@@ -26,8 +26,8 @@
 CfStatus cf_agent_reply (CfAgentConn *c, CfMsg *m);
 
 /** cf_agent_refuse: refuses request @id; @ran says what is known of it. */
-void cf_agent_refuse (CfAgentConn *c, guint64 id, CfRan ran, const char *reason,
-                      gint64 retry_ms);
+void cf_agent_refuse (CfAgentConn *c, guint64 id, CfRanState ran,
+                      const char *reason, gint64 retry_ms);
 
 /** cf_agent_answer: answers request @id with the target's status and body. */
 void cf_agent_answer (CfAgentConn *c, guint64 id, gint64 code,
--- a/claim.c
+++ b/claim.c
@@ -40,7 +40,7 @@
         claim->holder = g_steal_pointer (&r.u.claimed.runner);
         break;
       case CF_VERDICT_ABSTAIN:
-        claim->retry_ms = MAX (claim->retry_ms, r.load.quiet_ms);
+        claim->retry_ms = MAX (claim->retry_ms, r.load.quiet_remaining_ms);
         break;
       }
   cf_msg_clear (&r);
@@ -51,8 +51,8 @@
 take_in (CfLinkTable *links, const CfConfig *c, CfClaim *claim,
          long long deadline)
 {
-  const char *guards[CF_GUARDS];
-  guint n = cf_route_guards (c, claim->key, guards);
+  const char *guards[CF_GUARDS_PER_KEY];
+  guint n = cf_route_find_guards (c, claim->key, guards);
   guint majority = n / 2 + 1;
 
   claim->guards = n;
@@ -64,11 +64,11 @@
         claim->granted++;
         break;
       case SAID_HELD:
-        return CF_CLAIM_ELSEWHERE;
+        return CF_CLAIM_HELD_ELSEWHERE;
       case SAID_NOTHING:
         break;
       }
-  return n > 0 && claim->granted == majority ? CF_CLAIM_TAKEN
+  return n > 0 && claim->granted == majority ? CF_CLAIM_ACQUIRED
                                              : CF_CLAIM_NO_MAJORITY;
 }
 
@@ -77,14 +77,14 @@
 static const CfConfig *
 unless_same_guards (const CfConfig *c, const CfConfig *prev, const char *key)
 {
-  const char *a[CF_GUARDS];
-  const char *b[CF_GUARDS];
+  const char *a[CF_GUARDS_PER_KEY];
+  const char *b[CF_GUARDS_PER_KEY];
   guint n;
 
   if (prev == NULL)
     return NULL;
-  n = cf_route_guards (c, key, a);
-  if (n != cf_route_guards (prev, key, b))
+  n = cf_route_find_guards (c, key, a);
+  if (n != cf_route_find_guards (prev, key, b))
     return prev;
   for (guint i = 0; i < n; i++)
     if (!g_str_equal (a[i], b[i]))
@@ -93,15 +93,15 @@
 }
 
 CfClaimResult
-cf_claim_take (CfLinkTable *links, const CfConfig *c, const CfConfig *prev,
-               CfClaim *claim, long long deadline_ms)
+cf_claim_acquire (CfLinkTable *links, const CfConfig *c, const CfConfig *prev,
+                  CfClaim *claim, long long deadline_ms)
 {
   CfClaimResult res = take_in (links, c, claim, deadline_ms);
 
   prev = unless_same_guards (c, prev, claim->key);
-  if (res == CF_CLAIM_TAKEN && prev)
+  if (res == CF_CLAIM_ACQUIRED && prev)
     res = take_in (links, prev, claim, deadline_ms);
-  if (res != CF_CLAIM_TAKEN)
+  if (res != CF_CLAIM_ACQUIRED)
     cf_claim_release (links, c, prev, claim);
   return res;
 }
@@ -109,8 +109,8 @@
 static void
 release_in (CfLinkTable *links, const CfConfig *c, const CfClaim *claim)
 {
-  const char *guards[CF_GUARDS];
-  guint n = cf_route_guards (c, claim->key, guards);
+  const char *guards[CF_GUARDS_PER_KEY];
+  guint n = cf_route_find_guards (c, claim->key, guards);
   CfMsg m = { .kind = CF_MSG_RELEASE };
 
   m.u.claim.key = (char *)claim->key;
--- a/comfrey-fake-config.c
+++ b/comfrey-fake-config.c
@@ -140,7 +140,7 @@
 static gint64
 query_int (const CfHttpRequest *req, const char *name, gint64 def)
 {
-  const char *v = cf_http_query (req, name);
+  const char *v = cf_http_query_arg (req, name);
 
   return v ? g_ascii_strtoll (v, NULL, 10) : def;
 }
@@ -150,8 +150,8 @@
 static void
 set_mode (const CfHttpRequest *req, CfHttpReply *rep)
 {
-  const char *m = cf_http_query (req, "mode");
-  const char *v = cf_http_query (req, "version");
+  const char *m = cf_http_query_arg (req, "mode");
+  const char *v = cf_http_query_arg (req, "version");
 
   if (m == NULL)
     {
--- a/comfrey-fake-engine.c
+++ b/comfrey-fake-engine.c
@@ -278,7 +278,7 @@
 static void
 cancel (const CfHttpRequest *req, CfHttpReply *rep)
 {
-  const char *rid = cf_http_query (req, "request");
+  const char *rid = cf_http_query_arg (req, "request");
   Gen *g;
 
   pthread_mutex_lock (&eng.lock);
@@ -363,7 +363,7 @@
 static void
 drift (const CfHttpRequest *req, CfHttpReply *rep)
 {
-  const char *shift = cf_http_query (req, "shift");
+  const char *shift = cf_http_query_arg (req, "shift");
 
   pthread_mutex_lock (&eng.lock);
   eng.shift = shift ? g_ascii_strtoll (shift, NULL, 10) % eng.experts : 0;
--- a/comfrey-fake-vmlist.c
+++ b/comfrey-fake-vmlist.c
@@ -66,8 +66,8 @@
 static void
 set_state (const CfHttpRequest *req, CfHttpReply *rep)
 {
-  const char *addr = cf_http_query (req, "addr");
-  const char *state = cf_http_query (req, "state");
+  const char *addr = cf_http_query_arg (req, "addr");
+  const char *state = cf_http_query_arg (req, "state");
   Vm *vm;
 
   if (!addr || !state)
--- a/comfrey-fake-weights.c
+++ b/comfrey-fake-weights.c
@@ -40,7 +40,7 @@
 static void
 weights (const CfHttpRequest *req, CfHttpReply *rep)
 {
-  const char *text = cf_http_query (req, "mb");
+  const char *text = cf_http_query_arg (req, "mb");
   gint64 mb = text ? g_ascii_strtoll (text, NULL, 10) : 0;
   long long now = cf_now_ms ();
   long long done;
@@ -77,7 +77,7 @@
 static void
 make_busy (const CfHttpRequest *req, CfHttpReply *rep)
 {
-  const char *ms = cf_http_query (req, "ms");
+  const char *ms = cf_http_query_arg (req, "ms");
 
   pthread_mutex_lock (&store.lock);
   store.free_at = MAX (store.free_at, cf_now_ms ())
--- a/comfrey-slopes.c
+++ b/comfrey-slopes.c
@@ -69,7 +69,7 @@
   CfConfig *c = NULL;
   CfCandidate cand[AGENTS];
   double t0 = now_ns ();
-  const char *guards[CF_GUARDS];
+  const char *guards[CF_GUARDS_PER_KEY];
   char what[32];
   const int n = 20000;
   const int orders = 2000;
@@ -90,7 +90,7 @@
   for (int i = 0; i < n; i++)
     {
       g_snprintf (what, sizeof what, "org%d", i % ORGS);
-      sink += cf_config_match (c, what, "s", "model31") != NULL;
+      sink += cf_config_find_intent (c, what, "s", "model31") != NULL;
     }
   print_slope ("route: match an intent of 200", (now_ns () - t0) / n, "ns");
 
@@ -98,7 +98,7 @@
   for (int i = 0; i < n; i++)
     {
       g_snprintf (what, sizeof what, "key-%d", i);
-      sink += cf_route_guards (c, what, guards);
+      sink += cf_route_find_guards (c, what, guards);
     }
   print_slope ("route: choose a key's guards of 340", (now_ns () - t0) / n,
                "ns");
@@ -106,7 +106,7 @@
   t0 = now_ns ();
   for (int i = 0; i < orders; i++)
     {
-      const CfGroup *g = cf_config_group (c, "g");
+      const CfGroup *g = cf_config_find_group (c, "g");
 
       for (int a = 0; a < AGENTS; a++)
         cand[a] = (CfCandidate){ .addr = g_ptr_array_index (g->agents, a),
--- a/config-watch.c
+++ b/config-watch.c
@@ -13,7 +13,7 @@
 #define PEER_POLL_MS 500
 
 gboolean
-cf_config_watch_offer (CfConfigWatch *w, CfConfig *c)
+cf_config_watch_apply_newer (CfConfigWatch *w, CfConfig *c)
 {
   gboolean newer;
   CfConfig *old = NULL;
@@ -117,7 +117,7 @@
       goto out;
     }
   c->source = json_dumps (records, JSON_COMPACT);
-  if (cf_config_watch_offer (w, c))
+  if (cf_config_watch_apply_newer (w, c))
     res = WATCH_NEWER;
 out:
   json_decref (doc);
@@ -166,7 +166,7 @@
   if (cf_http_call ("GET", url, NULL, NULL, PEER_MS, &code, &body) != CF_OK)
     return;
   if (code == 200 && offer_document (w, peer, body) == WATCH_NEWER)
-    g_atomic_int_set (&w->doubtful, 0);
+    g_atomic_int_set (&w->poll_peers, 0);
 }
 
 /* While the service is in doubt, one peer after the other is asked. */
@@ -177,22 +177,22 @@
   guint next = 0;
 
   for (;; usleep (PEER_POLL_MS * 1000))
-    if (g_atomic_int_get (&w->doubtful))
+    if (g_atomic_int_get (&w->poll_peers))
       ask_peer (w, g_ptr_array_index (w->peers, next++ % w->peers->len));
   return NULL;
 }
 
 void
-cf_config_watch_doubt (CfConfigWatch *w)
+cf_config_watch_poll_peers (CfConfigWatch *w)
 {
-  g_atomic_int_set (&w->doubtful, 1);
+  g_atomic_int_set (&w->poll_peers, 1);
 }
 
 void
 cf_config_watch_serve (CfConfigWatch *w, const CfHttpRequest *req,
                        CfHttpReply *rep)
 {
-  const char *after = cf_http_query (req, "after");
+  const char *after = cf_http_query_arg (req, "after");
   CfConfig *c = cf_config_watch_get (w);
 
   if (c == NULL || c->source == NULL
@@ -223,13 +223,13 @@
         case WATCH_NEWER:
         case WATCH_WAITED:
           backoff = BACKOFF_MIN_MS;
-          g_atomic_int_set (&w->doubtful, 0);
+          g_atomic_int_set (&w->poll_peers, 0);
           continue;
         case WATCH_NOTHING:
           /* A stale replica answers at once; asking again at once would
            * spend the service's shared read budget for nothing. */
         case WATCH_FAILED:
-          cf_config_watch_doubt (w);
+          cf_config_watch_poll_peers (w);
           usleep (backoff * 1000);
           backoff = MIN (backoff * 2, BACKOFF_MAX_MS);
           break;
--- a/config-watch.h
+++ b/config-watch.h
@@ -16,7 +16,7 @@
 {
   char *url;        /**< the service's base URL */
   GPtrArray *peers; /**< base URLs of processes that may know a newer version */
-  gint doubtful;    /**< the service fails or is stale: ask the peers */
+  gint poll_peers;  /**< the service fails or is stale: ask the peers */
   gint64 wait_ms;   /**< how long one watch may wait on the service */
   pthread_mutex_t lock;
   CfConfig *current;    /**< in force; %NULL until the first version */
@@ -39,11 +39,11 @@
                             void (*on_change) (void *, CfConfig *), void *data);
 
 /**
- * cf_config_watch_doubt:
+ * cf_config_watch_poll_peers:
  * Something showed that a newer version is in force elsewhere: the peers
  * are asked until one has it.
  */
-void cf_config_watch_doubt (CfConfigWatch *w);
+void cf_config_watch_poll_peers (CfConfigWatch *w);
 
 /**
  * cf_config_watch_serve:
@@ -64,8 +64,8 @@
 CfConfig *cf_config_watch_previous (CfConfigWatch *w, gint64 within_ms);
 
 /**
- * cf_config_watch_offer:
+ * cf_config_watch_apply_newer:
  * Puts @c in force if it is newer than the version in force.
  * Returns: %TRUE if it was put in force.  Takes the caller's reference.
  */
-gboolean cf_config_watch_offer (CfConfigWatch *w, CfConfig *c);
+gboolean cf_config_watch_apply_newer (CfConfigWatch *w, CfConfig *c);
--- a/entry-request.c
+++ b/entry-request.c
@@ -28,7 +28,7 @@
 
 void
 cf_request_refuse (CfEntry *e, CfRequest *r, CfHttpReply *rep, int code,
-                   const char *what, CfRan ran, gint64 retry_ms,
+                   const char *what, CfRanState ran, gint64 retry_ms,
                    const char *message)
 {
   json_t *o = json_pack ("{s:s, s:s, s:s, s:s}", "id", r->id, "error", what,
--- a/entry-request.h
+++ b/entry-request.h
@@ -15,7 +15,7 @@
   gint64 priority;
   long long deadline_at;
   gboolean admitted;       /**< counts in the entry's admission */
-  gboolean maybe_ran;      /**< sent once with no reply: fate unknown */
+  gboolean may_have_run;   /**< sent once with no reply: fate unknown */
   gboolean reached_target; /**< the last try put load on a target */
   gint64 attempts;
   const char *last_reason; /**< why the last try did not end it */
@@ -51,7 +51,7 @@
  * Makes a refusal @r's final answer.
  */
 void cf_request_refuse (CfEntry *e, CfRequest *r, CfHttpReply *rep, int code,
-                        const char *what, CfRan ran, gint64 retry_ms,
+                        const char *what, CfRanState ran, gint64 retry_ms,
                         const char *message);
 
 /** cf_request_answer: makes @m, from the agent at @addr, @r's final answer. */
--- a/entry-route.c
+++ b/entry-route.c
@@ -13,18 +13,19 @@
 static gboolean
 stop_is_near (const CfEntry *e)
 {
-  gint64 stop_at = __atomic_load_n (&e->stop_at_ms, __ATOMIC_ACQUIRE);
+  gint64 stop_at = __atomic_load_n (&e->drain_deadline_ms, __ATOMIC_ACQUIRE);
 
   return stop_at > 0 && cf_now_ms () >= stop_at - STOP_ANSWER_MS;
 }
 
 /* Why a target may not be tried now; NULL if it may. */
 static const char *
-exclusion (CfEntry *e, const char *addr, const CfLinkView *v, GHashTable *tried)
+exclusion (CfEntry *e, const char *addr, const CfLinkSnapshot *v,
+           GHashTable *tried)
 {
   if (g_hash_table_contains (tried, addr))
     return "tried";
-  if (cf_vm_list_leaving (&e->vms, addr))
+  if (cf_vm_list_is_leaving (&e->vms, addr))
     return "leaving";
   if (!v->up)
     return "down";
@@ -47,7 +48,7 @@
   for (size_t i = 0; i < n; i++)
     {
       const char *addr = g_ptr_array_index (r->group->agents, i);
-      CfLinkView v = cf_link_view (cf_link_table_get (&e->links, addr));
+      CfLinkSnapshot v = cf_link_snapshot (cf_link_table_get (&e->links, addr));
 
       c[i].addr = addr;
       c[i].load = MAX (v.load.in_flight + v.load.queued, v.outstanding);
@@ -75,12 +76,12 @@
 
   if (stop_is_near (w->entry))
     return FALSE;
-  return w->request->key != NULL || !cf_http_caller_gone (w->request->http);
+  return w->request->key != NULL || !cf_http_is_caller_gone (w->request->http);
 }
 
 /* Sends @r to the agent at @addr once, with @left ms of its deadline. */
 static CfCallResult
-send_to (CfEntry *e, CfRequest *r, const char *addr, CfKeyed keyed,
+send_to (CfEntry *e, CfRequest *r, const char *addr, CfKeyState key_state,
          long long left, CfMsg *reply)
 {
   CfMsg req = { .kind = CF_MSG_REQUEST, .config = r->config->version };
@@ -94,7 +95,7 @@
   req.u.request.path
       = r->group->kind == CF_TARGET_ENGINE ? "/v1/generate" : "/v1/call";
   req.u.request.rid = r->id;
-  req.u.request.keyed = keyed;
+  req.u.request.key_state = key_state;
   req.u.request.priority = r->priority;
   req.u.request.deadline_ms = left;
   return cf_link_call_while (cf_link_table_get (&e->links, addr), &req,
@@ -109,13 +110,14 @@
 
   for (guint g = 0; g < r->intent->groups->len; g++)
     {
-      const CfGroup *group = cf_config_group (
+      const CfGroup *group = cf_config_find_group (
           r->config, g_ptr_array_index (r->intent->groups, g));
 
       for (guint i = 0; i < group->agents->len; i++)
         {
           const char *addr = g_ptr_array_index (group->agents, i);
-          CfLinkView v = cf_link_view (cf_link_table_get (&e->links, addr));
+          CfLinkSnapshot v
+              = cf_link_snapshot (cf_link_table_get (&e->links, addr));
           const char *why = exclusion (e, addr, &v, tried);
 
           cf_log (LOG_INFO, CF_EV_NO_ROUTE,
@@ -130,7 +132,7 @@
                        "come back after retry_after_ms",
                        r->intent->name, r->last_reason);
   cf_request_refuse (e, r, rep, 503, "unavailable",
-                     r->maybe_ran ? CF_RAN_UNKNOWN : CF_RAN_NO,
+                     r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO,
                      MAX (r->retry_hint_ms, e->set.retry_after_ms), m);
 }
 
@@ -142,7 +144,7 @@
   long long left = r->deadline_at - cf_now_ms ();
 
   if (runner
-      && send_to (e, r, runner, CF_KEYED_REPLAY, left, &reply) == CF_CALL_REPLY
+      && send_to (e, r, runner, CF_KEY_REPLAY, left, &reply) == CF_CALL_REPLY
       && reply.kind == CF_MSG_ANSWER)
     cf_request_answer (e, r, rep, &reply, runner);
   else
@@ -161,21 +163,21 @@
 claim (CfEntry *e, CfRequest *r, CfHttpReply *rep, const char *addr)
 {
   CfClaim c = { .key = r->key, .token = r->token, .runner = addr };
-  CfClaimResult res = cf_claim_take (&e->links, r->config, r->prev_config, &c,
-                                     r->deadline_at);
+  CfClaimResult res = cf_claim_acquire (&e->links, r->config, r->prev_config,
+                                        &c, r->deadline_at);
 
   cf_log (LOG_INFO, CF_EV_CLAIM, "req=%s target=%s result=%s granted=%u/%u",
           r->id, addr,
-          res == CF_CLAIM_TAKEN       ? "taken"
-          : res == CF_CLAIM_ELSEWHERE ? "elsewhere"
-                                      : "no-majority",
+          res == CF_CLAIM_ACQUIRED         ? "taken"
+          : res == CF_CLAIM_HELD_ELSEWHERE ? "elsewhere"
+                                           : "no-majority",
           c.granted, c.guards);
-  r->claimed = res == CF_CLAIM_TAKEN;
+  r->claimed = res == CF_CLAIM_ACQUIRED;
   switch (res)
     {
-    case CF_CLAIM_TAKEN:
+    case CF_CLAIM_ACQUIRED:
       break;
-    case CF_CLAIM_ELSEWHERE:
+    case CF_CLAIM_HELD_ELSEWHERE:
       replay (e, r, rep, c.holder);
       break;
     case CF_CLAIM_NO_MAJORITY:
@@ -197,7 +199,7 @@
 {
   CfClaim c = { .key = r->key, .token = r->token, .runner = "" };
 
-  if (r->claimed && !r->maybe_ran)
+  if (r->claimed && !r->may_have_run)
     cf_claim_release (&e->links, r->config, r->prev_config, &c);
   r->claimed = FALSE;
 }
@@ -230,7 +232,7 @@
     }
   r->last_reason = "refused";
   if (g_str_equal (reason, CF_REASON_CONFIG_BEHIND))
-    cf_config_watch_doubt (&e->watch);
+    cf_config_watch_poll_peers (&e->watch);
   cf_log (LOG_INFO, CF_EV_RETRY, "req=%s target=%s reason=%s ran=no", r->id,
           addr, reason);
   return FALSE;
@@ -242,7 +244,7 @@
 take_loss (CfEntry *e, CfRequest *r, CfHttpReply *rep, const char *addr,
            gboolean timeout)
 {
-  r->maybe_ran = TRUE;
+  r->may_have_run = TRUE;
   if (r->key || timeout)
     {
       cf_request_refuse (e, r, rep, 504, timeout ? "deadline" : "link-lost",
@@ -271,17 +273,17 @@
     {
     case CF_CALL_REPLY:
       if (m->kind == CF_MSG_ANSWER)
-        cf_link_judge (l, m->u.answer.code < 500);
+        cf_link_record_outcome (l, m->u.answer.code < 500);
       else if (g_str_equal (m->u.refusal.reason, CF_REASON_TARGET_UNREACHABLE)
                || g_str_equal (m->u.refusal.reason, CF_REASON_TARGET_FAILED))
-        cf_link_judge (l, FALSE);
+        cf_link_record_outcome (l, FALSE);
       break;
     case CF_CALL_LOST:
-      cf_link_judge (l, FALSE);
+      cf_link_record_outcome (l, FALSE);
       break;
     case CF_CALL_TIMEOUT:
       if (waited_ms >= SILENT_TARGET_MS)
-        cf_link_judge (l, FALSE);
+        cf_link_record_outcome (l, FALSE);
       break;
     case CF_CALL_NOT_SENT:
     case CF_CALL_TOO_LARGE:
@@ -296,7 +298,7 @@
 {
   release (e, r);
   cf_request_refuse (e, r, rep, 503, "draining",
-                     r->maybe_ran ? CF_RAN_UNKNOWN : CF_RAN_NO,
+                     r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO,
                      e->set.retry_after_ms,
                      "this entry ends before a target answered; send the "
                      "request to another, with the same idempotency key if it "
@@ -307,8 +309,8 @@
 static void
 take_abandoned (CfEntry *e, CfRequest *r, CfHttpReply *rep)
 {
-  r->maybe_ran = TRUE;
-  if (cf_http_caller_gone (r->http))
+  r->may_have_run = TRUE;
+  if (cf_http_is_caller_gone (r->http))
     cf_request_refuse (e, r, rep, 499, "caller-left", CF_RAN_UNKNOWN, 0,
                        "the caller closed its connection");
   else
@@ -334,7 +336,7 @@
     return TRUE;
   r->reached_target = TRUE;
   t0 = cf_now_ms ();
-  res = send_to (e, r, addr, r->claimed ? CF_KEYED_CLAIMED : CF_KEYED_UNCLAIMED,
+  res = send_to (e, r, addr, r->claimed ? CF_KEY_CLAIMED : CF_KEY_UNCLAIMED,
                  r->deadline_at - t0, &reply);
   judge (e, addr, res, &reply, cf_now_ms () - t0);
   switch (res)
@@ -412,7 +414,7 @@
         {
           release (e, r);
           cf_request_refuse (e, r, rep, 504, "deadline",
-                             r->maybe_ran ? CF_RAN_UNKNOWN : CF_RAN_NO, 0,
+                             r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO, 0,
                              "the deadline passed before a target answered");
           return TRUE;
         }
@@ -435,8 +437,8 @@
   cf_retry_budget_request (&e->retry_budget);
   for (guint i = 0; i < r->intent->groups->len; i++)
     {
-      r->group = cf_config_group (r->config,
-                                  g_ptr_array_index (r->intent->groups, i));
+      r->group = cf_config_find_group (
+          r->config, g_ptr_array_index (r->intent->groups, i));
       if (try_group (e, r, rep, tried))
         return;
     }
--- a/entry.c
+++ b/entry.c
@@ -91,7 +91,7 @@
   GHashTableIter it;
   gpointer v;
 
-  cf_link_table_set_config (&e->links, c->version);
+  cf_link_table_set_config_version (&e->links, c->version);
   /* Connect to every agent now, so that the first request pays nothing. */
   g_hash_table_iter_init (&it, c->groups);
   while (g_hash_table_iter_next (&it, NULL, &v))
@@ -107,7 +107,8 @@
 static gboolean
 admit (CfEntry *e, CfRequest *r, CfHttpReply *rep)
 {
-  CfAdmit res = cf_admission_enter (&e->admission, r->org, r->priority);
+  CfAdmissionResult res
+      = cf_admission_acquire (&e->admission, r->org, r->priority);
 
   r->admitted = res == CF_ADMIT_OK;
   if (r->admitted)
@@ -155,7 +156,7 @@
           "no configuration is in force yet; check the config service");
       goto out;
     }
-  r.intent = cf_config_match (c, r.org, r.service, r.model);
+  r.intent = cf_config_find_intent (c, r.org, r.service, r.model);
   if (r.intent == NULL)
     {
       cf_log (LOG_INFO, CF_EV_NO_ROUTE,
@@ -174,14 +175,14 @@
       r.prev_config
           = cf_config_watch_previous (&e->watch, e->set.key_horizon_ms);
       g_snprintf (r.token, sizeof r.token, "%s-%016" G_GINT64_MODIFIER "x",
-                  r.id, e->boot);
+                  r.id, e->start_id);
     }
   r.priority = MIN (r.priority, r.intent->priority);
   if (admit (e, &r, rep))
     cf_entry_route (e, &r, rep);
 out:
   if (r.admitted)
-    cf_admission_leave (&e->admission, r.org);
+    cf_admission_release (&e->admission, r.org);
   g_atomic_int_add (&e->in_flight, -1);
   rep->close = g_atomic_int_get (&e->draining);
   cf_config_unref (c);
@@ -245,7 +246,7 @@
                      e->set.low_priority_share, e->set.fair_reserve);
   cf_retry_budget_init (&e->retry_budget, e->set.retry_percent,
                         e->set.retry_slack);
-  e->boot = (guint64)g_random_int () << 32 | g_random_int ();
+  e->start_id = (guint64)g_random_int () << 32 | g_random_int ();
   cf_config_watch_start (&e->watch, e->set.config_url, e->set.peers,
                          e->set.watch_wait_ms, on_config, e);
   cf_vm_list_start (&e->vms, e->set.vmlist_url, e->set.vmlist_poll_ms);
@@ -266,7 +267,7 @@
 static void
 wait_for_replies (CfEntry *e, long long until)
 {
-  while (cf_http_server_active (e->http) > 0 && cf_now_ms () < until)
+  while (cf_http_server_count_active (e->http) > 0 && cf_now_ms () < until)
     usleep (10000);
 }
 
@@ -275,7 +276,7 @@
 {
   long long until = cf_now_ms () + e->set.drain_grace_ms;
 
-  __atomic_store_n (&e->stop_at_ms, until, __ATOMIC_RELEASE);
+  __atomic_store_n (&e->drain_deadline_ms, until, __ATOMIC_RELEASE);
   g_atomic_int_set (&e->draining, 1);
   cf_log (LOG_NOTICE, CF_EV_DRAIN_BEGIN, "in_flight=%d",
           g_atomic_int_get (&e->in_flight));
--- a/entry.h
+++ b/entry.h
@@ -50,12 +50,12 @@
   CfConfigWatch watch;
   CfVmList vms;
   CfLinkTable links;
-  guint64 boot; /**< random, tells this start from any other */
+  guint64 start_id; /**< random, tells this start from any other */
   CfAdmission admission;
   CfRetryBudget retry_budget;
   gint in_flight; /**< requests whose answer is not ready yet, refused too */
   gint draining;
-  gint64 stop_at_ms; /**< when a stop closes connections; 0: no stop */
+  gint64 drain_deadline_ms; /**< when a stop closes connections; 0: no stop */
   guint64 seq;
   uint64_t answered;
   uint64_t refused;
--- a/fake-ranks.c
+++ b/fake-ranks.c
@@ -345,9 +345,9 @@
 static void
 set_fault (FakeRanks *f, const CfHttpRequest *req, CfHttpReply *rep)
 {
-  const char *rank = cf_http_query (req, "rank");
-  const char *fault = cf_http_query (req, "fault");
-  const char *ms = cf_http_query (req, "ms");
+  const char *rank = cf_http_query_arg (req, "rank");
+  const char *fault = cf_http_query_arg (req, "fault");
+  const char *ms = cf_http_query_arg (req, "ms");
   gint64 r = rank ? g_ascii_strtoll (rank, NULL, 10) : -1;
   FakeRank *k;
 
--- a/guard.c
+++ b/guard.c
@@ -134,7 +134,7 @@
 }
 
 CfGuardState
-cf_guard_begin (CfGuard *g, const char *key, CfKeyed keyed, gint64 now_ms,
+cf_guard_begin (CfGuard *g, const char *key, CfKeyState keyed, gint64 now_ms,
                 gint64 *code, char **body)
 {
   CfGuardState st;
@@ -157,10 +157,10 @@
         }
       goto out;
     }
-  if (keyed == CF_KEYED_REPLAY
-      || (keyed == CF_KEYED_UNCLAIMED && now_ms < g->quiet_until_ms))
+  if (keyed == CF_KEY_REPLAY
+      || (keyed == CF_KEY_UNCLAIMED && now_ms < g->quiet_until_ms))
     {
-      st = keyed == CF_KEYED_REPLAY ? CF_GUARD_UNKNOWN : CF_GUARD_QUIET;
+      st = keyed == CF_KEY_REPLAY ? CF_GUARD_UNKNOWN : CF_GUARD_QUIET;
       goto out;
     }
   if (!has_room (g, g->calls, call_expired, now_ms))
--- a/guard.h
+++ b/guard.h
@@ -80,7 +80,7 @@
  * run the call, and the caller must then end it with cf_guard_finish() or
  * cf_guard_forget().
  */
-CfGuardState cf_guard_begin (CfGuard *g, const char *key, CfKeyed keyed,
+CfGuardState cf_guard_begin (CfGuard *g, const char *key, CfKeyState keyed,
                              gint64 now_ms, gint64 *code, char **body);
 
 /**
--- a/http-server.c
+++ b/http-server.c
@@ -34,7 +34,8 @@
   r = MHD_create_response_from_buffer (strlen (body), (void *)body,
                                        MHD_RESPMEM_MUST_COPY);
   MHD_add_response_header (r, "Content-Type",
-                           rep->ctype ? rep->ctype : "application/json");
+                           rep->content_type ? rep->content_type
+                                             : "application/json");
   if (rep->close)
     MHD_add_response_header (r, "Connection", "close");
   if (rep->retry_after_ms > 0)
@@ -72,7 +73,7 @@
     }
   if (*upload_size > 0)
     {
-      if (up->body->len + *upload_size > CF_HTTP_BODY_MAX)
+      if (up->body->len + *upload_size > CF_HTTP_BODY_MAX_BYTES)
         up->too_big = TRUE;
       else
         g_string_append_len (up->body, upload, *upload_size);
@@ -150,7 +151,7 @@
 }
 
 int
-cf_http_server_active (const CfHttpServer *s)
+cf_http_server_count_active (const CfHttpServer *s)
 {
   return g_atomic_int_get (&s->active);
 }
@@ -174,7 +175,7 @@
 }
 
 const char *
-cf_http_query (const CfHttpRequest *req, const char *name)
+cf_http_query_arg (const CfHttpRequest *req, const char *name)
 {
   return MHD_lookup_connection_value (req->conn, MHD_GET_ARGUMENT_KIND, name);
 }
@@ -186,7 +187,7 @@
 }
 
 gboolean
-cf_http_caller_gone (const CfHttpRequest *req)
+cf_http_is_caller_gone (const CfHttpRequest *req)
 {
   const union MHD_ConnectionInfo *info
       = MHD_get_connection_info (req->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
--- a/http-server.h
+++ b/http-server.h
@@ -8,7 +8,7 @@
 struct MHD_Connection;
 
 /** The largest request body an HTTP server of ours reads, in bytes. */
-#define CF_HTTP_BODY_MAX ((size_t)1024 * 1024)
+#define CF_HTTP_BODY_MAX_BYTES ((size_t)1024 * 1024)
 
 /** CfHttpRequest: one whole HTTP request, body read in full. */
 typedef struct
@@ -24,10 +24,10 @@
 typedef struct
 {
   int code;
-  char *body;          /**< JSON text, owned */
-  long retry_after_ms; /**< >0 adds a Retry-After header, in seconds */
-  const char *ctype;   /**< %NULL means application/json */
-  gboolean close;      /**< tell the peer not to reuse the connection */
+  char *body;               /**< JSON text, owned */
+  long retry_after_ms;      /**< >0 adds a Retry-After header, in seconds */
+  const char *content_type; /**< %NULL means application/json */
+  gboolean close;           /**< tell the peer not to reuse the connection */
   int drop; /**< non-zero closes the connection without any reply (tests) */
 } CfHttpReply;
 
@@ -54,24 +54,24 @@
 void cf_http_server_quiesce (CfHttpServer *s);
 
 /**
- * cf_http_server_active: requests begun whose reply is not yet sent.
+ * cf_http_server_count_active: requests begun whose reply is not yet sent.
  */
-int cf_http_server_active (const CfHttpServer *s);
+int cf_http_server_count_active (const CfHttpServer *s);
 
 /** cf_http_server_stop: closes every connection and frees @s. */
 void cf_http_server_stop (CfHttpServer *s);
 
-/** cf_http_query: a query-string argument of @req, or %NULL. */
-const char *cf_http_query (const CfHttpRequest *req, const char *name);
+/** cf_http_query_arg: a query-string argument of @req, or %NULL. */
+const char *cf_http_query_arg (const CfHttpRequest *req, const char *name);
 
 /** cf_http_header: a request header of @req, or %NULL. */
 const char *cf_http_header (const CfHttpRequest *req, const char *name);
 
 /**
- * cf_http_caller_gone: whether the caller has closed its connection, or its
+ * cf_http_is_caller_gone: whether the caller has closed its connection, or its
  * half of it, before the answer.
  */
-gboolean cf_http_caller_gone (const CfHttpRequest *req);
+gboolean cf_http_is_caller_gone (const CfHttpRequest *req);
 
 /** cf_http_reply_error: fills @rep with `{"error": @what, "message": ...}`. */
 void cf_http_reply_error (CfHttpReply *rep, int code, const char *what,
--- a/link-table.c
+++ b/link-table.c
@@ -21,7 +21,7 @@
 
   g_hash_table_iter_init (&it, t->links);
   while (g_hash_table_iter_next (&it, NULL, &l))
-    cf_link_set_idle_ping (l, ms);
+    cf_link_set_idle_ping_interval (l, ms);
 }
 
 CfLink *
@@ -34,7 +34,7 @@
   if (l == NULL)
     {
       l = cf_link_new (addr);
-      cf_link_set_config (l, t->config);
+      cf_link_set_config_version (l, t->config);
       g_hash_table_insert (t->links, l->addr, l);
       share_ping_budget (t);
     }
@@ -43,7 +43,7 @@
 }
 
 void
-cf_link_table_set_config (CfLinkTable *t, gint64 version)
+cf_link_table_set_config_version (CfLinkTable *t, gint64 version)
 {
   GHashTableIter it;
   gpointer l;
@@ -52,7 +52,7 @@
   t->config = version;
   g_hash_table_iter_init (&it, t->links);
   while (g_hash_table_iter_next (&it, NULL, &l))
-    cf_link_set_config (l, version);
+    cf_link_set_config_version (l, version);
   pthread_mutex_unlock (&t->lock);
 }
 
@@ -67,10 +67,10 @@
   g_hash_table_iter_init (&it, t->links);
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
-      CfLinkView view = cf_link_view (v);
+      CfLinkSnapshot view = cf_link_snapshot (v);
 
       sum.up += view.up;
-      sum.quiet += view.up && view.load.quiet_ms > 0;
+      sum.quiet += view.up && view.load.quiet_remaining_ms > 0;
       sum.ejected += view.ejected;
       sum.pings += view.pings;
     }
--- a/link-table.h
+++ b/link-table.h
@@ -28,8 +28,8 @@
 /** cf_link_table_get: the link to @addr, started at the first call. */
 CfLink *cf_link_table_get (CfLinkTable *t, const char *addr);
 
-/** cf_link_table_set_config: for every link, now and to come. */
-void cf_link_table_set_config (CfLinkTable *t, gint64 version);
+/** cf_link_table_set_config_version: for every link, now and to come. */
+void cf_link_table_set_config_version (CfLinkTable *t, gint64 version);
 
 /** cf_link_table_totals: sums over the links. */
 CfLinkTotals cf_link_table_totals (CfLinkTable *t);
--- a/rank-group.c
+++ b/rank-group.c
@@ -288,10 +288,10 @@
     if (g->links[i] == NULL)
       {
         g->links[i] = cf_link_new (g_ptr_array_index (g->set.members, i));
-        cf_link_set_idle_ping (g->links[i], g->set.interval_ms);
+        cf_link_set_idle_ping_interval (g->links[i], g->set.interval_ms);
       }
   for (guint i = 0; i < g->set.members->len; i++)
-    while (!cf_link_view (g->links[i]).up && cf_now_ms () < until)
+    while (!cf_link_snapshot (g->links[i]).up && cf_now_ms () < until)
       usleep (1000);
 }
 
--- a/records.c
+++ b/records.c
@@ -414,8 +414,8 @@
 }
 
 const CfIntent *
-cf_config_match (const CfConfig *c, const char *org, const char *service,
-                 const char *model)
+cf_config_find_intent (const CfConfig *c, const char *org, const char *service,
+                       const char *model)
 {
   const CfIntent *best = NULL;
 
@@ -433,7 +433,7 @@
 }
 
 const CfGroup *
-cf_config_group (const CfConfig *c, const char *name)
+cf_config_find_group (const CfConfig *c, const char *name)
 {
   return g_hash_table_lookup (c->groups, name);
 }
--- a/records.h
+++ b/records.h
@@ -80,12 +80,12 @@
 void cf_config_unref (CfConfig *c);
 
 /**
- * cf_config_match:
+ * cf_config_find_intent:
  * Returns: (nullable): the intent of highest priority that permits
  * @org, @service and @model; ties go to the earlier record.
  */
-const CfIntent *cf_config_match (const CfConfig *c, const char *org,
-                                 const char *service, const char *model);
+const CfIntent *cf_config_find_intent (const CfConfig *c, const char *org,
+                                       const char *service, const char *model);
 
-/** cf_config_group: the group named @name, or %NULL. */
-const CfGroup *cf_config_group (const CfConfig *c, const char *name);
+/** cf_config_find_group: the group named @name, or %NULL. */
+const CfGroup *cf_config_find_group (const CfConfig *c, const char *name);
--- a/route.c
+++ b/route.c
@@ -39,9 +39,10 @@
 }
 
 guint
-cf_route_guards (const CfConfig *c, const char *key, const char *out[CF_GUARDS])
+cf_route_find_guards (const CfConfig *c, const char *key,
+                      const char *out[CF_GUARDS_PER_KEY])
 {
-  guint64 best[CF_GUARDS] = { 0 };
+  guint64 best[CF_GUARDS_PER_KEY] = { 0 };
   guint n = 0;
   GHashTableIter it;
   gpointer v;
@@ -63,9 +64,9 @@
             known |= g_str_equal (out[j], addr);
           while (at > 0 && score > best[at - 1])
             at--;
-          if (known || at == CF_GUARDS)
+          if (known || at == CF_GUARDS_PER_KEY)
             continue;
-          n = MIN (n + 1, CF_GUARDS);
+          n = MIN (n + 1, CF_GUARDS_PER_KEY);
           for (guint j = n - 1; j > at; j--)
             {
               out[j] = out[j - 1];
--- a/route.h
+++ b/route.h
@@ -33,18 +33,18 @@
                             const char *req_id);
 
 /** How many agents guard one idempotency key. */
-#define CF_GUARDS 3
+#define CF_GUARDS_PER_KEY 3
 
 /**
- * cf_route_guards:
+ * cf_route_find_guards:
  * @c: the configuration whose agents, of every group, may be guards
  * @key: an idempotency key
- * @out: (out): up to %CF_GUARDS addresses, owned by @c
+ * @out: (out): up to %CF_GUARDS_PER_KEY addresses, owned by @c
  *
  * The key's guards: the agents that come first by rendezvous hashing,
  * whether up or not, so that every entry on one version agrees on them.
  *
  * Returns: how many there are; fewer only if @c has fewer agents.
  */
-guint cf_route_guards (const CfConfig *c, const char *key,
-                       const char *out[CF_GUARDS]);
+guint cf_route_find_guards (const CfConfig *c, const char *key,
+                            const char *out[CF_GUARDS_PER_KEY]);
--- a/t/t-admission.c
+++ b/t/t-admission.c
@@ -14,7 +14,7 @@
   int taken = 0;
 
   for (int i = 0; i < n; i++)
-    taken += cf_admission_enter (a, org, priority) == CF_ADMIT_OK;
+    taken += cf_admission_acquire (a, org, priority) == CF_ADMIT_OK;
   return taken;
 }
 
@@ -24,12 +24,12 @@
 
   cf_admission_init (&a, 100, 80, 0);
   ck_assert_int_eq (enter (&a, "o", 4, 200), 80);
-  ck_assert_int_eq (cf_admission_enter (&a, "o", 4), CF_ADMIT_FULL);
+  ck_assert_int_eq (cf_admission_acquire (&a, "o", 4), CF_ADMIT_FULL);
   ck_assert_int_eq (enter (&a, "o", 5, 200), 20);
-  ck_assert_int_eq (cf_admission_enter (&a, "o", 9), CF_ADMIT_FULL);
-  cf_admission_leave (&a, "o");
+  ck_assert_int_eq (cf_admission_acquire (&a, "o", 9), CF_ADMIT_FULL);
+  cf_admission_release (&a, "o");
   ck_assert_int_eq (cf_admission_in_progress (&a), 99);
-  ck_assert_int_eq (cf_admission_enter (&a, "o", 9), CF_ADMIT_OK);
+  ck_assert_int_eq (cf_admission_acquire (&a, "o", 9), CF_ADMIT_OK);
   cf_admission_clear (&a);
 }
 END_TEST
@@ -42,15 +42,15 @@
   /* Alone, one organisation is its own fair share: nothing is wasted. */
   ck_assert_int_eq (enter (&a, "large", 5, 200), 100);
   for (int i = 0; i < 100; i++)
-    cf_admission_leave (&a, "large");
+    cf_admission_release (&a, "large");
   ck_assert_int_eq (cf_admission_in_progress (&a), 0);
 
   /* Beside another it stops at the reserve, which the small one gets. */
   ck_assert_int_eq (enter (&a, "small", 5, 1), 1);
   ck_assert_int_eq (enter (&a, "large", 5, 200), 89);
-  ck_assert_int_eq (cf_admission_enter (&a, "large", 5), CF_ADMIT_FAIR_SHARE);
+  ck_assert_int_eq (cf_admission_acquire (&a, "large", 5), CF_ADMIT_FAIR_SHARE);
   ck_assert_int_eq (enter (&a, "small", 5, 20), 10);
-  ck_assert_int_eq (cf_admission_enter (&a, "small", 5), CF_ADMIT_FULL);
+  ck_assert_int_eq (cf_admission_acquire (&a, "small", 5), CF_ADMIT_FULL);
   cf_admission_clear (&a);
 }
 END_TEST
--- a/t/t-agent.c
+++ b/t/t-agent.c
@@ -391,7 +391,7 @@
 {
   (void)data;
   (void)req;
-  rep->body = g_strnfill (CF_FRAME_MAX + 1000, 'a');
+  rep->body = g_strnfill (CF_FRAME_MAX_BYTES + 1000, 'a');
 }
 
 START_TEST (test_answer_too_large_for_a_frame)
--- a/t/t-entry.c
+++ b/t/t-entry.c
@@ -414,8 +414,8 @@
         "\"desc-v3\",\"body\":{\"prompt\":\"";
   static const char tail[] = "\"}}";
   /* Just the HTTP limit, so that its frame's other fields are too much. */
-  g_autofree char *prompt
-      = g_strnfill (CF_HTTP_BODY_MAX - strlen (head) - strlen (tail), 'p');
+  g_autofree char *prompt = g_strnfill (
+      CF_HTTP_BODY_MAX_BYTES - strlen (head) - strlen (tail), 'p');
   g_autofree char *body = g_strconcat (head, prompt, tail, NULL);
   g_autofree char *ran = NULL;
   g_autofree char *log = NULL;
--- a/t/t-guard.c
+++ b/t/t-guard.c
@@ -10,21 +10,18 @@
   gint64 code = 0;
 
   cf_guard_init (&g, 1000, 2, 0);
-  ck_assert_int_eq (
-      cf_guard_begin (&g, "k", CF_KEYED_UNCLAIMED, 0, &code, &body),
-      CF_GUARD_NEW);
-  ck_assert_int_eq (
-      cf_guard_begin (&g, "k", CF_KEYED_UNCLAIMED, 1, &code, &body),
-      CF_GUARD_RUNNING);
+  ck_assert_int_eq (cf_guard_begin (&g, "k", CF_KEY_UNCLAIMED, 0, &code, &body),
+                    CF_GUARD_NEW);
+  ck_assert_int_eq (cf_guard_begin (&g, "k", CF_KEY_UNCLAIMED, 1, &code, &body),
+                    CF_GUARD_RUNNING);
   cf_guard_finish (&g, "k", TRUE, 200, "done", 2);
-  ck_assert_int_eq (
-      cf_guard_begin (&g, "k", CF_KEYED_UNCLAIMED, 3, &code, &body),
-      CF_GUARD_DONE);
+  ck_assert_int_eq (cf_guard_begin (&g, "k", CF_KEY_UNCLAIMED, 3, &code, &body),
+                    CF_GUARD_DONE);
   ck_assert_int_eq (code, 200);
   ck_assert_str_eq (body, "done");
   /* After the time to live the key is free again. */
   ck_assert_int_eq (
-      cf_guard_begin (&g, "k", CF_KEYED_UNCLAIMED, 1003, &code, &body),
+      cf_guard_begin (&g, "k", CF_KEY_UNCLAIMED, 1003, &code, &body),
       CF_GUARD_NEW);
   cf_guard_clear (&g);
 }
@@ -37,23 +34,18 @@
   gint64 code = 0;
 
   cf_guard_init (&g, 1000, 2, 0);
-  ck_assert_int_eq (
-      cf_guard_begin (&g, "a", CF_KEYED_UNCLAIMED, 0, &code, &body),
-      CF_GUARD_NEW);
+  ck_assert_int_eq (cf_guard_begin (&g, "a", CF_KEY_UNCLAIMED, 0, &code, &body),
+                    CF_GUARD_NEW);
   cf_guard_finish (&g, "a", FALSE, 0, NULL, 0);
-  ck_assert_int_eq (
-      cf_guard_begin (&g, "a", CF_KEYED_UNCLAIMED, 1, &code, &body),
-      CF_GUARD_UNKNOWN);
-  ck_assert_int_eq (
-      cf_guard_begin (&g, "b", CF_KEYED_UNCLAIMED, 1, &code, &body),
-      CF_GUARD_NEW);
-  ck_assert_int_eq (
-      cf_guard_begin (&g, "c", CF_KEYED_UNCLAIMED, 1, &code, &body),
-      CF_GUARD_FULL);
+  ck_assert_int_eq (cf_guard_begin (&g, "a", CF_KEY_UNCLAIMED, 1, &code, &body),
+                    CF_GUARD_UNKNOWN);
+  ck_assert_int_eq (cf_guard_begin (&g, "b", CF_KEY_UNCLAIMED, 1, &code, &body),
+                    CF_GUARD_NEW);
+  ck_assert_int_eq (cf_guard_begin (&g, "c", CF_KEY_UNCLAIMED, 1, &code, &body),
+                    CF_GUARD_FULL);
   cf_guard_forget (&g, "b");
-  ck_assert_int_eq (
-      cf_guard_begin (&g, "c", CF_KEYED_UNCLAIMED, 1, &code, &body),
-      CF_GUARD_NEW);
+  ck_assert_int_eq (cf_guard_begin (&g, "c", CF_KEY_UNCLAIMED, 1, &code, &body),
+                    CF_GUARD_NEW);
   cf_guard_clear (&g);
 }
 END_TEST
@@ -109,16 +101,14 @@
   ck_assert_int_eq (cf_guard_claim (&g, "k", "t1", "a1", 150, &holder),
                     CF_VERDICT_ABSTAIN);
   ck_assert_int_eq (
-      cf_guard_begin (&g, "x", CF_KEYED_UNCLAIMED, 40, &code, &body),
+      cf_guard_begin (&g, "x", CF_KEY_UNCLAIMED, 40, &code, &body),
       CF_GUARD_QUIET);
+  ck_assert_int_eq (cf_guard_begin (&g, "x", CF_KEY_CLAIMED, 41, &code, &body),
+                    CF_GUARD_NEW);
+  ck_assert_int_eq (cf_guard_begin (&g, "y", CF_KEY_REPLAY, 150, &code, &body),
+                    CF_GUARD_UNKNOWN);
   ck_assert_int_eq (
-      cf_guard_begin (&g, "x", CF_KEYED_CLAIMED, 41, &code, &body),
-      CF_GUARD_NEW);
-  ck_assert_int_eq (
-      cf_guard_begin (&g, "y", CF_KEYED_REPLAY, 150, &code, &body),
-      CF_GUARD_UNKNOWN);
-  ck_assert_int_eq (
-      cf_guard_begin (&g, "y", CF_KEYED_UNCLAIMED, 151, &code, &body),
+      cf_guard_begin (&g, "y", CF_KEY_UNCLAIMED, 151, &code, &body),
       CF_GUARD_NEW);
   cf_guard_clear (&g);
 }
--- a/t/t-link.c
+++ b/t/t-link.c
@@ -102,9 +102,9 @@
   pthread_create (&t, NULL, fake_agent, NULL);
   pthread_detach (t);
   l = cf_link_new (ADDR);
-  for (int i = 0; i < 100 && !cf_link_view (l).up; i++)
+  for (int i = 0; i < 100 && !cf_link_snapshot (l).up; i++)
     usleep (20000);
-  ck_assert (cf_link_view (l).up);
+  ck_assert (cf_link_snapshot (l).up);
   return l;
 }
 
@@ -143,7 +143,7 @@
   gint idle;
   gint busy;
 
-  cf_link_set_idle_ping (l, 3000);
+  cf_link_set_idle_ping_interval (l, 3000);
   usleep (100000);
   idle = g_atomic_int_get (&fake.pings);
   usleep (4000000);
@@ -195,7 +195,7 @@
   Caller c = { .link = l, .body = "x", .deadline = cf_now_ms () + 20000 };
   long long t0 = cf_now_ms ();
 
-  cf_link_set_idle_ping (l, 10000);
+  cf_link_set_idle_ping_interval (l, 10000);
   call (&c);
   ck_assert_int_eq (c.res, CF_CALL_LOST);
   ck_assert_msg (cf_now_ms () - t0 < 6000, "lost after %lld ms",
@@ -244,7 +244,7 @@
       usleep (20000);
     }
   /* Quiet for less than 250 ms, so that it counts what was asked till now. */
-  ck_assert_int_eq (cf_link_view (l).outstanding, 0);
+  ck_assert_int_eq (cf_link_snapshot (l).outstanding, 0);
   pthread_join (t, NULL);
   ck_assert_int_eq (held.res, CF_CALL_ABANDONED);
 }
--- a/t/t-records.c
+++ b/t/t-records.c
@@ -42,12 +42,12 @@
           "\"groups\":[{\"name\":\"g\"}],\"priority\":7,\"worth_milli\":5}\n",
           &c),
       CF_OK);
-  it = cf_config_match (c, "o", "s", "m");
+  it = cf_config_find_intent (c, "o", "s", "m");
   ck_assert_str_eq (it->name, "b");
   ck_assert_int_eq (it->schema, 2);
-  it = cf_config_match (c, "other", "s", "m");
+  it = cf_config_find_intent (c, "other", "s", "m");
   ck_assert_str_eq (it->name, "b");
-  ck_assert_ptr_null (cf_config_match (c, "o", "s", "other"));
+  ck_assert_ptr_null (cf_config_find_intent (c, "o", "s", "other"));
   cf_config_unref (c);
 }
 END_TEST
--- a/t/t-route.c
+++ b/t/t-route.c
@@ -71,17 +71,17 @@
 END_TEST
 
 static guint
-guards_of (const char *records, const char *key, const char *out[CF_GUARDS],
-           CfConfig **c)
+guards_of (const char *records, const char *key,
+           const char *out[CF_GUARDS_PER_KEY], CfConfig **c)
 {
   ck_assert_int_eq (cf_config_parse_lines (records, "t", 1, c), CF_OK);
-  return cf_route_guards (*c, key, out);
+  return cf_route_find_guards (*c, key, out);
 }
 
 START_TEST (test_guards_are_distinct_and_do_not_depend_on_order)
 {
-  const char *a[CF_GUARDS];
-  const char *b[CF_GUARDS];
+  const char *a[CF_GUARDS_PER_KEY];
+  const char *b[CF_GUARDS_PER_KEY];
   CfConfig *ca = NULL;
   CfConfig *cb = NULL;
 
@@ -114,7 +114,7 @@
 
 START_TEST (test_guards_of_a_small_configuration)
 {
-  const char *a[CF_GUARDS];
+  const char *a[CF_GUARDS_PER_KEY];
   CfConfig *c = NULL;
 
   ck_assert_int_eq (
--- a/vm-list.c
+++ b/vm-list.c
@@ -76,7 +76,7 @@
 }
 
 gboolean
-cf_vm_list_leaving (CfVmList *v, const char *addr)
+cf_vm_list_is_leaving (CfVmList *v, const char *addr)
 {
   gboolean r;
 
--- a/vm-list.h
+++ b/vm-list.h
@@ -21,5 +21,5 @@
 
 void cf_vm_list_start (CfVmList *v, const char *url, gint64 poll_ms);
 
-/** cf_vm_list_leaving: %TRUE if the list last said @addr is leaving. */
-gboolean cf_vm_list_leaving (CfVmList *v, const char *addr);
+/** cf_vm_list_is_leaving: %TRUE if the list last said @addr is leaving. */
+gboolean cf_vm_list_is_leaving (CfVmList *v, const char *addr);
--- a/wire.c
+++ b/wire.c
@@ -85,7 +85,7 @@
     msgpack_pack_true (&pk);
   else
     msgpack_pack_false (&pk);
-  msgpack_pack_int64 (&pk, m->load.quiet_ms);
+  msgpack_pack_int64 (&pk, m->load.quiet_remaining_ms);
 
   switch (m->kind)
     {
@@ -97,7 +97,7 @@
       pack_kv_str (&pk, "body", m->u.request.body);
       pack_kv_str (&pk, "path", m->u.request.path);
       pack_kv_str (&pk, "rid", m->u.request.rid);
-      pack_kv_int (&pk, "keyed", m->u.request.keyed);
+      pack_kv_int (&pk, "keyed", m->u.request.key_state);
       pack_kv_int (&pk, "prio", m->u.request.priority);
       pack_kv_int (&pk, "deadline", m->u.request.deadline_ms);
       break;
@@ -192,7 +192,7 @@
   a = v->via.array.ptr;
   if (get_int (&a[0], "load", &load->in_flight) != CF_OK
       || get_int (&a[1], "load", &load->queued) != CF_OK
-      || get_int (&a[3], "load", &load->quiet_ms) != CF_OK)
+      || get_int (&a[3], "load", &load->quiet_remaining_ms) != CF_OK)
     return CF_ERR_PROTO;
   load->draining = a[2].type == MSGPACK_OBJECT_BOOLEAN && a[2].via.boolean;
   return CF_OK;
@@ -237,9 +237,9 @@
           if (get_int (v, "keyed", &n) != CF_OK)
             return CF_ERR_PROTO;
           /* A value we do not know must never let a call run. */
-          m->u.request.keyed = n == CF_KEYED_UNCLAIMED ? CF_KEYED_UNCLAIMED
-                               : n == CF_KEYED_CLAIMED ? CF_KEYED_CLAIMED
-                                                       : CF_KEYED_REPLAY;
+          m->u.request.key_state = n == CF_KEY_UNCLAIMED ? CF_KEY_UNCLAIMED
+                                   : n == CF_KEY_CLAIMED ? CF_KEY_CLAIMED
+                                                         : CF_KEY_REPLAY;
           return CF_OK;
         }
       if (key_is (k, "prio"))
@@ -383,10 +383,10 @@
 {
   g_autoptr (GByteArray) frame = cf_msg_encode (m);
 
-  if (frame->len - 4 > CF_FRAME_MAX)
+  if (frame->len - 4 > CF_FRAME_MAX_BYTES)
     return cf_fail (CF_ERR_FULL, "send a smaller body",
                     "frame of %u bytes is over %d", frame->len - 4,
-                    CF_FRAME_MAX);
+                    CF_FRAME_MAX_BYTES);
   return cf_write_all (fd, frame->data, frame->len);
 }
 
@@ -401,9 +401,10 @@
   if (st != CF_OK)
     return st;
   len = ntohl (len);
-  if (len == 0 || len > CF_FRAME_MAX)
+  if (len == 0 || len > CF_FRAME_MAX_BYTES)
     return cf_fail (CF_ERR_PROTO, "check that the peer speaks comfrey frames",
-                    "frame length %u is outside 1..%d", len, CF_FRAME_MAX);
+                    "frame length %u is outside 1..%d", len,
+                    CF_FRAME_MAX_BYTES);
   body = g_malloc (len);
   st = cf_read_all (fd, body, len);
   if (st != CF_OK)
@@ -456,7 +457,7 @@
 }
 
 const char *
-cf_ran_name (CfRan ran)
+cf_ran_name (CfRanState ran)
 {
   switch (ran)
     {
--- a/wire.h
+++ b/wire.h
@@ -7,10 +7,10 @@
 /** The version of the frames between our processes; see docs/WIRE.md. */
 #define CF_WIRE_VERSION 1
 /** The largest frame body we send or accept, in bytes. */
-#define CF_FRAME_MAX (1024 * 1024)
+#define CF_FRAME_MAX_BYTES (1024 * 1024)
 
 /**
- * CfRan:
+ * CfRanState:
  * What a refusal says of whether the request ran.  %CF_RAN_NO is sent only
  * when the sender knows the target never saw the request.
  */
@@ -19,7 +19,7 @@
   CF_RAN_NO = 0,
   CF_RAN_UNKNOWN = 1,
   CF_RAN_YES = 2,
-} CfRan;
+} CfRanState;
 
 /** CfLoad: an agent's load, sent on every answer, refusal and status. */
 typedef struct
@@ -27,7 +27,8 @@
   gint64 in_flight; /**< requests at the target now */
   gint64 queued;    /**< requests waiting for a worker */
   gboolean draining;
-  gint64 quiet_ms; /**< how much longer its guard abstains, in ms; guard.h */
+  gint64 quiet_remaining_ms; /**< how much longer its guard abstains, in ms;
+                                guard.h */
 } CfLoad;
 
 /** CfVerdict: a guard's answer to a claim of an idempotency key. */
@@ -38,13 +39,13 @@
   CF_VERDICT_ABSTAIN = 2, /**< started too lately to know, or full */
 } CfVerdict;
 
-/** CfKeyed: what an entry knows of a request's idempotency key. */
+/** CfKeyState: what an entry knows of a request's idempotency key. */
 typedef enum
 {
-  CF_KEYED_UNCLAIMED = 0, /**< nothing: the agent's own guard decides */
-  CF_KEYED_CLAIMED = 1,   /**< a majority of guards granted the claim */
-  CF_KEYED_REPLAY = 2,    /**< held by another sending: kept answers only */
-} CfKeyed;
+  CF_KEY_UNCLAIMED = 0, /**< nothing: the agent's own guard decides */
+  CF_KEY_CLAIMED = 1,   /**< a majority of guards granted the claim */
+  CF_KEY_REPLAY = 2,    /**< held by another sending: kept answers only */
+} CfKeyState;
 
 /** CfMsgKind: the tag of a #CfMsg. */
 typedef enum
@@ -83,9 +84,9 @@
       char *model;
       char *key; /**< idempotency key; %NULL if the call is repeatable */
       char *body;
-      char *path;    /**< the target's path, such as "/v1/generate" */
-      char *rid;     /**< the entry's request id, for logs and cancel */
-      CfKeyed keyed; /**< with a key: what the entry knows of it */
+      char *path;           /**< the target's path, such as "/v1/generate" */
+      char *rid;            /**< the entry's request id, for logs and cancel */
+      CfKeyState key_state; /**< with a key: what the entry knows of it */
       gint64 priority;
       gint64 deadline_ms; /**< time left when sent, in ms */
     } request;
@@ -96,7 +97,7 @@
     } answer;
     struct
     {
-      CfRan ran;
+      CfRanState ran;
       char *reason;
       gint64 retry_after_ms;
     } refusal;
@@ -151,7 +152,7 @@
  * cf_msg_write:
  * Encodes and writes @m; the caller serialises writers.
  * Returns: %CF_OK; %CF_ERR_FULL, with nothing written, if the frame would
- * be larger than %CF_FRAME_MAX; or %CF_ERR_NET.
+ * be larger than %CF_FRAME_MAX_BYTES; or %CF_ERR_NET.
  */
 CfStatus cf_msg_write (int fd, const CfMsg *m);
 
@@ -173,4 +174,4 @@
 const char *cf_verdict_name (CfVerdict v);
 
 /** cf_ran_name: "no", "unknown" or "yes". */
-const char *cf_ran_name (CfRan ran);
+const char *cf_ran_name (CfRanState ran);
