--- a/agent-link.c
+++ b/agent-link.c
@@ -12,18 +12,21 @@
 #define CONNECT_TIMEOUT_MS 500
 #define BACKOFF_MAX_MS 2000
 #define SEND_TIMEOUT_MS 1000
-/* How often a waiting call asks whether anybody still waits for it. */
-#define WANTED_MS 250
+/* How often a pending call checks whether its reply is still needed. */
+#define WANTED_CHECK_INTERVAL_MS 250
 
+/* A call that waits for its reply. */
 typedef struct
 {
   CfMsg reply;
-  gboolean done;
-  gboolean lost;
+  gboolean done; /* reply is set */
+  gboolean lost; /* the connection was lost */
 } CfPending;
 
+/* Closes the connection and fails all pending calls; call with the lock
+ * held. */
 static void
-fail_all (CfLink *l, const char *why)
+drop_connection (CfLink *l, const char *reason)
 {
   gboolean was_ready = l->ready;
   GHashTableIter it;
@@ -38,14 +41,16 @@
     {
       close (l->fd);
       l->fd = -1;
-      /* A connection that never answered was never up: no line for it. */
+      /* A link whose agent never answered was never up: nothing to log. */
       if (was_ready)
         cf_log (LOG_WARNING, CF_EV_LINK_DOWN, "target=%s reason=%s", l->addr,
-                why);
+                reason);
     }
   pthread_cond_broadcast (&l->cond);
 }
 
+/* Records the agent's load, and hands @m to the call that waits for it; call
+ * with the lock held. */
 static void
 take_reply (CfLink *l, CfMsg *m)
 {
@@ -62,7 +67,7 @@
   p = g_hash_table_lookup (l->pending, &m->id);
   if (p == NULL)
     {
-      /* A reply to a call that timed out already: nobody waits for it. */
+      /* A reply to a call that has timed out or was abandoned. */
       cf_msg_clear (m);
       return;
     }
@@ -73,31 +78,33 @@
   pthread_cond_broadcast (&l->cond);
 }
 
+/* Sends a ping if one is due, or drops the connection if the agent was silent
+ * for too long; call with the lock held. */
 static void
-heartbeat (CfLink *l, long long now)
+send_heartbeat (CfLink *l, long long now)
 {
   CfMsg ping = { .kind = CF_MSG_PING };
-  long long every = l->outstanding > 0 || l->unanswered_since_ms > 0
-                        ? CF_LINK_PING_INTERVAL_MS
-                        : l->idle_ping_interval_ms;
+  long long interval = l->outstanding > 0 || l->unanswered_since_ms > 0
+                           ? CF_LINK_PING_INTERVAL_MS
+                           : l->idle_ping_interval_ms;
 
   if (l->unanswered_since_ms > 0
       && now - l->unanswered_since_ms > CF_LINK_SILENCE_TIMEOUT_MS)
     {
-      fail_all (l, "silent");
+      drop_connection (l, "silent");
       return;
     }
-  /* Replies carry the agent's load and prove it alive, so a link that
-   * heard from its agent within the interval needs no ping. */
-  if (now - l->last_ping_ms >= every && now - l->last_receive_ms >= every)
+  /* Every reply carries the agent's load and proves that it is alive, so a
+   * link that received one within the interval needs no ping. */
+  if (now - l->last_ping_ms >= interval && now - l->last_receive_ms >= interval)
     {
       l->last_ping_ms = now;
       l->pings++;
-      ping.config = l->config;
+      ping.config = l->config_version;
       if (l->unanswered_since_ms == 0)
         l->unanswered_since_ms = now;
       if (cf_msg_write (l->fd, &ping) != CF_OK)
-        fail_all (l, "write-failed");
+        drop_connection (l, "write-failed");
     }
 }
 
@@ -125,17 +132,17 @@
               backoff = MIN (backoff * 2, BACKOFF_MAX_MS);
               continue;
             }
-          /* A peer that stops reading must not hold a writer for ever. */
+          /* An agent that stops reading must not block a writer for ever. */
           setsockopt (fd, SOL_SOCKET, SO_SNDTIMEO, &tv, sizeof tv);
           backoff = 100;
           pthread_mutex_lock (&l->lock);
           l->fd = fd;
           l->ready = FALSE;
-          /* Long ago, so that the first ping goes out at once. */
+          /* Zero, so that the first ping is sent at once. */
           l->last_receive_ms = 0;
           l->last_ping_ms = 0;
           l->unanswered_since_ms = 0;
-          heartbeat (l, cf_now_ms ());
+          send_heartbeat (l, cf_now_ms ());
           pthread_mutex_unlock (&l->lock);
         }
 
@@ -145,7 +152,7 @@
         {
           pthread_mutex_lock (&l->lock);
           if (l->fd == fd)
-            heartbeat (l, cf_now_ms ());
+            send_heartbeat (l, cf_now_ms ());
           pthread_mutex_unlock (&l->lock);
           continue;
         }
@@ -153,7 +160,7 @@
         {
           pthread_mutex_lock (&l->lock);
           if (l->fd == fd)
-            fail_all (l, "closed");
+            drop_connection (l, "closed");
           pthread_mutex_unlock (&l->lock);
           continue;
         }
@@ -166,7 +173,7 @@
           cf_log (LOG_INFO, CF_EV_LINK_UP, "target=%s", l->addr);
         }
       take_reply (l, &m);
-      heartbeat (l, l->last_receive_ms);
+      send_heartbeat (l, l->last_receive_ms);
       pthread_mutex_unlock (&l->lock);
     }
   return NULL;
@@ -192,29 +199,30 @@
   return l;
 }
 
-/* Whether @p's caller gave up; call with the lock held. */
+/* Waits until @p is done or lost, its deadline passes, or @is_wanted returns
+ * FALSE; returns TRUE in the last case only.  Call with the lock held. */
 static gboolean
 wait_reply (CfLink *l, CfPending *p, long long deadline_ms,
-            gboolean (*wanted) (void *data), void *data)
+            gboolean (*is_wanted) (void *data), void *data)
 {
-  long long look = cf_now_ms () + WANTED_MS;
+  long long next_check = cf_now_ms () + WANTED_CHECK_INTERVAL_MS;
 
   while (!p->done && !p->lost)
     {
       long long now = cf_now_ms ();
-      long long until = wanted ? MIN (deadline_ms, look) : deadline_ms;
+      long long until = is_wanted ? MIN (deadline_ms, next_check) : deadline_ms;
       struct timespec ts
           = { .tv_sec = until / 1000, .tv_nsec = (until % 1000) * 1000000 };
 
       if (now >= deadline_ms)
         return FALSE;
-      /* By the clock: the replies to others wake this call too, and on a busy
-       * link before each time is out. */
-      if (wanted && now >= look)
+      /* Compares the clock instead of waiting for a timeout: replies to other
+       * calls wake this one too, on a busy link before every timeout. */
+      if (is_wanted && now >= next_check)
         {
-          if (!wanted (data))
+          if (!is_wanted (data))
             return TRUE;
-          look = now + WANTED_MS;
+          next_check = now + WANTED_CHECK_INTERVAL_MS;
           continue;
         }
       pthread_cond_timedwait (&l->cond, &l->lock, &ts);
@@ -224,7 +232,8 @@
 
 CfCallResult
 cf_link_call_while (CfLink *l, CfMsg *req, long long deadline_ms,
-                    gboolean (*wanted) (void *data), void *data, CfMsg *reply)
+                    gboolean (*is_wanted) (void *data), void *data,
+                    CfMsg *reply)
 {
   CfPending p = { 0 };
   gboolean abandoned;
@@ -246,14 +255,14 @@
     }
   if (st != CF_OK)
     {
-      /* send() took none or part of the frame; a part is never decoded. */
-      fail_all (l, "write-failed");
+      /* The agent got at most a part of the frame, which it never decodes. */
+      drop_connection (l, "write-failed");
       res = CF_CALL_NOT_SENT;
       goto out;
     }
   g_hash_table_insert (l->pending, &req->id, &p);
   l->outstanding++;
-  abandoned = wait_reply (l, &p, deadline_ms, wanted, data);
+  abandoned = wait_reply (l, &p, deadline_ms, is_wanted, data);
   l->outstanding--;
   if (p.done)
     {
@@ -267,14 +276,14 @@
       g_hash_table_remove (l->pending, &req->id);
       res = abandoned ? CF_CALL_ABANDONED : CF_CALL_TIMEOUT;
     }
-  /* A non-repeatable call runs on: a retry will want its answer. */
+  /* A non-repeatable call goes on: its caller's retry will need the answer. */
   if (res == CF_CALL_ABANDONED && req->u.request.key == NULL)
     {
       CfMsg cancel = { .kind = CF_MSG_CANCEL };
 
       cancel.u.cancel.rid = req->u.request.rid;
       if (cf_msg_write (l->fd, &cancel) != CF_OK)
-        fail_all (l, "write-failed");
+        drop_connection (l, "write-failed");
     }
 out:
   pthread_mutex_unlock (&l->lock);
@@ -292,7 +301,7 @@
 {
   pthread_mutex_lock (&l->lock);
   if (l->fd >= 0 && l->ready && cf_msg_write (l->fd, m) != CF_OK)
-    fail_all (l, "write-failed");
+    drop_connection (l, "write-failed");
   pthread_mutex_unlock (&l->lock);
 }
 
@@ -308,7 +317,7 @@
 cf_link_set_config_version (CfLink *l, gint64 version)
 {
   pthread_mutex_lock (&l->lock);
-  l->config = version;
+  l->config_version = version;
   pthread_mutex_unlock (&l->lock);
 }
 
@@ -322,7 +331,7 @@
   v.up = l->fd >= 0 && l->ready;
   v.ejected = cf_outlier_ejected (&l->outlier, now);
   v.load = l->load;
-  /* The heartbeat may be seconds old; the time it names has gone on. */
+  /* The report may be seconds old; deduct the time that has passed since. */
   v.load.quiet_remaining_ms = MAX (l->guard_quiet_until_ms - now, 0);
   v.outstanding = l->outstanding;
   v.pings = l->pings;
--- a/http-client.c
+++ b/http-client.c
@@ -14,7 +14,7 @@
 }
 
 static size_t
-collect (char *ptr, size_t size, size_t n, void *data)
+append_body (char *ptr, size_t size, size_t n, void *data)
 {
   g_string_append_len (data, ptr, size * n);
   return size * n;
@@ -42,10 +42,10 @@
   curl_easy_setopt (h, CURLOPT_CONNECTTIMEOUT_MS,
                     timeout_ms < 1000 ? timeout_ms : 1000L);
   curl_easy_setopt (h, CURLOPT_NOSIGNAL, 1L);
-  /* libcurl sends a request again, POST too, when a reused connection
-   * closes before any answer; only a new connection is never retried. */
+  /* libcurl sends a request again, even a POST, when a reused connection
+   * closes before any answer.  It never does so on a new connection. */
   curl_easy_setopt (h, CURLOPT_FRESH_CONNECT, once ? 1L : 0L);
-  curl_easy_setopt (h, CURLOPT_WRITEFUNCTION, collect);
+  curl_easy_setopt (h, CURLOPT_WRITEFUNCTION, append_body);
   curl_easy_setopt (h, CURLOPT_WRITEDATA, reply);
   list = curl_slist_append (list, "Content-Type: application/json");
   list = curl_slist_append (list, "Expect:");
@@ -66,7 +66,8 @@
     case CURLE_COULDNT_CONNECT:
     case CURLE_COULDNT_RESOLVE_HOST:
     case CURLE_URL_MALFORMAT:
-      st = cf_fail (CF_ERR_NET, "check that the peer is up and the URL right",
+      st = cf_fail (CF_ERR_NET,
+                    "check that the URL is correct and that the peer is up",
                     "%s %s: %s", method, url, curl_easy_strerror (rc));
       break;
     case CURLE_OPERATION_TIMEDOUT:
--- a/http-server.c
+++ b/http-server.c
@@ -15,13 +15,13 @@
   CfHttpHandler fn;
   void *data;
   int fd;
-  gint active; /* requests begun whose reply is not yet sent */
+  gint active; /* requests with a complete head whose reply is not sent */
 };
 
 typedef struct
 {
   GString *body;
-  gboolean too_big;
+  gboolean too_large;
 } Upload;
 
 static enum MHD_Result
@@ -42,7 +42,8 @@
     {
       char secs[32];
 
-      /* Retry-After counts whole seconds; round up so none comes early. */
+      /* Retry-After is in whole seconds; round up, so that no caller retries
+       * too early. */
       g_snprintf (secs, sizeof secs, "%ld", (rep->retry_after_ms + 999) / 1000);
       MHD_add_response_header (r, "Retry-After", secs);
     }
@@ -74,16 +75,17 @@
   if (*upload_size > 0)
     {
       if (up->body->len + *upload_size > CF_HTTP_BODY_MAX_BYTES)
-        up->too_big = TRUE;
+        up->too_large = TRUE;
       else
         g_string_append_len (up->body, upload, *upload_size);
       *upload_size = 0;
       return MHD_YES;
     }
-  if (up->too_big)
+  if (up->too_large)
     {
       cf_http_reply_error (&rep, MHD_HTTP_CONTENT_TOO_LARGE, "too-large",
-                           "request body is over 1 MiB; send a smaller body");
+                           "the request body is larger than 1 MiB; send a "
+                           "smaller one");
       return send_reply (conn, &rep);
     }
   req.method = method;
@@ -143,8 +145,9 @@
     {
       close (fd);
       g_free (s);
-      return cf_fail (CF_ERR_NET, "check the address and the file limit",
-                      "cannot start HTTP server on %s", addr);
+      return cf_fail (CF_ERR_NET,
+                      "check the address and the limit on open files",
+                      "cannot start the HTTP server on %s", addr);
     }
   *out = s;
   return CF_OK;
@@ -201,10 +204,10 @@
 }
 
 void
-cf_http_reply_error (CfHttpReply *rep, int code, const char *what,
+cf_http_reply_error (CfHttpReply *rep, int code, const char *error,
                      const char *message)
 {
-  json_t *o = json_pack ("{s:s, s:s}", "error", what, "message", message);
+  json_t *o = json_pack ("{s:s, s:s}", "error", error, "message", message);
 
   rep->code = code;
   rep->body = json_dumps (o, JSON_COMPACT);
--- a/link-table.c
+++ b/link-table.c
@@ -1,8 +1,8 @@
 #include "link-table.h"
 
-/* A ping and its status are about 90 bytes; letter 1 allows a node 3 KB/s
- * for control, so idle links share that: 30 ms of interval for each. */
-#define IDLE_PING_MS_PER_LINK 30
+/* A ping and its status take about 90 bytes, and a node may use 3 KB/s for
+ * control traffic.  Idle links share that: each adds 30 ms to the interval. */
+#define IDLE_PING_INTERVAL_MS_PER_LINK 30
 
 void
 cf_link_table_init (CfLinkTable *t)
@@ -11,11 +11,12 @@
   t->links = g_hash_table_new (g_str_hash, g_str_equal);
 }
 
-/* Spreads the control budget over the links; call with the lock held. */
+/* Divides the control traffic among the links; call with the lock held. */
 static void
-share_ping_budget (CfLinkTable *t)
+set_idle_ping_intervals (CfLinkTable *t)
 {
-  gint64 ms = (gint64)g_hash_table_size (t->links) * IDLE_PING_MS_PER_LINK;
+  gint64 ms
+      = (gint64)g_hash_table_size (t->links) * IDLE_PING_INTERVAL_MS_PER_LINK;
   GHashTableIter it;
   gpointer l;
 
@@ -34,9 +35,9 @@
   if (l == NULL)
     {
       l = cf_link_new (addr);
-      cf_link_set_config_version (l, t->config);
+      cf_link_set_config_version (l, t->config_version);
       g_hash_table_insert (t->links, l->addr, l);
-      share_ping_budget (t);
+      set_idle_ping_intervals (t);
     }
   pthread_mutex_unlock (&t->lock);
   return l;
@@ -49,7 +50,7 @@
   gpointer l;
 
   pthread_mutex_lock (&t->lock);
-  t->config = version;
+  t->config_version = version;
   g_hash_table_iter_init (&it, t->links);
   while (g_hash_table_iter_next (&it, NULL, &l))
     cf_link_set_config_version (l, version);
@@ -67,12 +68,12 @@
   g_hash_table_iter_init (&it, t->links);
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
-      CfLinkSnapshot view = cf_link_snapshot (v);
+      CfLinkSnapshot link = cf_link_snapshot (v);
 
-      sum.up += view.up;
-      sum.quiet += view.up && view.load.quiet_remaining_ms > 0;
-      sum.ejected += view.ejected;
-      sum.pings += view.pings;
+      sum.up += link.up;
+      sum.quiet += link.up && link.load.quiet_remaining_ms > 0;
+      sum.ejected += link.ejected;
+      sum.pings += link.pings;
     }
   pthread_mutex_unlock (&t->lock);
   return sum;
--- a/link-table.h
+++ b/link-table.h
@@ -4,32 +4,32 @@
 
 /**
  * CfLinkTable:
- * A process's links to agents, one for each address it ever asked for, for
- * the life of the process.
+ * A process's links to agents, one for each address that was ever requested.
+ * Links live as long as the process.
  */
 typedef struct
 {
   pthread_mutex_t lock;
-  GHashTable *links; /**< "IP:PORT" -> CfLink */
-  gint64 config;     /**< the configuration version that pings carry */
+  GHashTable *links;     /**< from "IP:PORT" to CfLink * */
+  gint64 config_version; /**< sent with every ping */
 } CfLinkTable;
 
-/** CfLinkTotals: what the table's links add up to, for the health page. */
+/** CfLinkTotals: counts over all links of a table, for the health page. */
 typedef struct
 {
   gint64 up;
-  gint64 quiet;   /**< links up whose agent's guard abstains; see guard.h */
-  gint64 ejected; /**< links whose target failed too often; outlier.h */
-  guint64 pings;
+  gint64 quiet;   /**< links that are up, but whose guard abstains; guard.h */
+  gint64 ejected; /**< links whose target is ejected; outlier.h */
+  guint64 pings;  /**< heartbeats sent */
 } CfLinkTotals;
 
 void cf_link_table_init (CfLinkTable *t);
 
-/** cf_link_table_get: the link to @addr, started at the first call. */
+/** cf_link_table_get: the link to @addr; the first call creates it. */
 CfLink *cf_link_table_get (CfLinkTable *t, const char *addr);
 
-/** cf_link_table_set_config_version: for every link, now and to come. */
+/** cf_link_table_set_config_version: sets it for present and future links. */
 void cf_link_table_set_config_version (CfLinkTable *t, gint64 version);
 
-/** cf_link_table_totals: sums over the links. */
+/** cf_link_table_totals: counts over all links. */
 CfLinkTotals cf_link_table_totals (CfLinkTable *t);
--- a/t/t-link.c
+++ b/t/t-link.c
@@ -1,7 +1,6 @@
 /*
- * An entry's link to an agent, against a fake agent in this process that
- * speaks frames: heartbeats, and answers that come late, twice and out of
- * order.
+ * An entry's link to a fake agent in this process: heartbeats, and answers
+ * that come late, twice and out of order.
  */
 #include "agent-link.h"
 #include "harness.h"
@@ -17,19 +16,19 @@
 #define ADDR "127.0.0.1:17950"
 #define CALLERS 8
 
-/* What the fake agent does with requests. */
+/* How the fake agent behaves. */
 typedef enum
 {
-  HOLD,            /* answers pings only */
-  REVERSE_DOUBLED, /* once all callers' requests are in: last first, twice */
-  DEAF,            /* answers one ping, then reads no more, never closes */
-  HOLD_FIRST,      /* answers all requests at once but the first */
-} Manner;
+  NO_ANSWERS,       /* answers pings only */
+  REVERSED_TWICE,   /* waits for all requests; answers last first, twice */
+  STOPS_READING,    /* answers one ping, then reads no more, never closes */
+  NO_ANSWER_TO_ONE, /* answers all requests but the first, at once */
+} Behaviour;
 
 static struct
 {
   int listen_fd;
-  Manner manner;
+  Behaviour behaviour;
   gint pings;
 } fake;
 
@@ -51,7 +50,7 @@
       send_answer (fd, held[i].id, held[i].u.request.body);
       send_answer (fd, held[i].id, held[i].u.request.body);
     }
-  /* A late answer to a call nobody made on this connection. */
+  /* An answer to a call that was not made on this connection. */
   send_answer (fd, 999999, "nobody's");
 }
 
@@ -70,10 +69,10 @@
         {
           g_atomic_int_inc (&fake.pings);
           cf_msg_write (fd, &status);
-          if (fake.manner == DEAF)
+          if (fake.behaviour == STOPS_READING)
             break;
         }
-      else if (fake.manner == HOLD_FIRST && n > 0)
+      else if (fake.behaviour == NO_ANSWER_TO_ONE && n > 0)
         {
           if (m.kind == CF_MSG_REQUEST)
             send_answer (fd, m.id, m.u.request.body);
@@ -81,7 +80,7 @@
         }
       else if (n < CALLERS)
         held[n++] = m;
-      if (n == CALLERS && fake.manner == REVERSE_DOUBLED)
+      if (n == CALLERS && fake.behaviour == REVERSED_TWICE)
         {
           answer_reversed_twice (fd, held, n);
           n = 0;
@@ -91,13 +90,13 @@
 }
 
 static CfLink *
-start_link (Manner manner)
+start_link (Behaviour behaviour)
 {
   pthread_t t;
   CfLink *l;
 
   cf_log_init ("t-link");
-  fake.manner = manner;
+  fake.behaviour = behaviour;
   ck_assert_int_eq (cf_listen_tcp (ADDR, &fake.listen_fd), CF_OK);
   pthread_create (&t, NULL, fake_agent, NULL);
   pthread_detach (t);
@@ -115,7 +114,7 @@
   CfCallResult res;
   CfMsg reply;
   long long deadline;
-  gboolean (*wanted) (void *data);
+  gboolean (*is_wanted) (void *data);
 } Caller;
 
 static void *
@@ -130,14 +129,14 @@
   m.u.request.path = "/v1/call";
   m.u.request.rid = "r";
   m.u.request.body = c->body;
-  c->res
-      = cf_link_call_while (c->link, &m, c->deadline, c->wanted, c, &c->reply);
+  c->res = cf_link_call_while (c->link, &m, c->deadline, c->is_wanted, c,
+                               &c->reply);
   return NULL;
 }
 
 START_TEST (test_idle_link_is_pinged_at_its_interval)
 {
-  CfLink *l = start_link (HOLD);
+  CfLink *l = start_link (NO_ANSWERS);
   Caller c = { .link = l, .body = "x" };
   pthread_t t;
   gint idle;
@@ -150,7 +149,8 @@
   idle = g_atomic_int_get (&fake.pings) - idle;
   ck_assert_msg (idle >= 1 && idle <= 2, "%d pings in 4 s at 3 s", idle);
 
-  /* With a call outstanding a dead agent must be found soon: 1 s again. */
+  /* With a call outstanding the interval is 1 s again, so that a dead agent
+   * is detected soon. */
   c.deadline = cf_now_ms () + 4500;
   pthread_create (&t, NULL, call, &c);
   busy = g_atomic_int_get (&fake.pings);
@@ -163,11 +163,11 @@
 
 START_TEST (test_each_caller_gets_its_own_answer)
 {
-  CfLink *l = start_link (REVERSE_DOUBLED);
+  CfLink *l = start_link (REVERSED_TWICE);
   Caller c[CALLERS] = { 0 };
   pthread_t t[CALLERS];
 
-  /* The second round meets the first round's duplicates on the way. */
+  /* In the second round the first round's duplicate answers arrive too. */
   for (int round = 0; round < 2; round++)
     {
       for (int i = 0; i < CALLERS; i++)
@@ -189,9 +189,9 @@
 }
 END_TEST
 
-START_TEST (test_deaf_agent_is_lost_with_its_calls)
+START_TEST (test_link_to_agent_that_stops_reading_is_lost)
 {
-  CfLink *l = start_link (DEAF);
+  CfLink *l = start_link (STOPS_READING);
   Caller c = { .link = l, .body = "x", .deadline = cf_now_ms () + 20000 };
   long long t0 = cf_now_ms ();
 
@@ -210,30 +210,23 @@
 }
 
 /*
- * A call that nobody wants ends within 2 s on a busy link too.
+ * A call whose reply is no longer needed, because the entry shuts down or the
+ * caller has left, ends within 2 s on a busy link too.
  *
- * The story.  No user reported it: it was found by reading, after streams were
- * cut by stopping gateways.  An entry about to end, or left by its caller,
- * goes on waiting for a call as long as others on its link are answered.
- *
- * Order of events: a call waits; another's reply wakes it, within 250 ms each
- * time; it waits 250 ms anew, and asks nobody before its deadline.
- *
- * Cause: whether a call is wanted was asked only when 250 ms went by without
- * any reply on the link.
- *
- * Evidence: the call still waits after 2 s with replies some 20 ms apart.
+ * Each reply to another call wakes all pending calls.  If a pending call
+ * checked whether it is wanted only after 250 ms without any reply on the
+ * link, replies 20 ms apart would keep it from checking until its deadline.
  */
-START_TEST (test_busy_link_asks_whether_a_call_is_wanted)
+START_TEST (test_unwanted_call_ends_on_a_busy_link)
 {
-  CfLink *l = start_link (HOLD_FIRST);
+  CfLink *l = start_link (NO_ANSWER_TO_ONE);
   long long until = cf_now_ms () + 3000;
   Caller held = { .link = l, .body = "x", .deadline = until };
   Caller busy = { .link = l, .body = "y", .deadline = until + 2000 };
   long long t0 = cf_now_ms ();
   pthread_t t;
 
-  held.wanted = not_wanted;
+  held.is_wanted = not_wanted;
   pthread_create (&t, NULL, call, &held);
   usleep (50000);
   while (cf_now_ms () < t0 + 2000)
@@ -243,7 +236,7 @@
       cf_msg_clear (&busy.reply);
       usleep (20000);
     }
-  /* Quiet for less than 250 ms, so that it counts what was asked till now. */
+  /* The link has been idle for less than 250 ms: the call ended before. */
   ck_assert_int_eq (cf_link_snapshot (l).outstanding, 0);
   pthread_join (t, NULL);
   ck_assert_int_eq (held.res, CF_CALL_ABANDONED);
@@ -260,11 +253,11 @@
   tcase_set_timeout (tc, 60);
   tcase_add_test (tc, test_idle_link_is_pinged_at_its_interval);
   tcase_add_test (tc, test_each_caller_gets_its_own_answer);
-  tcase_add_test (tc, test_deaf_agent_is_lost_with_its_calls);
+  tcase_add_test (tc, test_link_to_agent_that_stops_reading_is_lost);
   suite_add_tcase (s, tc);
   tcase_set_timeout (busy, 60);
   tcase_set_tags (busy, "busy");
-  tcase_add_test (busy, test_busy_link_asks_whether_a_call_is_wanted);
+  tcase_add_test (busy, test_unwanted_call_ends_on_a_busy_link);
   suite_add_tcase (s, busy);
   return t_run (s);
 }
