--- a/comfrey-entry.c
+++ b/comfrey-entry.c
@@ -13,7 +13,7 @@
   int rc;
 
   rc = cf_daemon_init (&argc, &argv, "comfrey-entry",
-                       "The entry daemon: takes callers' requests over HTTP "
+                       "The entry daemon: accepts callers' requests over HTTP "
                        "and routes them to agents by routing intent.",
                        cf_entry_defaults, &args, &s);
   if (rc >= 0)
--- a/entry-request.c
+++ b/entry-request.c
@@ -3,7 +3,7 @@
 #include "log.h"
 #include "net.h"
 
-#define KEY_MAX 128
+#define KEY_MAX_BYTES 128
 
 void
 cf_request_clear (CfRequest *r)
@@ -16,8 +16,9 @@
   cf_config_unref (r->prev_config);
 }
 
+/* Returns the field's value, or NULL if it is not a non-empty string. */
 static const char *
-field_string (json_t *o, const char *name)
+get_string_field (json_t *o, const char *name)
 {
   json_t *v = json_object_get (o, name);
 
@@ -28,10 +29,10 @@
 
 void
 cf_request_refuse (CfEntry *e, CfRequest *r, CfHttpReply *rep, int code,
-                   const char *what, CfRanState ran, gint64 retry_ms,
+                   const char *error, CfRanState ran, gint64 retry_ms,
                    const char *message)
 {
-  json_t *o = json_pack ("{s:s, s:s, s:s, s:s}", "id", r->id, "error", what,
+  json_t *o = json_pack ("{s:s, s:s, s:s, s:s}", "id", r->id, "error", error,
                          "ran", cf_ran_name (ran), "message", message);
 
   if (retry_ms > 0)
@@ -42,7 +43,7 @@
   json_decref (o);
   ck_pr_inc_64 (&e->refused);
   cf_log (LOG_INFO, CF_EV_ANSWER, "req=%s code=%d ran=%s error=%s", r->id, code,
-          cf_ran_name (ran), what);
+          cf_ran_name (ran), error);
 }
 
 gboolean
@@ -63,9 +64,9 @@
                              jerr.line, jerr.text);
       goto out;
     }
-  r->org = g_strdup (field_string (o, "org"));
-  r->service = g_strdup (field_string (o, "service"));
-  r->model = g_strdup (field_string (o, "model"));
+  r->org = g_strdup (get_string_field (o, "org"));
+  r->service = g_strdup (get_string_field (o, "service"));
+  r->model = g_strdup (get_string_field (o, "model"));
   if (!r->org || !r->service || !r->model)
     {
       msg = g_strdup ("'org', 'service' and 'model' must be non-empty "
@@ -94,13 +95,13 @@
   v = json_object_get (o, "worth");
   if (v && (!json_is_number (v) || json_number_value (v) < 0))
     {
-      msg = g_strdup ("'worth' must be a number of 0 or more");
+      msg = g_strdup ("'worth' must be a number that is not negative");
       goto out;
     }
   v = json_object_get (o, "idempotency_key");
   if (v
       && (!json_is_string (v) || json_string_length (v) == 0
-          || json_string_length (v) > KEY_MAX))
+          || json_string_length (v) > KEY_MAX_BYTES))
     {
       msg = g_strdup ("'idempotency_key' must be a string of 1 to 128 bytes");
       goto out;
@@ -109,7 +110,7 @@
   v = json_object_get (o, "body");
   if (v == NULL)
     {
-      msg = g_strdup ("'body' is missing; give what the target should get");
+      msg = g_strdup ("'body' is missing; set it to the target's input");
       goto out;
     }
   if (r->key && json_object_get (o, "deadline_ms") == NULL)
--- a/entry-request.h
+++ b/entry-request.h
@@ -3,7 +3,7 @@
 #include "entry.h"
 #include "wire.h"
 
-/** CfRequest: what lives for one caller request at an entry. */
+/** CfRequest: the state of one caller's request at an entry. */
 typedef struct
 {
   char id[64];
@@ -13,26 +13,26 @@
   char *key;
   char *body;
   gint64 priority;
-  long long deadline_at;
-  gboolean admitted;       /**< counts in the entry's admission */
-  gboolean may_have_run;   /**< sent once with no reply: fate unknown */
-  gboolean reached_target; /**< the last try put load on a target */
-  gint64 attempts;
-  const char *last_reason; /**< why the last try did not end it */
-  gint64 retry_hint_ms;
-  const CfHttpRequest *http; /**< the caller's own, for whether it left */
-  const CfConfig *config;
-  CfConfig *prev_config; /**< what other entries may still route by */
-  const CfIntent *intent;
-  const CfGroup *group;
-  char token[96];   /**< this sending, to the key's guards */
-  gboolean claimed; /**< a majority of the guards granted the key */
+  long long deadline_at;     /**< on the cf_now_ms() clock */
+  gboolean admitted;         /**< counts as in progress in the admission */
+  gboolean may_have_run;     /**< sent once without getting a reply */
+  gboolean reached_target;   /**< the last attempt put load on a target */
+  gint64 attempts;           /**< targets tried so far */
+  const char *last_reason;   /**< why the last attempt failed */
+  gint64 retry_hint_ms;      /**< the longest retry_after_ms of a target */
+  const CfHttpRequest *http; /**< the caller's HTTP request */
+  const CfConfig *config;    /**< the configuration it is routed by */
+  CfConfig *prev_config;     /**< with a key: the version before, or %NULL */
+  const CfIntent *intent;    /**< the intent it is routed by */
+  const CfGroup *group;      /**< the group being tried */
+  char token[96];            /**< with a key: identifies this request's claim */
+  gboolean claimed;          /**< a majority of the guards granted the key */
 } CfRequest;
 
 /**
  * cf_request_parse:
- * Reads the caller's JSON (docs/API.md) into @r; on a fault refuses it
- * with a message that names the field, and returns %FALSE.
+ * Parses the caller's JSON (docs/API.md) into @r.  If it is invalid, refuses
+ * the request with a message that names the field, and returns %FALSE.
  */
 gboolean cf_request_parse (CfEntry *e, const CfHttpRequest *req, CfRequest *r,
                            CfHttpReply *rep);
@@ -43,17 +43,17 @@
 /**
  * cf_request_refuse:
  * @code: the HTTP status
- * @what: the error's short name, as in docs/API.md
- * @ran: what is known of whether @r ran
- * @retry_ms: when to come back, in ms; 0 to say nothing
- * @message: for the caller's operator, naming the remedy
+ * @error: the error's short name, as in docs/API.md
+ * @ran: what is known about whether @r ran
+ * @retry_ms: after how many ms to retry; 0 to leave it out
+ * @message: the cause and the remedy, for the caller's operator
  *
- * Makes a refusal @r's final answer.
+ * Sets a refusal as the final answer to @r.
  */
 void cf_request_refuse (CfEntry *e, CfRequest *r, CfHttpReply *rep, int code,
-                        const char *what, CfRanState ran, gint64 retry_ms,
+                        const char *error, CfRanState ran, gint64 retry_ms,
                         const char *message);
 
-/** cf_request_answer: makes @m, from the agent at @addr, @r's final answer. */
+/** cf_request_answer: sets @m, from the agent at @addr, as the final answer. */
 void cf_request_answer (CfEntry *e, CfRequest *r, CfHttpReply *rep, CfMsg *m,
                         const char *addr);
--- a/entry-route.c
+++ b/entry-route.c
@@ -5,23 +5,24 @@
 #include "net.h"
 #include "route.h"
 
-/** Before a stop closes connections; covers a call's looks whether it is still
- * wanted, 250 ms apart, and the sending of the answer. */
-#define STOP_ANSWER_MS 500
+/** How long before the drain deadline pending requests are refused; covers
+ * the 250 ms between two checks whether a call is still wanted, and sending
+ * the answer. */
+#define SHUTDOWN_ANSWER_MS 500
 
-/* Whether a stop is so near its end that requests get their last answer. */
+/* Whether the drain deadline is so close that requests must be refused now. */
 static gboolean
-stop_is_near (const CfEntry *e)
+is_shutdown_close (const CfEntry *e)
 {
-  gint64 stop_at = __atomic_load_n (&e->drain_deadline_ms, __ATOMIC_ACQUIRE);
+  gint64 deadline = __atomic_load_n (&e->drain_deadline_ms, __ATOMIC_ACQUIRE);
 
-  return stop_at > 0 && cf_now_ms () >= stop_at - STOP_ANSWER_MS;
+  return deadline > 0 && cf_now_ms () >= deadline - SHUTDOWN_ANSWER_MS;
 }
 
-/* Why a target may not be tried now; NULL if it may. */
+/* Returns why a target must not be tried; NULL if it may be. */
 static const char *
-exclusion (CfEntry *e, const char *addr, const CfLinkSnapshot *v,
-           GHashTable *tried)
+exclusion_reason (CfEntry *e, const char *addr, const CfLinkSnapshot *v,
+                  GHashTable *tried)
 {
   if (g_hash_table_contains (tried, addr))
     return "tried";
@@ -33,17 +34,17 @@
 }
 
 /*
- * Fills @c with the group's targets as this entry sees them now.  Ejected
- * ones are passed over too, unless they are most of those that are left:
- * then something else is wrong, and the rest would only be overrun.
+ * Fills @c with the present state of the group's targets.  Ejected targets
+ * are excluded too, unless they are more than half of the usable ones: then
+ * the targets are probably not at fault, and the rest would be overloaded.
  */
 static void
-look_at_targets (CfEntry *e, CfRequest *r, CfCandidate *c, GHashTable *tried)
+fill_candidates (CfEntry *e, CfRequest *r, CfCandidate *c, GHashTable *tried)
 {
   size_t n = r->group->agents->len;
   g_autofree gboolean *ejected = g_new (gboolean, n);
   size_t usable = 0;
-  size_t out = 0;
+  size_t n_ejected = 0;
 
   for (size_t i = 0; i < n; i++)
     {
@@ -52,40 +53,42 @@
 
       c[i].addr = addr;
       c[i].load = MAX (v.load.in_flight + v.load.queued, v.outstanding);
-      c[i].excluded = exclusion (e, addr, &v, tried) != NULL;
+      c[i].excluded = exclusion_reason (e, addr, &v, tried) != NULL;
       ejected[i] = v.ejected;
       usable += !c[i].excluded;
-      out += !c[i].excluded && v.ejected;
+      n_ejected += !c[i].excluded && v.ejected;
     }
-  for (size_t i = 0; i < n && out * 2 <= usable; i++)
+  for (size_t i = 0; i < n && n_ejected * 2 <= usable; i++)
     c[i].excluded |= ejected[i];
 }
 
+/* The data of is_wanted(). */
 typedef struct
 {
   const CfEntry *entry;
   const CfRequest *request;
-} Waiting;
+} WaitContext;
 
-/* A non-repeatable call runs on without its caller, whose retry will want
- * the answer. */
+/* Whether the reply of a pending call is still needed.  A non-repeatable call
+ * goes on without its caller, whose retry will need the answer. */
 static gboolean
 is_wanted (void *data)
 {
-  const Waiting *w = data;
+  const WaitContext *w = data;
 
-  if (stop_is_near (w->entry))
+  if (is_shutdown_close (w->entry))
     return FALSE;
   return w->request->key != NULL || !cf_http_is_caller_gone (w->request->http);
 }
 
-/* Sends @r to the agent at @addr once, with @left ms of its deadline. */
+/* Sends @r to the agent at @addr once, with @remaining_ms of its deadline
+ * left. */
 static CfCallResult
 send_to (CfEntry *e, CfRequest *r, const char *addr, CfKeyState key_state,
-         long long left, CfMsg *reply)
+         long long remaining_ms, CfMsg *reply)
 {
   CfMsg req = { .kind = CF_MSG_REQUEST, .config = r->config->version };
-  Waiting w = { .entry = e, .request = r };
+  WaitContext w = { .entry = e, .request = r };
 
   req.u.request.org = r->org;
   req.u.request.service = r->service;
@@ -97,14 +100,15 @@
   req.u.request.rid = r->id;
   req.u.request.key_state = key_state;
   req.u.request.priority = r->priority;
-  req.u.request.deadline_ms = left;
+  req.u.request.deadline_ms = remaining_ms;
   return cf_link_call_while (cf_link_table_get (&e->links, addr), &req,
                              r->deadline_at, is_wanted, &w, reply);
 }
 
-/* No target could take @r: logs why for each and answers at once. */
+/* Refuses @r because no target could accept it; logs the reason for each. */
 static void
-give_up (CfEntry *e, CfRequest *r, CfHttpReply *rep, GHashTable *tried)
+refuse_unavailable (CfEntry *e, CfRequest *r, CfHttpReply *rep,
+                    GHashTable *tried)
 {
   g_autofree char *m = NULL;
 
@@ -118,33 +122,35 @@
           const char *addr = g_ptr_array_index (group->agents, i);
           CfLinkSnapshot v
               = cf_link_snapshot (cf_link_table_get (&e->links, addr));
-          const char *why = exclusion (e, addr, &v, tried);
+          const char *reason = exclusion_reason (e, addr, &v, tried);
 
           cf_log (LOG_INFO, CF_EV_NO_ROUTE,
                   "req=%s group=%s target=%s state=%s", r->id, group->name,
                   addr,
-                  why         ? why
+                  reason      ? reason
                   : v.ejected ? "ejected"
                               : "usable");
         }
     }
-  m = g_strdup_printf ("no target of intent '%s' could take the request (%s); "
-                       "come back after retry_after_ms",
+  m = g_strdup_printf ("no target of intent '%s' could accept the request "
+                       "(%s); retry after retry_after_ms",
                        r->intent->name, r->last_reason);
   cf_request_refuse (e, r, rep, 503, "unavailable",
                      r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO,
                      MAX (r->retry_hint_ms, e->set.retry_after_ms), m);
 }
 
-/* Another sending holds @r's key: asks its runner for the kept answer. */
+/* Another request holds the key of @r: requests the stored answer from its
+ * runner. */
 static void
 replay (CfEntry *e, CfRequest *r, CfHttpReply *rep, const char *runner)
 {
   CfMsg reply = { 0 };
-  long long left = r->deadline_at - cf_now_ms ();
+  long long remaining_ms = r->deadline_at - cf_now_ms ();
 
   if (runner
-      && send_to (e, r, runner, CF_KEY_REPLAY, left, &reply) == CF_CALL_REPLY
+      && send_to (e, r, runner, CF_KEY_REPLAY, remaining_ms, &reply)
+             == CF_CALL_REPLY
       && reply.kind == CF_MSG_ANSWER)
     cf_request_answer (e, r, rep, &reply, runner);
   else
@@ -156,11 +162,11 @@
 }
 
 /*
- * Claims @r's key from its guards before it is sent to @addr.
- * Returns: %TRUE if it may be sent; otherwise @r has its final answer.
+ * Claims the key of @r from its guards before @r is sent to @addr.
+ * Returns: %TRUE if @r may be sent; otherwise it has its final answer.
  */
 static gboolean
-claim (CfEntry *e, CfRequest *r, CfHttpReply *rep, const char *addr)
+claim_key (CfEntry *e, CfRequest *r, CfHttpReply *rep, const char *addr)
 {
   CfClaim c = { .key = r->key, .token = r->token, .runner = addr };
   CfClaimResult res = cf_claim_acquire (&e->links, r->config, r->prev_config,
@@ -184,18 +190,18 @@
       cf_request_refuse (
           e, r, rep, 503, "guards-unavailable", CF_RAN_NO,
           MAX (c.retry_ms, e->set.retry_after_ms),
-          "too few guards of the idempotency key could vouch for it; come "
-          "back after retry_after_ms");
+          "too few guards of the idempotency key granted it; retry after "
+          "retry_after_ms");
       break;
     }
   g_free (c.holder);
   return r->claimed;
 }
 
-/* @r gets its final answer: if that is "not run", a retry may claim its key
- * again. */
+/* Releases the key of @r, if @r certainly did not run, so that a retry may
+ * claim it.  Called before the final answer. */
 static void
-release (CfEntry *e, CfRequest *r)
+release_key (CfEntry *e, CfRequest *r)
 {
   CfClaim c = { .key = r->key, .token = r->token, .runner = "" };
 
@@ -204,7 +210,7 @@
   r->claimed = FALSE;
 }
 
-/* What a target's refusal means for @r; TRUE if @r has its final answer. */
+/* Handles a target's refusal of @r; returns TRUE if @r has its final answer. */
 static gboolean
 take_refusal (CfEntry *e, CfRequest *r, CfHttpReply *rep, const char *addr,
               const CfMsg *m)
@@ -215,15 +221,15 @@
   if (m->u.refusal.ran == CF_RAN_YES)
     {
       cf_request_refuse (e, r, rep, 502, reason, CF_RAN_YES, 0,
-                         "the request ran, but its answer cannot be passed "
-                         "on; ask for a smaller one");
+                         "the request ran, but its answer cannot be "
+                         "forwarded; request a smaller answer");
       return TRUE;
     }
   if (m->u.refusal.ran != CF_RAN_NO)
     {
       g_autofree char *text = g_strdup_printf (
-          "the target refused after it may have run: %s; retry with the same "
-          "idempotency key",
+          "the target refused the request, which may have run: %s; retry with "
+          "the same idempotency key",
           reason);
 
       cf_request_refuse (e, r, rep, 409, "fate-unknown", m->u.refusal.ran,
@@ -238,8 +244,8 @@
   return FALSE;
 }
 
-/* The link to @addr was lost, or silent to the deadline, with @r sent; TRUE
- * if @r has its final answer. */
+/* Handles a lost link, or no reply by the deadline, after @r was sent to
+ * @addr; returns TRUE if @r has its final answer. */
 static gboolean
 take_loss (CfEntry *e, CfRequest *r, CfHttpReply *rep, const char *addr,
            gboolean timeout)
@@ -249,8 +255,8 @@
     {
       cf_request_refuse (e, r, rep, 504, timeout ? "deadline" : "link-lost",
                          CF_RAN_UNKNOWN, e->set.retry_after_ms,
-                         "the target may have run the request; a call with an "
-                         "idempotency key may be sent again with the same key");
+                         "the target may have run the request; retry a call "
+                         "with an idempotency key with the same key");
       return TRUE;
     }
   r->last_reason = "link-lost";
@@ -259,13 +265,15 @@
   return FALSE;
 }
 
-/* A silence shorter than this says more of the deadline than of the target. */
-#define SILENT_TARGET_MS 1000
+/* After a shorter wait a timeout is due to a short deadline, rather than to
+ * the target. */
+#define TARGET_SILENCE_MS 1000
 
-/* Judges the target at @addr by how a try of @waited_ms ended. */
+/* Records for outlier ejection how an attempt at @addr ended after
+ * @waited_ms. */
 static void
-judge (CfEntry *e, const char *addr, CfCallResult res, const CfMsg *m,
-       long long waited_ms)
+record_outcome (CfEntry *e, const char *addr, CfCallResult res, const CfMsg *m,
+                long long waited_ms)
 {
   CfLink *l = cf_link_table_get (&e->links, addr);
 
@@ -282,7 +290,7 @@
       cf_link_record_outcome (l, FALSE);
       break;
     case CF_CALL_TIMEOUT:
-      if (waited_ms >= SILENT_TARGET_MS)
+      if (waited_ms >= TARGET_SILENCE_MS)
         cf_link_record_outcome (l, FALSE);
       break;
     case CF_CALL_NOT_SENT:
@@ -292,20 +300,21 @@
     }
 }
 
-/* The last answer to @r in a stop that would cut it off. */
+/* Refuses @r because the shutdown will close its connection soon. */
 static void
-refuse_at_stop (CfEntry *e, CfRequest *r, CfHttpReply *rep)
+refuse_at_shutdown (CfEntry *e, CfRequest *r, CfHttpReply *rep)
 {
-  release (e, r);
+  release_key (e, r);
   cf_request_refuse (e, r, rep, 503, "draining",
                      r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO,
                      e->set.retry_after_ms,
-                     "this entry ends before a target answered; send the "
-                     "request to another, with the same idempotency key if it "
-                     "has one");
+                     "this entry is shutting down before a target answered; "
+                     "send the request to another entry, with the same "
+                     "idempotency key if it has one");
 }
 
-/* Nobody waits for a target's reply to @r any more. */
+/* Handles a call that ended because its reply is no longer wanted: the caller
+ * has left or the entry shuts down. */
 static void
 take_abandoned (CfEntry *e, CfRequest *r, CfHttpReply *rep)
 {
@@ -314,10 +323,10 @@
     cf_request_refuse (e, r, rep, 499, "caller-left", CF_RAN_UNKNOWN, 0,
                        "the caller closed its connection");
   else
-    refuse_at_stop (e, r, rep);
+    refuse_at_shutdown (e, r, rep);
 }
 
-/* Sends @r to one target; TRUE if @r has its final answer. */
+/* Sends @r to one target; returns TRUE if @r has its final answer. */
 static gboolean
 try_target (CfEntry *e, CfRequest *r, CfHttpReply *rep, const char *addr)
 {
@@ -332,13 +341,13 @@
           "attempt=%" G_GINT64_FORMAT " reason=%s",
           r->id, r->org, r->service, r->model, r->intent->name, r->group->name,
           addr, r->attempts, r->key ? "key-owner" : "least-loaded");
-  if (r->key && !claim (e, r, rep, addr))
+  if (r->key && !claim_key (e, r, rep, addr))
     return TRUE;
   r->reached_target = TRUE;
   t0 = cf_now_ms ();
   res = send_to (e, r, addr, r->claimed ? CF_KEY_CLAIMED : CF_KEY_UNCLAIMED,
                  r->deadline_at - t0, &reply);
-  judge (e, addr, res, &reply, cf_now_ms () - t0);
+  record_outcome (e, addr, res, &reply, cf_now_ms () - t0);
   switch (res)
     {
     case CF_CALL_REPLY:
@@ -355,10 +364,10 @@
       final = TRUE;
       break;
     case CF_CALL_TOO_LARGE:
-      release (e, r);
+      release_key (e, r);
       cf_request_refuse (e, r, rep, 413, "too-large", CF_RAN_NO, 0,
-                         "the request does not fit a frame of 1 MiB; send a "
-                         "smaller body");
+                         "the request does not fit in a frame of 1 MiB; send "
+                         "a smaller body");
       final = TRUE;
       break;
     case CF_CALL_NOT_SENT:
@@ -378,10 +387,10 @@
   return final;
 }
 
-/* Whether one more try may be made; a retry after one that reached a
- * target is charged to the retry budget. */
+/* Whether one more attempt is allowed.  A retry after an attempt that reached
+ * a target is taken from the retry budget. */
 static gboolean
-may_try (CfEntry *e, CfRequest *r)
+may_attempt (CfEntry *e, CfRequest *r)
 {
   if (r->attempts == 0)
     return TRUE;
@@ -396,7 +405,7 @@
   return TRUE;
 }
 
-/* Tries the targets of one group; TRUE if @r has its final answer. */
+/* Tries the targets of one group; returns TRUE if @r has its final answer. */
 static gboolean
 try_group (CfEntry *e, CfRequest *r, CfHttpReply *rep, GHashTable *tried)
 {
@@ -406,21 +415,21 @@
     {
       const CfCandidate *best;
 
-      look_at_targets (e, r, c, tried);
+      fill_candidates (e, r, c, tried);
       best = cf_route_pick (c, r->group->agents->len, r->key, r->id);
-      if (best == NULL || !may_try (e, r))
+      if (best == NULL || !may_attempt (e, r))
         return FALSE;
       if (r->deadline_at <= cf_now_ms ())
         {
-          release (e, r);
+          release_key (e, r);
           cf_request_refuse (e, r, rep, 504, "deadline",
                              r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO, 0,
                              "the deadline passed before a target answered");
           return TRUE;
         }
-      if (stop_is_near (e))
+      if (is_shutdown_close (e))
         {
-          refuse_at_stop (e, r, rep);
+          refuse_at_shutdown (e, r, rep);
           return TRUE;
         }
       g_hash_table_add (tried, (gpointer)best->addr);
@@ -442,6 +451,6 @@
       if (try_group (e, r, rep, tried))
         return;
     }
-  release (e, r);
-  give_up (e, r, rep, tried);
+  release_key (e, r);
+  refuse_unavailable (e, r, rep, tried);
 }
--- a/entry.c
+++ b/entry.c
@@ -8,9 +8,9 @@
 #include <string.h>
 #include <unistd.h>
 
-/** After the last reply, so that requests on their way by then are refused
- * as not run instead of meeting a closed connection.  Twice that of the
- * agents, as callers may be in another region. */
+/** How long to wait after the last reply, so that requests that are on their
+ * way are refused as not run instead of finding a closed connection.  Twice
+ * that of the agents, as callers may be in another region. */
 #define DRAIN_LINGER_MS 200
 
 const char cf_entry_defaults[] = "[entry]\n"
@@ -92,7 +92,7 @@
   gpointer v;
 
   cf_link_table_set_config_version (&e->links, c->version);
-  /* Connect to every agent now, so that the first request pays nothing. */
+  /* Connects to every agent now, so that the first request does not wait. */
   g_hash_table_iter_init (&it, c->groups);
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
@@ -103,7 +103,7 @@
     }
 }
 
-/* Takes @r on, or refuses it for want of room. */
+/* Admits @r, or refuses it because a limit is reached. */
 static gboolean
 admit (CfEntry *e, CfRequest *r, CfHttpReply *rep)
 {
@@ -120,13 +120,13 @@
   if (res == CF_ADMIT_FULL)
     cf_request_refuse (e, r, rep, 503, "overloaded", CF_RAN_NO,
                        e->set.retry_after_ms,
-                       "the entry is at its admission limit; come back after "
+                       "the entry is at its admission limit; retry after "
                        "retry_after_ms");
   else
     cf_request_refuse (
         e, r, rep, 429, "fair-share", CF_RAN_NO, e->set.retry_after_ms,
-        "the organisation is at its fair share of a full entry; come back "
-        "after retry_after_ms");
+        "the entry is nearly full and the organisation has used up its fair "
+        "share; retry after retry_after_ms");
   return FALSE;
 }
 
@@ -153,7 +153,8 @@
     {
       cf_request_refuse (
           e, &r, rep, 503, "no-config", CF_RAN_NO, e->set.retry_after_ms,
-          "no configuration is in force yet; check the config service");
+          "the entry has no configuration yet; check the configuration "
+          "service");
       goto out;
     }
   r.intent = cf_config_find_intent (c, r.org, r.service, r.model);
@@ -224,7 +225,7 @@
                          "use POST /v1/requests or GET /v1/health");
 }
 
-/* What the other entries may ask; on an address that callers do not reach. */
+/* Serves the other entries, on an address that callers do not reach. */
 static void
 on_peer (void *data, const CfHttpRequest *req, CfHttpReply *rep)
 {
@@ -263,7 +264,7 @@
   return st;
 }
 
-/* Until every request begun has its reply sent, but not beyond @until. */
+/* Waits until all active requests have their replies sent, or @until. */
 static void
 wait_for_replies (CfEntry *e, long long until)
 {
@@ -282,8 +283,8 @@
           g_atomic_int_get (&e->in_flight));
   cf_http_server_quiesce (e->http);
   wait_for_replies (e, until);
-  /* A request counts as begun once its head is read whole; those that came
-   * later are refused, and their replies waited for too. */
+  /* A request is active only once its head has been read completely.  Those
+   * that become active later are refused; wait for their replies too. */
   usleep (DRAIN_LINGER_MS * 1000);
   wait_for_replies (e, until);
   cf_log (LOG_NOTICE, CF_EV_DRAIN_DONE, "in_flight=%d",
--- a/t/t-entry.c
+++ b/t/t-entry.c
@@ -1,7 +1,7 @@
 /*
- * The entry's refusals and shutdown, through real processes on loopback:
- * each refusal says whether the request ran, comes at once with when to
- * come back, and a planned stop lets the request in progress finish.
+ * The entry's refusals, routing and shutdown, with real processes on
+ * loopback: each refusal is sent at once, says whether the request ran and
+ * when to retry, and a planned shutdown lets requests in progress finish.
  */
 #include "harness.h"
 #include "http-client.h"
@@ -73,7 +73,7 @@
   t_start (name, "./comfrey-agent", s);
 }
 
-/* The platform, an engine and its two agents. */
+/* Starts the platform, an engine and its two agents. */
 static void
 start_group (void)
 {
@@ -84,7 +84,7 @@
   start_agent ("e-agent-2", "17502");
 }
 
-/* Posts @body; returns the status and fills @field of the reply. */
+/* Posts @body; returns the status, and in @value the reply's @field. */
 static long
 post (const char *body, const char *field, char **value, long long *ms)
 {
@@ -117,7 +117,7 @@
 }
 END_TEST
 
-START_TEST (test_no_target_answers_at_once)
+START_TEST (test_no_target_is_refused_at_once)
 {
   g_autofree char *ran = NULL;
   long long ms;
@@ -133,7 +133,7 @@
 }
 END_TEST
 
-START_TEST (test_drained_agents_get_no_work)
+START_TEST (test_draining_agents_get_no_requests)
 {
   g_autofree char *target = NULL;
   g_autofree char *ran = NULL;
@@ -158,15 +158,15 @@
   drain[2] = "127.0.0.1:17502";
   ck_assert (g_spawn_sync (NULL, drain, NULL, 0, NULL, NULL, NULL, NULL,
                            &status, NULL));
-  /* The agent's reply to the drain carries its flag; the next heartbeat
-   * brings it to the entry too. */
+  /* The entry learns the agent's draining flag with the next heartbeat at the
+   * latest. */
   ck_assert_int_eq (post (SHOP, "ran", &ran, NULL), 503);
   ck_assert_str_eq (ran, "no");
   t_stop_all ();
 }
 END_TEST
 
-/* A caller on a thread of its own, so that it has its own connection. */
+/* A caller with a long request; on its own thread it has its own connection. */
 static void *
 slow_caller (void *unused)
 {
@@ -183,7 +183,7 @@
   return GINT_TO_POINTER ((int)code);
 }
 
-START_TEST (test_planned_stop_finishes_request_in_progress)
+START_TEST (test_shutdown_finishes_request_in_progress)
 {
   g_autofree char *text = NULL;
   pthread_t caller;
@@ -208,16 +208,16 @@
 }
 END_TEST
 
-/* Reads from @fd until it closes or the HTTP body is whole; returns the
- * body's length and, at @want, what its Content-Length says. */
+/* Reads from @fd until it closes or the HTTP body is complete; returns the
+ * length of the body, and in @expected its Content-Length. */
 static size_t
-read_body (int fd, size_t *want)
+read_body (int fd, size_t *expected)
 {
   g_autoptr (GString) got = g_string_new (NULL);
   char buf[16384];
   const char *head;
 
-  *want = 0;
+  *expected = 0;
   for (;;)
     {
       ssize_t n = read (fd, buf, sizeof buf);
@@ -226,13 +226,14 @@
         g_string_append_len (got, buf, n);
       head = strstr (got->str, "\r\n\r\n");
       if (head && strstr (got->str, "Content-Length: "))
-        *want = strtoul (strstr (got->str, "Content-Length: ") + 16, NULL, 10);
-      if (n <= 0 || (head && got->len - (head + 4 - got->str) >= *want))
+        *expected
+            = strtoul (strstr (got->str, "Content-Length: ") + 16, NULL, 10);
+      if (n <= 0 || (head && got->len - (head + 4 - got->str) >= *expected))
         return head ? got->len - (head + 4 - got->str) : 0;
     }
 }
 
-START_TEST (test_planned_stop_waits_for_an_answer_being_sent)
+START_TEST (test_shutdown_waits_until_answer_is_sent)
 {
   g_autofree char *prompt = g_strnfill (800000, 'p');
   g_autofree char *body = g_strdup_printf (
@@ -245,7 +246,7 @@
                          "Content-Length: %zu\r\n\r\n%s",
                          strlen (body), body);
   int small = 4096;
-  size_t want;
+  size_t expected;
   size_t len;
   pid_t entry;
   int fd = -1;
@@ -255,38 +256,30 @@
   ck_assert (t_wait_for (ENTRY "/v1/health",
                          "\"config_version\":1,\"links_up\":2", 5000));
   ck_assert_int_eq (cf_connect_tcp ("127.0.0.1:17580", 1000, &fd), CF_OK);
-  /* A caller that reads slowly: the answer cannot be written at one go. */
+  /* With a small receive buffer the answer cannot be written in one piece. */
   setsockopt (fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   ck_assert_int_eq (cf_write_all (fd, request, strlen (request)), CF_OK);
   usleep (500000);
   kill (entry, SIGTERM);
   usleep (500000);
-  len = read_body (fd, &want);
-  ck_assert_msg (want > 800000 && len == want,
-                 "the planned stop cut the answer off after %zu of %zu bytes",
-                 len, want);
+  len = read_body (fd, &expected);
+  ck_assert_msg (expected > 800000 && len == expected,
+                 "the shutdown cut the answer off after %zu of %zu bytes", len,
+                 expected);
   close (fd);
   t_stop_all ();
 }
 END_TEST
 
 /*
- * What was on its way when an entry was stopped is refused, not dropped.
- *
- * The story.  No user reported it: it was looked for after streams were cut
- * by stopping gateways.  A caller finds its open connection closed without a
- * word, with a request on it, and cannot tell whether that has run.
- *
- * Order of events: half of a request's head has come; SIGTERM; the entry sees
- * no request begun and ends at once; the other half meets a closed connection.
- *
- * Cause: a request counts as begun only with its head read whole, and the
- * entry looks only until none is begun, be it at its first look.
- *
- * Evidence: E1405 in_flight=0, E1406 and E1002 follow each other in the
- * entry's log, with no E1205 for the request.
+ * A request whose head has arrived only in part when the entry gets SIGTERM
+ * is refused.  A request is active only once its head has been read
+ * completely, so an entry that exits as soon as no request is active closes
+ * the connection without a reply, and the caller cannot tell whether the
+ * request ran.  The entry's log then shows E1405 in_flight=0, E1406 and E1002
+ * in a row, and no E1205 for the request.
  */
-START_TEST (test_planned_stop_refuses_what_was_on_its_way)
+START_TEST (test_shutdown_refuses_partly_received_request)
 {
   static const char first[] = "POST /v1/requests HTTP/1.1\r\nHost: e\r\n";
   g_autofree char *rest
@@ -314,7 +307,8 @@
         got += (size_t)n;
       }
   ck_assert_msg (g_str_has_prefix (reply, "HTTP/1.1 503 "),
-                 "a request on its way at SIGTERM got no refusal: '%s'", reply);
+                 "a request partly received at SIGTERM got no refusal: '%s'",
+                 reply);
   ck_assert (strstr (reply, "\"ran\":\"no\""));
   ck_assert (strstr (reply, "Connection: close"));
   close (fd);
@@ -323,20 +317,12 @@
 END_TEST
 
 /*
- * A request that outlasts an entry's grace is told so before the entry ends.
- *
- * The story.  No user reported it: it was looked for after streams were cut
- * by stopping gateways.  A caller that gave its request more time than the
- * entry's grace finds its connection closed without a word.
- *
- * Order of events: the engine works on a request of 8 s; SIGTERM to an entry
- * with 1 s of grace; the grace is over; the entry closes all connections.
- *
- * Cause: no request was looked at again while the stop went on.
- *
- * Evidence: E1406 in_flight=1 in the entry's log, with no E1205 before it.
+ * A request that takes longer (8 s) than the entry's drain grace (1 s) is
+ * refused before the entry exits.  If pending requests were not checked during
+ * the shutdown, the entry would close their connections without a reply.  The
+ * entry's log then shows E1406 in_flight=1 with no E1205 before it.
  */
-START_TEST (test_planned_stop_answers_what_outlasts_it)
+START_TEST (test_shutdown_refuses_request_longer_than_grace)
 {
   static const char body[]
       = "{\"org\":\"aspen-coulee\",\"service\":\"assistant\",\"model\":"
@@ -365,11 +351,10 @@
          && (n = read (fd, reply + got, sizeof reply - 1 - got)) > 0)
     got += (size_t)n;
   ck_assert_msg (g_str_has_prefix (reply, "HTTP/1.1 503 "),
-                 "a request that outlasted the grace got no answer: '%s'",
-                 reply);
+                 "a request longer than the grace got no refusal: '%s'", reply);
   ck_assert (strstr (reply, "\"error\":\"draining\""));
   ck_assert (strstr (reply, "\"ran\":\"unknown\""));
-  /* And the engine does not work on for nobody. */
+  /* The engine's work on the request is cancelled too. */
   ck_assert (
       t_wait_for ("http://127.0.0.1:17590/v1/load", "\"running\":0", 2000));
   close (fd);
@@ -377,7 +362,7 @@
 }
 END_TEST
 
-START_TEST (test_caller_that_leaves_frees_the_engine)
+START_TEST (test_request_is_cancelled_when_caller_leaves)
 {
   static const char body[]
       = "{\"org\":\"aspen-coulee\",\"service\":\"assistant\",\"model\":"
@@ -398,22 +383,23 @@
   ck_assert (
       t_wait_for ("http://127.0.0.1:17590/v1/load", "\"running\":1", 3000));
   close (fd);
-  /* 4000 tokens would keep the engine busy for over 8 s. */
+  /* Without a cancel, 4000 tokens keep the engine busy for over 8 s. */
   ck_assert_msg (
       t_wait_for ("http://127.0.0.1:17590/v1/load", "\"running\":0", 3000),
-      "the engine still works for a caller that left");
+      "the engine still works for a caller that has left");
   ck_assert (t_wait_for (ENTRY "/v1/health", "\"in_flight\":0", 2000));
   t_stop_all ();
 }
 END_TEST
 
-START_TEST (test_request_too_large_for_a_frame_harms_no_link)
+START_TEST (test_request_too_large_for_a_frame_keeps_link_up)
 {
   static const char head[]
       = "{\"org\":\"aspen-coulee\",\"service\":\"assistant\",\"model\":"
         "\"desc-v3\",\"body\":{\"prompt\":\"";
   static const char tail[] = "\"}}";
-  /* Just the HTTP limit, so that its frame's other fields are too much. */
+  /* Exactly the HTTP limit, so that the frame, which has more fields, is over
+   * its own limit. */
   g_autofree char *prompt = g_strnfill (
       CF_HTTP_BODY_MAX_BYTES - strlen (head) - strlen (tail), 'p');
   g_autofree char *body = g_strconcat (head, prompt, tail, NULL);
@@ -433,7 +419,8 @@
   ck_assert_str_eq (ran, "no");
   pthread_join (caller, &code);
   ck_assert_int_eq (GPOINTER_TO_INT (code), 200);
-  /* Ended before its agents, whose own stop would be a link lost. */
+  /* The entry stops before its agents, as it would log their stops as lost
+   * links. */
   kill (entry, SIGTERM);
   waitpid (entry, NULL, 0);
   log = t_read_log ("e-entry");
@@ -442,9 +429,10 @@
 }
 END_TEST
 
-/* Sends requests until none goes to @addr; returns how long that took. */
+/* Sends requests until none goes to @addr; returns how long that took in ms,
+ * or -1 after @limit_ms. */
 static long long
-ms_until_no_work_for (const char *addr, long long limit_ms)
+ms_until_excluded (const char *addr, long long limit_ms)
 {
   long long t0 = cf_now_ms ();
   int clean = 0;
@@ -455,8 +443,8 @@
 
       ck_assert_int_eq (post (SHOP, "target", &target, NULL), 200);
       clean = strcmp (target, addr) == 0 ? 0 : clean + 1;
-      /* Ten in a row elsewhere: least-loaded routing would have sent some
-       * of them to @addr were it still a candidate. */
+      /* Of ten in a row, least-loaded routing would send some to @addr if it
+       * were still a candidate. */
       if (clean == 10)
         return cf_now_ms () - t0;
       usleep (20000);
@@ -464,7 +452,7 @@
   return -1;
 }
 
-START_TEST (test_leaving_target_gets_no_work_within_bound)
+START_TEST (test_leaving_target_is_excluded_within_bound)
 {
   long long ms;
 
@@ -472,22 +460,22 @@
   start_entry ();
   ck_assert (t_wait_for (ENTRY "/v1/health",
                          "\"config_version\":1,\"links_up\":2", 5000));
-  /* The VM list shows the change only after its lag of 2000 ms. */
+  /* The VM list has the change only after its lag of 2000 ms. */
   ck_assert (t_wait_for ("http://127.0.0.1:17509/test/vm?addr=127.0.0.1:17501"
                          "&state=leaving",
                          "ok", 1000));
-  ms = ms_until_no_work_for ("127.0.0.1:17501", 10000);
+  ms = ms_until_excluded ("127.0.0.1:17501", 10000);
   fprintf (stderr,
            "t-entry: leaving target got its last request within "
            "%lld ms (VM list lag 2000 ms, poll 500 ms)\n",
            ms);
-  ck_assert_msg (ms >= 0 && ms < 3000, "leaving target still got work: %lld",
-                 ms);
+  ck_assert_msg (ms >= 0 && ms < 3000,
+                 "the leaving target still got requests: %lld ms", ms);
   t_stop_all ();
 }
 END_TEST
 
-START_TEST (test_silent_agent_is_passed_over)
+START_TEST (test_silent_agent_is_excluded)
 {
   g_autofree char *target = NULL;
   long long t0;
@@ -504,7 +492,7 @@
   start_entry ();
   ck_assert (t_wait_for (ENTRY "/v1/health",
                          "\"config_version\":1,\"links_up\":2", 5000));
-  /* Paused: its connection stays open and says nothing, for good. */
+  /* A stopped agent's connection stays open, but the agent never replies. */
   kill (agent, SIGSTOP);
   t0 = cf_now_ms ();
   ck_assert (t_wait_for (ENTRY "/v1/health", "\"links_up\":1", 6000));
@@ -522,7 +510,7 @@
 }
 END_TEST
 
-/* An intent whose first group is down, then the group of start_group(). */
+/* An intent whose first group is down; its second is that of start_group(). */
 static const char two_groups[]
     = "{\"schema\":1,\"kind\":\"group\",\"name\":\"first\",\"target\":"
       "\"engine\",\"agents\":[\"127.0.0.1:17503\"]}\n"
@@ -532,7 +520,7 @@
       "coulee\",\"service\":\"assistant\",\"model\":\"desc-v3\",\"groups\":["
       "\"first\",\"g\"],\"priority\":5,\"worth\":1}\n";
 
-START_TEST (test_failing_target_draws_no_work)
+START_TEST (test_failing_target_is_ejected)
 {
   g_autofree char *log = NULL;
   int tries = 0;
@@ -540,7 +528,7 @@
   start_platform ();
   t_start ("e-engine", "./comfrey-fake-engine",
            "[engine]\nlisten = \"127.0.0.1:17590\"\n");
-  /* Its agent is well, but nothing listens where its target should be. */
+  /* The agent is healthy, but nothing listens at its target's address. */
   t_start ("e-agent-1", "./comfrey-agent",
            "[agent]\nlisten = \"127.0.0.1:17501\"\n"
            "target_url = \"http://127.0.0.1:17599\"\n");
@@ -561,7 +549,7 @@
 }
 END_TEST
 
-START_TEST (test_next_group_takes_what_the_first_cannot)
+START_TEST (test_falls_back_to_next_group)
 {
   g_autofree char *group = NULL;
   g_autofree char *target = NULL;
@@ -578,7 +566,7 @@
                          "\"config_version\":2,\"links_up\":2", 5000));
   ck_assert_int_eq (post (SHOP, "group", &group, NULL), 200);
   ck_assert_str_eq (group, "g");
-  /* Once the preferred group is there it is preferred. */
+  /* Once the first group is up, it gets the requests. */
   start_agent ("e-agent-3", "17503");
   ck_assert (t_wait_for (ENTRY "/v1/health", "\"links_up\":3", 5000));
   ck_assert_int_eq (post (SHOP, "target", &target, NULL), 200);
@@ -597,24 +585,24 @@
 
   tcase_set_timeout (tc, 60);
   tcase_add_test (tc, test_no_config_is_not_run);
-  tcase_add_test (tc, test_no_target_answers_at_once);
-  tcase_add_test (tc, test_drained_agents_get_no_work);
-  tcase_add_test (tc, test_failing_target_draws_no_work);
-  tcase_add_test (tc, test_next_group_takes_what_the_first_cannot);
-  tcase_add_test (tc, test_planned_stop_finishes_request_in_progress);
-  tcase_add_test (tc, test_planned_stop_waits_for_an_answer_being_sent);
-  tcase_add_test (tc, test_caller_that_leaves_frees_the_engine);
-  tcase_add_test (tc, test_request_too_large_for_a_frame_harms_no_link);
-  tcase_add_test (tc, test_leaving_target_gets_no_work_within_bound);
-  tcase_add_test (tc, test_silent_agent_is_passed_over);
+  tcase_add_test (tc, test_no_target_is_refused_at_once);
+  tcase_add_test (tc, test_draining_agents_get_no_requests);
+  tcase_add_test (tc, test_failing_target_is_ejected);
+  tcase_add_test (tc, test_falls_back_to_next_group);
+  tcase_add_test (tc, test_shutdown_finishes_request_in_progress);
+  tcase_add_test (tc, test_shutdown_waits_until_answer_is_sent);
+  tcase_add_test (tc, test_request_is_cancelled_when_caller_leaves);
+  tcase_add_test (tc, test_request_too_large_for_a_frame_keeps_link_up);
+  tcase_add_test (tc, test_leaving_target_is_excluded_within_bound);
+  tcase_add_test (tc, test_silent_agent_is_excluded);
   suite_add_tcase (s, tc);
   tcase_set_timeout (late, 60);
   tcase_set_tags (late, "late");
-  tcase_add_test (late, test_planned_stop_refuses_what_was_on_its_way);
+  tcase_add_test (late, test_shutdown_refuses_partly_received_request);
   suite_add_tcase (s, late);
   tcase_set_timeout (grace, 60);
   tcase_set_tags (grace, "grace");
-  tcase_add_test (grace, test_planned_stop_answers_what_outlasts_it);
+  tcase_add_test (grace, test_shutdown_refuses_request_longer_than_grace);
   suite_add_tcase (s, grace);
   return t_run (s);
 }
