--- a/admission.h
+++ b/admission.h
@@ -26,7 +26,7 @@
   GHashTable *by_org;      /**< from organisation to requests in progress */
   gint64 max;              /**< the limit on requests in progress */
   gint64 low_priority_max; /**< the limit that holds for priorities below 5 */
-  gint64 unreserved_max;   /**< up to here fair shares do not matter */
+  gint64 unreserved_max;   /**< up to this limit fair shares are not checked */
   gint64 in_progress;
 } CfAdmission;
 
--- a/agent-link.c
+++ b/agent-link.c
@@ -216,7 +216,7 @@
 
       if (now >= deadline_ms)
         return FALSE;
-      /* Compares the clock instead of waiting for a timeout: replies to other
+      /* Checks the clock instead of the result of the wait: replies to other
        * calls wake this one too, on a busy link before every timeout. */
       if (is_wanted && now >= next_check)
         {
--- a/claim.c
+++ b/claim.c
@@ -3,7 +3,7 @@
 #include "net.h"
 #include "route.h"
 
-/* A guard that does not answer within this time has not granted. */
+/* A guard that does not answer within this time counts as not granting. */
 #define GUARD_TIMEOUT_MS 300
 
 /* One guard's reply to a claim. */
--- a/claim.h
+++ b/claim.h
@@ -25,7 +25,7 @@
 typedef struct
 {
   const char *key;
-  const char *token;  /**< unique to this request for all time */
+  const char *token;  /**< unique to this request across entries and restarts */
   const char *runner; /**< the agent that is to run the call */
   /** (out): for %CF_CLAIM_HELD_ELSEWHERE, the holder's runner; owned */
   char *holder;
--- a/config-watch.c
+++ b/config-watch.c
@@ -17,11 +17,11 @@
 {
   gboolean newer;
   CfConfig *old = NULL;
-  gint64 in_force;
+  gint64 current_version;
 
   pthread_mutex_lock (&w->lock);
-  in_force = w->current ? w->current->version : 0;
-  newer = w->current == NULL || c->version > in_force;
+  current_version = w->current ? w->current->version : 0;
+  newer = w->current == NULL || c->version > current_version;
   if (newer)
     {
       old = w->previous;
@@ -33,10 +33,10 @@
   if (!newer)
     {
       /* A watch that timed out returns the same version: nothing to log. */
-      if (c->version < in_force)
+      if (c->version < current_version)
         cf_log (LOG_INFO, CF_EV_CONFIG_OLDER,
                 "version=%" G_GINT64_FORMAT " in_force=%" G_GINT64_FORMAT,
-                c->version, in_force);
+                c->version, current_version);
       cf_config_unref (c);
       return FALSE;
     }
@@ -73,7 +73,7 @@
 }
 
 static gint64
-version_in_force (CfConfigWatch *w)
+get_current_version (CfConfigWatch *w)
 {
   gint64 v;
 
@@ -138,7 +138,7 @@
 
   url = g_strdup_printf ("%s/v1/watch?after=%" G_GINT64_FORMAT
                          "&wait_ms=%" G_GINT64_FORMAT,
-                         w->url, version_in_force (w), w->wait_ms);
+                         w->url, get_current_version (w), w->wait_ms);
   st = cf_http_call ("GET", url, NULL, NULL, w->wait_ms + 2000, &code, &body);
   if (st != CF_OK || code != 200)
     {
@@ -160,7 +160,7 @@
 fetch_from_peer (CfConfigWatch *w, const char *peer)
 {
   g_autofree char *url = g_strdup_printf (
-      "%s/v1/config?after=%" G_GINT64_FORMAT, peer, version_in_force (w));
+      "%s/v1/config?after=%" G_GINT64_FORMAT, peer, get_current_version (w));
   g_autofree char *body = NULL;
   long code = 0;
 
--- a/config-watch.h
+++ b/config-watch.h
@@ -16,7 +16,7 @@
 {
   char *url;        /**< the service's base URL */
   GPtrArray *peers; /**< base URLs of processes that may have a newer version */
-  gint poll_peers;  /**< non-zero while the service fails or is stale */
+  gint poll_peers;  /**< non-zero while the peers are to be polled */
   gint64 wait_ms;   /**< how long the service may hold one watch request */
   pthread_mutex_t lock;
   CfConfig *current;    /**< %NULL until the first version is applied */
--- a/entry-request.h
+++ b/entry-request.h
@@ -16,13 +16,14 @@
   long long deadline_at;     /**< on the cf_now_ms() clock */
   gboolean admitted;         /**< counts as in progress in the admission */
   gboolean may_have_run;     /**< sent once without getting a reply */
-  gboolean reached_target;   /**< the last attempt put load on a target */
+  gboolean reached_target;   /**< the last attempt was sent to a target */
   gint64 attempts;           /**< targets tried so far */
   const char *last_reason;   /**< why the last attempt failed */
-  gint64 retry_hint_ms;      /**< the longest retry_after_ms of a target */
+  gint64 retry_hint_ms;      /**< the largest retry_after_ms of a target */
   const CfHttpRequest *http; /**< the caller's HTTP request */
   const CfConfig *config;    /**< the configuration it is routed by */
-  CfConfig *prev_config;     /**< with a key: the version before, or %NULL */
+  CfConfig *prev_config;     /**< with a key: the version before, while other
+                                  entries may still route by it; or %NULL */
   const CfIntent *intent;    /**< the intent it is routed by */
   const CfGroup *group;      /**< the group being tried */
   char token[96];            /**< with a key: identifies this request's claim */
--- a/entry-route.c
+++ b/entry-route.c
@@ -5,9 +5,9 @@
 #include "net.h"
 #include "route.h"
 
-/** How long before the drain deadline pending requests are refused; covers
- * the 250 ms between two checks whether a call is still wanted, and sending
- * the answer. */
+/** How long before the drain deadline pending requests are refused.  It takes
+ * up to 250 ms until the next check of whether a call is still wanted, and
+ * some time to send the refusal. */
 #define SHUTDOWN_ANSWER_MS 500
 
 /* Whether the drain deadline is so close that requests must be refused now. */
@@ -140,8 +140,8 @@
                      MAX (r->retry_hint_ms, e->set.retry_after_ms), m);
 }
 
-/* Another request holds the key of @r: requests the stored answer from its
- * runner. */
+/* Answers @r, whose key another request holds, with the answer to that
+ * request, which @runner has stored. */
 static void
 replay (CfEntry *e, CfRequest *r, CfHttpReply *rep, const char *runner)
 {
@@ -308,7 +308,7 @@
   cf_request_refuse (e, r, rep, 503, "draining",
                      r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO,
                      e->set.retry_after_ms,
-                     "this entry is shutting down before a target answered; "
+                     "this entry shuts down before a target has answered; "
                      "send the request to another entry, with the same "
                      "idempotency key if it has one");
 }
--- a/http-server.c
+++ b/http-server.c
@@ -18,6 +18,7 @@
   gint active; /* requests with a complete head whose reply is not sent */
 };
 
+/* The body of a request, as far as it has been received. */
 typedef struct
 {
   GString *body;
--- a/records.h
+++ b/records.h
@@ -35,7 +35,7 @@
   GPtrArray *models;
   GPtrArray *groups;  /**< group names, in order of preference */
   gint64 priority;    /**< 0 (lowest) to 9 */
-  gint64 worth_milli; /**< the stated value of a request, in 1/1000 */
+  gint64 worth_milli; /**< what one request is worth, in 1/1000 */
 } CfIntent;
 
 /**
--- a/ring.c
+++ b/ring.c
@@ -28,8 +28,8 @@
   return true;
 }
 
-/* Call after the semaphore was decremented: it counts the items in the ring,
- * so the dequeue succeeds in the end. */
+/* Call after decrementing the semaphore.  It counts the items in the ring, so
+ * the loop finds one. */
 static void *
 dequeue (CfRing *r)
 {
--- a/route.h
+++ b/route.h
@@ -45,8 +45,8 @@
  * whether up or not, so that all entries on one configuration version agree
  * on them.
  *
- * Returns: the number of guards; less than the maximum only if @c has fewer
- *   agents.
+ * Returns: the number of guards; less than %CF_GUARDS_PER_KEY only if @c has
+ *   fewer agents.
  */
 guint cf_route_find_guards (const CfConfig *c, const char *key,
                             const char *out[CF_GUARDS_PER_KEY]);
--- a/t/t-config.c
+++ b/t/t-config.c
@@ -117,7 +117,7 @@
 /* The tests below run two entries, A and B, one agent and its engine. */
 #define ENTRY_A "http://127.0.0.1:17682"
 #define ENTRY_B "http://127.0.0.1:17683"
-#define ASK                                                                    \
+#define REQUEST                                                                \
   "{\"org\":\"o\",\"service\":\"s\",\"model\":\"m\",\"deadline_ms\":3000,"     \
   "\"body\":{\"prompt\":\"p\",\"max_tokens\":1}}"
 
@@ -194,7 +194,7 @@
   long code = 0;
   json_t *o;
 
-  ck_assert_int_eq (cf_http_call ("POST", ENTRY_A "/v1/requests", ASK, NULL,
+  ck_assert_int_eq (cf_http_call ("POST", ENTRY_A "/v1/requests", REQUEST, NULL,
                                   5000, &code, &reply),
                     CF_OK);
   o = json_loads (reply, 0, NULL);
--- a/t/t-entry.c
+++ b/t/t-entry.c
@@ -20,7 +20,7 @@
 #include <unistd.h>
 
 #define ENTRY "http://127.0.0.1:17580"
-#define SHOP                                                                   \
+#define REQUEST                                                                \
   "{\"org\":\"aspen-coulee\",\"service\":\"assistant\",\"model\":\"desc-v3\"," \
   "\"deadline_ms\":5000,\"body\":{\"prompt\":\"p1\",\"max_tokens\":2}}"
 
@@ -105,13 +105,13 @@
   return code;
 }
 
-START_TEST (test_no_config_is_not_run)
+START_TEST (test_no_config_is_refused)
 {
   g_autofree char *ran = NULL;
 
   start_entry ();
   ck_assert (t_wait_for (ENTRY "/v1/health", "config_version", 5000));
-  ck_assert_int_eq (post (SHOP, "ran", &ran, NULL), 503);
+  ck_assert_int_eq (post (REQUEST, "ran", &ran, NULL), 503);
   ck_assert_str_eq (ran, "no");
   t_stop_all ();
 }
@@ -125,7 +125,7 @@
   start_platform ();
   start_entry ();
   ck_assert (t_wait_for (ENTRY "/v1/health", "\"config_version\":1", 5000));
-  ck_assert_int_eq (post (SHOP, "ran", &ran, &ms), 503);
+  ck_assert_int_eq (post (REQUEST, "ran", &ran, &ms), 503);
   ck_assert_str_eq (ran, "no");
   /* The deadline is 5000 ms: the refusal must not wait for it. */
   ck_assert_msg (ms < 1000, "refusal took %lld ms", ms);
@@ -152,7 +152,7 @@
   for (int i = 0; i < 6; i++)
     {
       g_clear_pointer (&target, g_free);
-      ck_assert_int_eq (post (SHOP, "target", &target, NULL), 200);
+      ck_assert_int_eq (post (REQUEST, "target", &target, NULL), 200);
       ck_assert_str_eq (target, "127.0.0.1:17502");
     }
   drain[2] = "127.0.0.1:17502";
@@ -160,7 +160,7 @@
                            &status, NULL));
   /* The entry learns the agent's draining flag with the next heartbeat at the
    * latest. */
-  ck_assert_int_eq (post (SHOP, "ran", &ran, NULL), 503);
+  ck_assert_int_eq (post (REQUEST, "ran", &ran, NULL), 503);
   ck_assert_str_eq (ran, "no");
   t_stop_all ();
 }
@@ -276,14 +276,14 @@
  * is refused.  A request is active only once its head has been read
  * completely, so an entry that exits as soon as no request is active closes
  * the connection without a reply, and the caller cannot tell whether the
- * request ran.  The entry's log then shows E1405 in_flight=0, E1406 and E1002
- * in a row, and no E1205 for the request.
+ * request ran.  The log of such an entry has E1405 in_flight=0, E1406 and
+ * E1002 in a row, and no E1205 for the request.
  */
 START_TEST (test_shutdown_refuses_partly_received_request)
 {
   static const char first[] = "POST /v1/requests HTTP/1.1\r\nHost: e\r\n";
-  g_autofree char *rest
-      = g_strdup_printf ("Content-Length: %zu\r\n\r\n" SHOP, strlen (SHOP));
+  g_autofree char *rest = g_strdup_printf (
+      "Content-Length: %zu\r\n\r\n" REQUEST, strlen (REQUEST));
   char reply[4096] = "";
   pid_t entry;
   int fd = -1;
@@ -318,9 +318,9 @@
 
 /*
  * A request that takes longer (8 s) than the entry's drain grace (1 s) is
- * refused before the entry exits.  If pending requests were not checked during
- * the shutdown, the entry would close their connections without a reply.  The
- * entry's log then shows E1406 in_flight=1 with no E1205 before it.
+ * refused before the entry exits.  An entry that does not check pending
+ * requests during the shutdown closes their connections without a reply.  Its
+ * log has E1406 in_flight=1 with no E1205 before it.
  */
 START_TEST (test_shutdown_refuses_request_longer_than_grace)
 {
@@ -435,17 +435,17 @@
 ms_until_excluded (const char *addr, long long limit_ms)
 {
   long long t0 = cf_now_ms ();
-  int clean = 0;
+  int n_elsewhere = 0;
 
   while (cf_now_ms () - t0 < limit_ms)
     {
       g_autofree char *target = NULL;
 
-      ck_assert_int_eq (post (SHOP, "target", &target, NULL), 200);
-      clean = strcmp (target, addr) == 0 ? 0 : clean + 1;
+      ck_assert_int_eq (post (REQUEST, "target", &target, NULL), 200);
+      n_elsewhere = strcmp (target, addr) == 0 ? 0 : n_elsewhere + 1;
       /* Of ten in a row, least-loaded routing would send some to @addr if it
        * were still a candidate. */
-      if (clean == 10)
+      if (n_elsewhere == 10)
         return cf_now_ms () - t0;
       usleep (20000);
     }
@@ -502,7 +502,7 @@
   for (int i = 0; i < 5; i++)
     {
       g_clear_pointer (&target, g_free);
-      ck_assert_int_eq (post (SHOP, "target", &target, NULL), 200);
+      ck_assert_int_eq (post (REQUEST, "target", &target, NULL), 200);
       ck_assert_str_eq (target, "127.0.0.1:17502");
     }
   kill (agent, SIGCONT);
@@ -523,7 +523,7 @@
 START_TEST (test_failing_target_is_ejected)
 {
   g_autofree char *log = NULL;
-  int tries = 0;
+  int attempts = 0;
 
   start_platform ();
   t_start ("e-engine", "./comfrey-fake-engine",
@@ -537,13 +537,14 @@
   ck_assert (t_wait_for (ENTRY "/v1/health",
                          "\"config_version\":1,\"links_up\":2", 5000));
   for (int i = 0; i < 120; i++)
-    ck_assert_int_eq (post (SHOP, NULL, NULL, NULL), 200);
+    ck_assert_int_eq (post (REQUEST, NULL, NULL, NULL), 200);
   t_stop_all ();
   log = t_read_log ("e-entry");
   for (const char *p = log; (p = strstr (p, "target=127.0.0.1:17501 attempt="));
        p++)
-    tries++;
-  ck_assert_msg (tries <= 6, "the failing target was tried %d times", tries);
+    attempts++;
+  ck_assert_msg (attempts <= 6, "the failing target was tried %d times",
+                 attempts);
   ck_assert (
       strstr (log, "E1209 outlier-eject target=127.0.0.1:17501 ms=1000"));
 }
@@ -564,12 +565,12 @@
   ck_assert_int_eq (code, 200);
   ck_assert (t_wait_for (ENTRY "/v1/health",
                          "\"config_version\":2,\"links_up\":2", 5000));
-  ck_assert_int_eq (post (SHOP, "group", &group, NULL), 200);
+  ck_assert_int_eq (post (REQUEST, "group", &group, NULL), 200);
   ck_assert_str_eq (group, "g");
   /* Once the first group is up, it gets the requests. */
   start_agent ("e-agent-3", "17503");
   ck_assert (t_wait_for (ENTRY "/v1/health", "\"links_up\":3", 5000));
-  ck_assert_int_eq (post (SHOP, "target", &target, NULL), 200);
+  ck_assert_int_eq (post (REQUEST, "target", &target, NULL), 200);
   ck_assert_str_eq (target, "127.0.0.1:17503");
   t_stop_all ();
 }
@@ -584,7 +585,7 @@
   TCase *grace = tcase_create ("grace");
 
   tcase_set_timeout (tc, 60);
-  tcase_add_test (tc, test_no_config_is_not_run);
+  tcase_add_test (tc, test_no_config_is_refused);
   tcase_add_test (tc, test_no_target_is_refused_at_once);
   tcase_add_test (tc, test_draining_agents_get_no_requests);
   tcase_add_test (tc, test_failing_target_is_ejected);
--- a/t/t-route.c
+++ b/t/t-route.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static void
-fill (CfCandidate *c)
+init_candidates (CfCandidate *c)
 {
   const char *addrs[] = { "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1" };
 
@@ -18,7 +18,7 @@
 {
   CfCandidate c[3];
 
-  fill (c);
+  init_candidates (c);
   c[0].load = 5;
   c[1].load = 1;
   c[2].load = 0;
@@ -37,7 +37,7 @@
   CfCandidate c[3];
   int picked[3] = { 0 };
 
-  fill (c);
+  init_candidates (c);
   for (int i = 0; i < 300; i++)
     {
       g_autofree char *id = g_strdup_printf ("r-%d", i);
@@ -55,9 +55,9 @@
   const char *first;
   const char *second;
 
-  fill (c);
+  init_candidates (c);
   first = cf_route_pick (c, 3, "booking-17", "r1")->addr;
-  fill (c);
+  init_candidates (c);
   c[0].load = 100;
   c[1].load = 50;
   ck_assert_str_eq (cf_route_pick (c, 3, "booking-17", "r2")->addr, first);
@@ -71,8 +71,8 @@
 END_TEST
 
 static guint
-guards_of (const char *records, const char *key,
-           const char *out[CF_GUARDS_PER_KEY], CfConfig **c)
+parse_and_find_guards (const char *records, const char *key,
+                       const char *out[CF_GUARDS_PER_KEY], CfConfig **c)
 {
   ck_assert_int_eq (cf_config_parse_lines (records, "t", 1, c), CF_OK);
   return cf_route_find_guards (*c, key, out);
@@ -87,19 +87,21 @@
 
   /* The same agents in one group, and in two overlapping groups. */
   ck_assert_int_eq (
-      guards_of ("{\"schema\":1,\"kind\":\"group\",\"name\":\"g\",\"target\":"
-                 "\"engine\",\"agents\":[\"10.0.0.1:1\",\"10.0.0.2:1\","
-                 "\"10.0.0.3:1\",\"10.0.0.4:1\",\"10.0.0.5:1\"]}\n",
-                 "k", a, &ca),
+      parse_and_find_guards (
+          "{\"schema\":1,\"kind\":\"group\",\"name\":\"g\",\"target\":"
+          "\"engine\",\"agents\":[\"10.0.0.1:1\",\"10.0.0.2:1\","
+          "\"10.0.0.3:1\",\"10.0.0.4:1\",\"10.0.0.5:1\"]}\n",
+          "k", a, &ca),
       3);
   ck_assert_int_eq (
-      guards_of ("{\"schema\":1,\"kind\":\"group\",\"name\":\"x\",\"target\":"
-                 "\"engine\",\"agents\":[\"10.0.0.5:1\",\"10.0.0.3:1\","
-                 "\"10.0.0.2:1\"]}\n"
-                 "{\"schema\":1,\"kind\":\"group\",\"name\":\"y\",\"target\":"
-                 "\"service\",\"agents\":[\"10.0.0.4:1\",\"10.0.0.3:1\","
-                 "\"10.0.0.1:1\"]}\n",
-                 "k", b, &cb),
+      parse_and_find_guards (
+          "{\"schema\":1,\"kind\":\"group\",\"name\":\"x\",\"target\":"
+          "\"engine\",\"agents\":[\"10.0.0.5:1\",\"10.0.0.3:1\","
+          "\"10.0.0.2:1\"]}\n"
+          "{\"schema\":1,\"kind\":\"group\",\"name\":\"y\",\"target\":"
+          "\"service\",\"agents\":[\"10.0.0.4:1\",\"10.0.0.3:1\","
+          "\"10.0.0.1:1\"]}\n",
+          "k", b, &cb),
       3);
   for (int i = 0; i < 3; i++)
     {
@@ -118,9 +120,10 @@
   CfConfig *c = NULL;
 
   ck_assert_int_eq (
-      guards_of ("{\"schema\":1,\"kind\":\"group\",\"name\":\"g\",\"target\":"
-                 "\"engine\",\"agents\":[\"10.0.0.1:1\"]}\n",
-                 "k", a, &c),
+      parse_and_find_guards (
+          "{\"schema\":1,\"kind\":\"group\",\"name\":\"g\",\"target\":"
+          "\"engine\",\"agents\":[\"10.0.0.1:1\"]}\n",
+          "k", a, &c),
       1);
   ck_assert_str_eq (a[0], "10.0.0.1:1");
   cf_config_unref (c);
--- a/wire.h
+++ b/wire.h
@@ -36,7 +36,7 @@
 {
   CF_VERDICT_GRANTED = 0,
   CF_VERDICT_HELD = 1,    /**< another request has claimed the key */
-  CF_VERDICT_ABSTAIN = 2, /**< started too recently to know, or full */
+  CF_VERDICT_ABSTAIN = 2, /**< the guard started too recently, or is full */
 } CfVerdict;
 
 /** CfKeyState: what an entry knows about a request's idempotency key. */
@@ -167,7 +167,7 @@
 /** The refusal reasons when the target cannot be reached or fails. */
 #define CF_REASON_TARGET_UNREACHABLE "target-unreachable"
 #define CF_REASON_TARGET_FAILED "target-failed"
-/** The refusal reason when an order's fencing token is not the newest. */
+/** The refusal reason when an order's fencing token is too old. */
 #define CF_REASON_STALE_FENCE "stale-fencing-token"
 
 /** cf_verdict_name: "granted", "held" or "abstain". */
