--- a/link-table.h
+++ b/link-table.h
@@ -14,7 +14,7 @@
   gint64 config_version; /**< sent with every ping */
 } CfLinkTable;
 
-/** CfLinkTotals: counts over all links of a table, for the health page. */
+/** CfLinkTotals: counts over all links of a table, for GET /v1/health. */
 typedef struct
 {
   gint64 up;
--- a/t/t-link.c
+++ b/t/t-link.c
@@ -236,7 +236,8 @@
       cf_msg_clear (&busy.reply);
       usleep (20000);
     }
-  /* The link has been idle for less than 250 ms: the call ended before. */
+  /* The link has been idle for less than 250 ms, so if the call has ended, it
+   * ended while the link was busy. */
   ck_assert_int_eq (cf_link_snapshot (l).outstanding, 0);
   pthread_join (t, NULL);
   ck_assert_int_eq (held.res, CF_CALL_ABANDONED);
