--- a/agent-parts.h
+++ b/agent-parts.h
@@ -38,8 +38,8 @@
  *
  * Refuses request or order @id.
  */
-void cf_agent_refuse (CfAgentConn *c, guint64 id, CfRan ran, const char *reason,
-                      gint64 retry_ms);
+void cf_agent_refuse (CfAgentConn *c, guint64 id, CfRanState ran,
+                      const char *reason, gint64 retry_ms);
 
 /** cf_agent_answer: answers @id with the target's status and body. */
 void cf_agent_answer (CfAgentConn *c, guint64 id, gint64 code,
--- a/entry.c
+++ b/entry.c
@@ -8,9 +8,9 @@
 #include <string.h>
 #include <unistd.h>
 
-/** After the last reply, so that requests on their way by then are refused
- * as not run instead of meeting a closed connection.  Twice that of the
- * agents, as callers may be in another region. */
+/** How long to wait after the last reply, so that requests that are on their
+ * way are refused as not run instead of finding a closed connection.  Twice
+ * that of the agents, as callers may be in another region. */
 #define DRAIN_LINGER_MS 200
 
 const char cf_entry_defaults[] = "[entry]\n"
@@ -91,8 +91,8 @@
   GHashTableIter it;
   gpointer v;
 
-  cf_link_table_set_config (&e->links, c->version);
-  /* Connect to every agent now, so that the first request pays nothing. */
+  cf_link_table_set_config_version (&e->links, c->version);
+  /* Connects to every agent now, so that the first request does not wait. */
   g_hash_table_iter_init (&it, c->groups);
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
@@ -103,11 +103,12 @@
     }
 }
 
-/* Takes @r on, or refuses it for want of room. */
+/* Admits @r, or refuses it because a limit is reached. */
 static gboolean
 admit (CfEntry *e, CfRequest *r, CfHttpReply *rep)
 {
-  CfAdmit res = cf_admission_enter (&e->admission, r->org, r->priority);
+  CfAdmissionResult res
+      = cf_admission_acquire (&e->admission, r->org, r->priority);
 
   r->admitted = res == CF_ADMIT_OK;
   if (r->admitted)
@@ -119,13 +120,13 @@
   if (res == CF_ADMIT_FULL)
     cf_request_refuse (e, r, rep, 503, "overloaded", CF_RAN_NO,
                        e->set.retry_after_ms,
-                       "the entry is at its admission limit; come back after "
+                       "the entry is at its admission limit; retry after "
                        "retry_after_ms");
   else
     cf_request_refuse (
         e, r, rep, 429, "fair-share", CF_RAN_NO, e->set.retry_after_ms,
-        "the organisation is at its fair share of a full entry; come back "
-        "after retry_after_ms");
+        "the entry is nearly full and the organisation has used up its fair "
+        "share; retry after retry_after_ms");
   return FALSE;
 }
 
@@ -152,10 +153,11 @@
     {
       cf_request_refuse (
           e, &r, rep, 503, "no-config", CF_RAN_NO, e->set.retry_after_ms,
-          "no configuration is in force yet; check the config service");
+          "the entry has no configuration yet; check the configuration "
+          "service");
       goto out;
     }
-  r.intent = cf_config_match (c, r.org, r.service, r.model);
+  r.intent = cf_config_find_intent (c, r.org, r.service, r.model);
   if (r.intent == NULL)
     {
       cf_log (LOG_INFO, CF_EV_NO_ROUTE,
@@ -174,14 +176,14 @@
       r.prev_config
           = cf_config_watch_previous (&e->watch, e->set.key_horizon_ms);
       g_snprintf (r.token, sizeof r.token, "%s-%016" G_GINT64_MODIFIER "x",
-                  r.id, e->boot);
+                  r.id, e->start_id);
     }
   r.priority = MIN (r.priority, r.intent->priority);
   if (admit (e, &r, rep))
     cf_entry_route (e, &r, rep);
 out:
   if (r.admitted)
-    cf_admission_leave (&e->admission, r.org);
+    cf_admission_release (&e->admission, r.org);
   g_atomic_int_add (&e->in_flight, -1);
   rep->close = g_atomic_int_get (&e->draining);
   cf_config_unref (c);
@@ -223,7 +225,7 @@
                          "use POST /v1/requests or GET /v1/health");
 }
 
-/* What the other entries may ask; on an address that callers do not reach. */
+/* Serves the other entries, on an address that callers do not reach. */
 static void
 on_peer (void *data, const CfHttpRequest *req, CfHttpReply *rep)
 {
@@ -245,7 +247,7 @@
                      e->set.low_priority_share, e->set.fair_reserve);
   cf_retry_budget_init (&e->retry_budget, e->set.retry_percent,
                         e->set.retry_slack);
-  e->boot = (guint64)g_random_int () << 32 | g_random_int ();
+  e->start_id = (guint64)g_random_int () << 32 | g_random_int ();
   cf_config_watch_start (&e->watch, e->set.config_url, e->set.peers,
                          e->set.watch_wait_ms, on_config, e);
   cf_vm_list_start (&e->vms, e->set.vmlist_url, e->set.vmlist_poll_ms);
@@ -262,11 +264,11 @@
   return st;
 }
 
-/* Until every request begun has its reply sent, but not beyond @until. */
+/* Waits until all active requests have their replies sent, or @until. */
 static void
 wait_for_replies (CfEntry *e, long long until)
 {
-  while (cf_http_server_active (e->http) > 0 && cf_now_ms () < until)
+  while (cf_http_server_count_active (e->http) > 0 && cf_now_ms () < until)
     usleep (10000);
 }
 
@@ -275,14 +277,14 @@
 {
   long long until = cf_now_ms () + e->set.drain_grace_ms;
 
-  __atomic_store_n (&e->stop_at_ms, until, __ATOMIC_RELEASE);
+  __atomic_store_n (&e->drain_deadline_ms, until, __ATOMIC_RELEASE);
   g_atomic_int_set (&e->draining, 1);
   cf_log (LOG_NOTICE, CF_EV_DRAIN_BEGIN, "in_flight=%d",
           g_atomic_int_get (&e->in_flight));
   cf_http_server_quiesce (e->http);
   wait_for_replies (e, until);
-  /* A request counts as begun once its head is read whole; those that came
-   * later are refused, and their replies waited for too. */
+  /* A request is active only once its head has been read completely.  Those
+   * that become active later are refused; wait for their replies too. */
   usleep (DRAIN_LINGER_MS * 1000);
   wait_for_replies (e, until);
   cf_log (LOG_NOTICE, CF_EV_DRAIN_DONE, "in_flight=%d",
--- a/guard.h
+++ b/guard.h
@@ -84,7 +84,7 @@
  * the caller of this function run the call; it must then end it with
  * cf_guard_finish() or cf_guard_remove().
  */
-CfGuardState cf_guard_begin (CfGuard *g, const char *key, CfKeyed keyed,
+CfGuardState cf_guard_begin (CfGuard *g, const char *key, CfKeyState keyed,
                              gint64 now_ms, gint64 *code, char **body);
 
 /**
--- a/http-server.c
+++ b/http-server.c
@@ -15,13 +15,14 @@
   CfHttpHandler fn;
   void *data;
   int fd;
-  gint active; /* requests begun whose reply is not yet sent */
+  gint active; /* requests with a complete head whose reply is not sent */
 };
 
+/* The body of a request, as far as it has been received. */
 typedef struct
 {
   GString *body;
-  gboolean too_big;
+  gboolean too_large;
 } Upload;
 
 static enum MHD_Result
@@ -34,14 +35,16 @@
   r = MHD_create_response_from_buffer (strlen (body), (void *)body,
                                        MHD_RESPMEM_MUST_COPY);
   MHD_add_response_header (r, "Content-Type",
-                           rep->ctype ? rep->ctype : "application/json");
+                           rep->content_type ? rep->content_type
+                                             : "application/json");
   if (rep->close)
     MHD_add_response_header (r, "Connection", "close");
   if (rep->retry_after_ms > 0)
     {
       char secs[32];
 
-      /* Retry-After counts whole seconds; round up so none comes early. */
+      /* Retry-After is in whole seconds; round up, so that no caller retries
+       * too early. */
       g_snprintf (secs, sizeof secs, "%ld", (rep->retry_after_ms + 999) / 1000);
       MHD_add_response_header (r, "Retry-After", secs);
     }
@@ -72,17 +75,18 @@
     }
   if (*upload_size > 0)
     {
-      if (up->body->len + *upload_size > CF_HTTP_BODY_MAX)
-        up->too_big = TRUE;
+      if (up->body->len + *upload_size > CF_HTTP_BODY_MAX_BYTES)
+        up->too_large = TRUE;
       else
         g_string_append_len (up->body, upload, *upload_size);
       *upload_size = 0;
       return MHD_YES;
     }
-  if (up->too_big)
+  if (up->too_large)
     {
       cf_http_reply_error (&rep, MHD_HTTP_CONTENT_TOO_LARGE, "too-large",
-                           "request body is over 1 MiB; send a smaller body");
+                           "the request body is larger than 1 MiB; send a "
+                           "smaller one");
       return send_reply (conn, &rep);
     }
   req.method = method;
@@ -142,15 +146,16 @@
     {
       close (fd);
       g_free (s);
-      return cf_fail (CF_ERR_NET, "check the address and the file limit",
-                      "cannot start HTTP server on %s", addr);
+      return cf_fail (CF_ERR_NET,
+                      "check the address and the limit on open files",
+                      "cannot start the HTTP server on %s", addr);
     }
   *out = s;
   return CF_OK;
 }
 
 int
-cf_http_server_active (const CfHttpServer *s)
+cf_http_server_count_active (const CfHttpServer *s)
 {
   return g_atomic_int_get (&s->active);
 }
@@ -174,7 +179,7 @@
 }
 
 const char *
-cf_http_query (const CfHttpRequest *req, const char *name)
+cf_http_query_arg (const CfHttpRequest *req, const char *name)
 {
   return MHD_lookup_connection_value (req->conn, MHD_GET_ARGUMENT_KIND, name);
 }
@@ -186,7 +191,7 @@
 }
 
 gboolean
-cf_http_caller_gone (const CfHttpRequest *req)
+cf_http_is_caller_gone (const CfHttpRequest *req)
 {
   const union MHD_ConnectionInfo *info
       = MHD_get_connection_info (req->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -200,10 +205,10 @@
 }
 
 void
-cf_http_reply_error (CfHttpReply *rep, int code, const char *what,
+cf_http_reply_error (CfHttpReply *rep, int code, const char *error,
                      const char *message)
 {
-  json_t *o = json_pack ("{s:s, s:s}", "error", what, "message", message);
+  json_t *o = json_pack ("{s:s, s:s}", "error", error, "message", message);
 
   rep->code = code;
   rep->body = json_dumps (o, JSON_COMPACT);
