--- a/config-watch.c
+++ b/config-watch.c
@@ -200,7 +200,7 @@
   if (c == NULL || c->source == NULL
       || c->version <= (after ? g_ascii_strtoll (after, NULL, 10) : 0))
     cf_http_reply_error (rep, 404, "nothing-newer",
-                         "this process has no newer configuration");
+                         "no newer configuration is in force here");
   else
     rep->body
         = g_strdup_printf ("{\"version\":%" G_GINT64_FORMAT ",\"records\":%s}",
--- a/entry-request.c
+++ b/entry-request.c
@@ -95,7 +95,7 @@
   v = json_object_get (o, "worth");
   if (v && (!json_is_number (v) || json_number_value (v) < 0))
     {
-      msg = g_strdup ("'worth' must be a number that is not negative");
+      msg = g_strdup ("'worth' must be a number of 0 or more");
       goto out;
     }
   v = json_object_get (o, "idempotency_key");
@@ -110,7 +110,7 @@
   v = json_object_get (o, "body");
   if (v == NULL)
     {
-      msg = g_strdup ("'body' is missing; set it to the target's input");
+      msg = g_strdup ("'body' is missing; give what the target should get");
       goto out;
     }
   if (r->key && json_object_get (o, "deadline_ms") == NULL)
--- a/entry-route.c
+++ b/entry-route.c
@@ -132,8 +132,8 @@
                               : "usable");
         }
     }
-  m = g_strdup_printf ("no target of intent '%s' could accept the request "
-                       "(%s); retry after retry_after_ms",
+  m = g_strdup_printf ("no target of intent '%s' could take the request (%s); "
+                       "come back after retry_after_ms",
                        r->intent->name, r->last_reason);
   cf_request_refuse (e, r, rep, 503, "unavailable",
                      r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO,
@@ -187,11 +187,10 @@
       replay (e, r, rep, c.holder);
       break;
     case CF_CLAIM_NO_MAJORITY:
-      cf_request_refuse (
-          e, r, rep, 503, "guards-unavailable", CF_RAN_NO,
-          MAX (c.retry_ms, e->set.retry_after_ms),
-          "too few guards of the idempotency key granted it; retry after "
-          "retry_after_ms");
+      cf_request_refuse (e, r, rep, 503, "guards-unavailable", CF_RAN_NO,
+                         MAX (c.retry_ms, e->set.retry_after_ms),
+                         "too few guards of the idempotency key could vouch "
+                         "for it; come back after retry_after_ms");
       break;
     }
   g_free (c.holder);
@@ -221,16 +220,16 @@
   if (m->u.refusal.ran == CF_RAN_YES)
     {
       cf_request_refuse (e, r, rep, 502, reason, CF_RAN_YES, 0,
-                         "the request ran, but its answer cannot be "
-                         "forwarded; request a smaller answer");
+                         "the request ran, but its answer cannot be passed on; "
+                         "ask for a smaller one");
       return TRUE;
     }
   if (m->u.refusal.ran != CF_RAN_NO)
     {
-      g_autofree char *text = g_strdup_printf (
-          "the target refused the request, which may have run: %s; retry with "
-          "the same idempotency key",
-          reason);
+      g_autofree char *text
+          = g_strdup_printf ("the target refused after it may have run: %s; "
+                             "retry with the same idempotency key",
+                             reason);
 
       cf_request_refuse (e, r, rep, 409, "fate-unknown", m->u.refusal.ran,
                          MAX (r->retry_hint_ms, e->set.retry_after_ms), text);
@@ -255,8 +254,8 @@
     {
       cf_request_refuse (e, r, rep, 504, timeout ? "deadline" : "link-lost",
                          CF_RAN_UNKNOWN, e->set.retry_after_ms,
-                         "the target may have run the request; retry a call "
-                         "with an idempotency key with the same key");
+                         "the target may have run the request; a call with an "
+                         "idempotency key may be sent again with the same key");
       return TRUE;
     }
   r->last_reason = "link-lost";
@@ -305,12 +304,11 @@
 refuse_at_shutdown (CfEntry *e, CfRequest *r, CfHttpReply *rep)
 {
   release_key (e, r);
-  cf_request_refuse (e, r, rep, 503, "draining",
-                     r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO,
-                     e->set.retry_after_ms,
-                     "this entry shuts down before a target has answered; "
-                     "send the request to another entry, with the same "
-                     "idempotency key if it has one");
+  cf_request_refuse (
+      e, r, rep, 503, "draining", r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO,
+      e->set.retry_after_ms,
+      "this entry ends before a target answered; send the request to another, "
+      "with the same idempotency key if it has one");
 }
 
 /* Handles a call that ended because its reply is no longer wanted: the caller
@@ -365,9 +363,9 @@
       break;
     case CF_CALL_TOO_LARGE:
       release_key (e, r);
-      cf_request_refuse (e, r, rep, 413, "too-large", CF_RAN_NO, 0,
-                         "the request does not fit in a frame of 1 MiB; send "
-                         "a smaller body");
+      cf_request_refuse (
+          e, r, rep, 413, "too-large", CF_RAN_NO, 0,
+          "the request does not fit a frame of 1 MiB; send a smaller body");
       final = TRUE;
       break;
     case CF_CALL_NOT_SENT:
--- a/entry.c
+++ b/entry.c
@@ -118,15 +118,14 @@
           r->org, r->priority,
           res == CF_ADMIT_FULL ? "overloaded" : "fair-share");
   if (res == CF_ADMIT_FULL)
-    cf_request_refuse (e, r, rep, 503, "overloaded", CF_RAN_NO,
-                       e->set.retry_after_ms,
-                       "the entry is at its admission limit; retry after "
-                       "retry_after_ms");
-  else
     cf_request_refuse (
-        e, r, rep, 429, "fair-share", CF_RAN_NO, e->set.retry_after_ms,
-        "the entry is nearly full and the organisation has used up its fair "
-        "share; retry after retry_after_ms");
+        e, r, rep, 503, "overloaded", CF_RAN_NO, e->set.retry_after_ms,
+        "the entry is at its admission limit; come back after retry_after_ms");
+  else
+    cf_request_refuse (e, r, rep, 429, "fair-share", CF_RAN_NO,
+                       e->set.retry_after_ms,
+                       "the organisation is at its fair share of a full entry; "
+                       "come back after retry_after_ms");
   return FALSE;
 }
 
@@ -153,8 +152,7 @@
     {
       cf_request_refuse (
           e, &r, rep, 503, "no-config", CF_RAN_NO, e->set.retry_after_ms,
-          "the entry has no configuration yet; check the configuration "
-          "service");
+          "no configuration is in force yet; check the config service");
       goto out;
     }
   r.intent = cf_config_find_intent (c, r.org, r.service, r.model);
--- a/http-server.c
+++ b/http-server.c
@@ -85,8 +85,7 @@
   if (up->too_large)
     {
       cf_http_reply_error (&rep, MHD_HTTP_CONTENT_TOO_LARGE, "too-large",
-                           "the request body is larger than 1 MiB; send a "
-                           "smaller one");
+                           "request body is over 1 MiB; send a smaller body");
       return send_reply (conn, &rep);
     }
   req.method = method;
