--- a/gateway/balancer.c
+++ b/gateway/balancer.c
@@ -77,7 +77,7 @@
       || in->now_ms < t->full_until_ms)
     return TARGET_FULL;
   if (!CF_WITHOUT_RATE_LIMITS
-      && !cf_rate_limit_may_send (&t->limit, t->record.id, in->place,
+      && !cf_rate_limit_may_send (&t->limit, t->record.id, in->fleet_position,
                                   in->now_ms))
     return TARGET_RATE_LIMITED;
   return is_degraded (t, in) ? TARGET_DEGRADED : TARGET_AVAILABLE;
@@ -188,7 +188,7 @@
 
 double
 cf_balancer_rate_limit_per_s (const CfTargetTable *t, const char *service,
-                              CfFleetPlace place)
+                              CfFleetPosition fleet_position)
 {
   const GPtrArray *a = cf_target_table_service (t, service);
   double sum = 0;
@@ -198,7 +198,8 @@
       const CfTarget *one = a->pdata[i];
 
       if (one->limit.per_s > 0 && !one->record.leaving && !one->replaced)
-        sum += cf_rate_limit_share (&one->limit, one->record.id, place);
+        sum += cf_rate_limit_share (&one->limit, one->record.id,
+                                    fleet_position);
     }
   return sum;
 }
--- a/gateway/balancer.h
+++ b/gateway/balancer.h
@@ -16,13 +16,13 @@
 typedef struct
 {
   const char *service;
-  const char *data_centre;  /**< (nullable): this gateway's; preferred among
-                                 equally loaded targets */
-  const GPtrArray *tried;   /**< (nullable): #CfTarget that already had it */
-  gint64 now_ms;            /**< by the monotonic clock */
-  guint n_gateways;         /**< gateways that send to these targets */
-  CfFleetPlace place;       /**< this gateway's position among them */
-  guint in_flight;          /**< this gateway's requests at the service */
+  const char *data_centre; /**< (nullable): this gateway's; preferred among
+                                equally loaded targets */
+  const GPtrArray *tried;  /**< (nullable): #CfTarget that already had it */
+  gint64 now_ms;           /**< by the monotonic clock */
+  guint n_gateways;        /**< gateways that send to these targets */
+  CfFleetPosition fleet_position; /**< this gateway's position among them */
+  guint in_flight;                /**< this gateway's requests at the service */
   guint limit;              /**< concurrency limit, of @in_flight; 0: none */
   gint64 max_conns;         /**< connections a target accepts from all
                                  callers; 0: unlimited */
@@ -55,7 +55,8 @@
  *   @service that have a rate limit.
  */
 double cf_balancer_rate_limit_per_s (const CfTargetTable *t,
-                                     const char *service, CfFleetPlace place);
+                                     const char *service,
+                                     CfFleetPosition fleet_position);
 
 /**
  * cf_balancer_pick:
--- a/gateway/exchange-answer.c
+++ b/gateway/exchange-answer.c
@@ -55,7 +55,7 @@
 static void
 detect_outage (CfExchange *x)
 {
-  CfServiceState *l = x->lane;
+  CfServiceState *l = x->service_state;
   gint64 now = cf_gateway_now (x->gateway);
 
   if (now - l->last_event_ms < OUTAGE_MIN_SILENCE_MS
@@ -112,9 +112,9 @@
 record_progress (CfExchange *x)
 {
   gint64 now = cf_gateway_now (x->gateway);
-  gint64 ms = cf_outage_record_answer (&x->lane->outage, now);
+  gint64 ms = cf_outage_record_answer (&x->service_state->outage, now);
 
-  x->lane->last_event_ms = now;
+  x->service_state->last_event_ms = now;
   if (ms)
     cf_log (LOG_NOTICE, CF_EV_OUTAGE,
             "service=%s outcome=over ms=%" G_GINT64_FORMAT " id=%s", x->service,
@@ -131,7 +131,7 @@
 static void
 log_overload (const CfExchange *x)
 {
-  const CfServiceState *l = x->lane;
+  const CfServiceState *l = x->service_state;
   const CfWaiter *first = TAILQ_FIRST (&l->queue.waiters);
 
   cf_log (LOG_NOTICE, CF_EV_OVERLOAD,
@@ -146,7 +146,7 @@
 static void
 sample_concurrency_limit (CfExchange *x)
 {
-  CfServiceState *l = x->lane;
+  CfServiceState *l = x->service_state;
   CfFirstEventSample e = { 0 };
 
   e.now_ms = cf_gateway_now (x->gateway);
@@ -172,7 +172,7 @@
   e.now_ms = cf_gateway_now (x->gateway);
   e.gap_aim_ms = x->route->gap_aim_ms;
   e.prompt_tokens = x->size.prompt;
-  if (!cf_pass_record_add (&x->lane->pass, &e, &p) || p.late == 0)
+  if (!cf_pass_record_add (&x->service_state->pass, &e, &p) || p.late == 0)
     return;
   cf_log (LOG_INFO, CF_EV_SLOW_PASS,
           "service=%s ms=%" G_GINT64_FORMAT " streams=%u late=%u begun=%u "
@@ -189,7 +189,8 @@
   if (x->last_event_ms == 0)
     {
       x->first_event_ms = now - x->start_ms;
-      cf_stream_latency_add_first_event (&x->lane->latency, now - x->sent_ms);
+      cf_stream_latency_add_first_event (&x->service_state->latency,
+                                         now - x->sent_ms);
       sample_concurrency_limit (x);
       cf_histogram_add (&x->gateway->stats.first_ms, x->first_event_ms);
     }
@@ -198,7 +199,7 @@
       gint64 pause = now - x->last_event_ms;
 
       x->longest_pause_ms = MAX (x->longest_pause_ms, pause);
-      cf_stream_latency_add_event (&x->lane->latency, now, pause);
+      cf_stream_latency_add_event (&x->service_state->latency, now, pause);
       cf_histogram_add (&x->gateway->stats.pause_ms, pause);
     }
   x->last_event_ms = now;
@@ -345,7 +346,8 @@
       return;
     }
   if (x->route->retry_safety != CF_RETRY_UNSAFE && x->status >= 500
-      && cf_exchange_may_retry (x) && cf_retry_budget_take (&x->lane->budget))
+      && cf_exchange_may_retry (x)
+      && cf_retry_budget_take (&x->service_state->budget))
     {
       x->may_have_run = TRUE;
       cf_log (LOG_NOTICE, CF_EV_RETRY,
--- a/gateway/exchange-crash.c
+++ b/gateway/exchange-crash.c
@@ -156,11 +156,11 @@
 cf_exchange_refuse_all_quarantined (CfGateway *g)
 {
   GHashTableIter it;
-  gpointer lane;
+  gpointer service_state;
   CfExchange *x;
 
   g_hash_table_iter_init (&it, g->service_states);
-  while (g_hash_table_iter_next (&it, NULL, &lane))
-    while ((x = first_quarantined (lane)))
+  while (g_hash_table_iter_next (&it, NULL, &service_state))
+    while ((x = first_quarantined (service_state)))
       cf_exchange_refuse_quarantined (x);
 }
--- a/gateway/exchange-parts.h
+++ b/gateway/exchange-parts.h
@@ -37,7 +37,7 @@
   CfPolicy *policy;     /**< the configuration version that routed it */
   const CfRoute *route; /**< owned by @policy */
   const char *service;  /**< owned by @policy */
-  CfServiceState *lane;
+  CfServiceState *service_state;
   const char *org; /**< (nullable): organisation, owned by @policy */
   char *id;        /**< request id of this attempt, as the caller sent it */
   guint hash;      /**< of @id */
--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -15,7 +15,7 @@
 gint64
 cf_exchange_backoff_ms (const CfExchange *x)
 {
-  const CfServiceState *l = x->lane;
+  const CfServiceState *l = x->service_state;
 
   if (cf_outage_is_long (&l->outage, cf_gateway_now (x->gateway)))
     return cf_wait_queue_backoff_ms (CF_NO_CAPACITY_LONG_OUTAGE);
@@ -75,18 +75,19 @@
               "id=%s target=%s after_event=%" G_GINT64_FORMAT, x->id,
               t->record.id, added.last_event_id);
     }
-  cf_outage_record_send (&x->lane->outage, cf_gateway_now (x->gateway));
+  cf_outage_record_send (&x->service_state->outage,
+                         cf_gateway_now (x->gateway));
   x->target = cf_target_ref (t);
   cf_target_request_started (t, cf_gateway_now (x->gateway));
   cf_rate_limit_consume (&t->limit);
-  if (x->lane->in_flight++ == 0)
-    x->lane->busy_since_ms = cf_gateway_now (x->gateway);
+  if (x->service_state->in_flight++ == 0)
+    x->service_state->busy_since_ms = cf_gateway_now (x->gateway);
   x->sends++;
   x->events_at_send = x->event_stream.n_events;
   x->sent_ms = cf_gateway_now (x->gateway);
   if (x->route->stream)
     x->expected_first_ms = cf_stream_latency_first_event_ms (
-        &x->lane->latency, cf_exchange_engine_model (x), &x->size);
+        &x->service_state->latency, cf_exchange_engine_model (x), &x->size);
   x->gateway->stats.sends++;
   g_ptr_array_add (x->tried_targets, cf_target_ref (t));
   x->upstream = cf_upstream_send (x->gateway->loop, t, req, x->id, head_only,
@@ -117,7 +118,7 @@
 
   if (x->route->stream)
     first = cf_stream_latency_first_event_ms (
-        &x->lane->latency, cf_exchange_engine_model (x), &x->size);
+        &x->service_state->latency, cf_exchange_engine_model (x), &x->size);
   return cf_waiter_objective_send_by_ms (x->start_ms, x->route->aim_ms, first);
 }
 
@@ -129,8 +130,9 @@
   if (!x->route->stream)
     return x->deadline_ms;
   return x->deadline_ms
-         - cf_stream_latency_typical_total_ms (
-             &x->lane->latency, cf_exchange_engine_model (x), &x->size);
+         - cf_stream_latency_typical_total_ms (&x->service_state->latency,
+                                               cf_exchange_engine_model (x),
+                                               &x->size);
 }
 
 /* Queues it until a target has a free slot, at most for as long as that leaves
@@ -146,7 +148,7 @@
   x->waiter.since_ms = now;
   x->waiter.objective_send_by_ms = latest_start_for_objective_ms (x);
   x->waiter.deadline_send_by_ms = latest_start_for_deadline_ms (x);
-  if (!cf_wait_queue_add (&x->lane->queue, &x->waiter, max_queued (x),
+  if (!cf_wait_queue_add (&x->service_state->queue, &x->waiter, max_queued (x),
                           &evicted))
     {
       if (x->may_have_run)
@@ -158,7 +160,8 @@
   x->gateway->stats.queued++;
   cf_log (LOG_INFO, CF_EV_QUEUE,
           "id=%s service=%s waiting=%u in_flight=%u limit_ms=%" G_GINT64_FORMAT,
-          x->id, x->service, x->lane->queue.n, x->lane->in_flight, limit);
+          x->id, x->service, x->service_state->queue.n,
+          x->service_state->in_flight, limit);
   cf_exchange_start_silence_timer (x, limit);
   if (evicted)
     cf_exchange_refuse (evicted->owner, "more-urgent-waits",
@@ -171,8 +174,8 @@
 enqueue_if_rate_allows (CfExchange *x)
 {
   double per_s = cf_balancer_rate_limit_per_s (&x->gateway->targets, x->service,
-                                               x->gateway->place);
-  double wait_ms = (x->lane->queue.n + 1) * 1000.0 / per_s;
+                                               x->gateway->fleet_position);
+  double wait_ms = (x->service_state->queue.n + 1) * 1000.0 / per_s;
   gint64 limit = cf_wait_queue_max_wait_ms (cf_exchange_caller_wait_ms (x),
                                             cf_exchange_remaining_ms (x));
 
@@ -196,13 +199,13 @@
 static gboolean
 is_held_back (const CfExchange *x)
 {
-  const CfOutage *o = &x->lane->outage;
+  const CfOutage *o = &x->service_state->outage;
 
   /* Callers would give up on any more work that is sent to this service, and
    * its stalled targets may not notice that they did. */
   if (!CF_WITHOUT_STALL_CHECK
       && cf_exchange_is_service_silent (
-          x, cf_stream_latency_stall_timeout_ms (&x->lane->latency)))
+          x, cf_stream_latency_stall_timeout_ms (&x->service_state->latency)))
     return TRUE;
   if (CF_WITHOUT_OUTAGE_WAIT)
     return FALSE;
@@ -225,20 +228,21 @@
   in.tried = x->tried_targets;
   in.now_ms = cf_gateway_now (x->gateway);
   in.n_gateways = x->gateway->fleet_size;
-  in.place = x->gateway->place;
-  in.in_flight = x->lane->in_flight;
-  in.limit = cf_concurrency_limit_get (&x->lane->limit);
+  in.fleet_position = x->gateway->fleet_position;
+  in.in_flight = x->service_state->in_flight;
+  in.limit = cf_concurrency_limit_get (&x->service_state->limit);
   in.max_conns = sv ? sv->max_conns : 0;
   /* Just after an outage no request is in time, so there is none to leave
    * slots for. */
-  in.yields = !cf_outage_has_ended_recently (&x->lane->outage, in.now_ms)
-              && cf_waiter_has_to_yield (&x->waiter, in.now_ms,
-                                         x->lane->latency.pause_ms,
-                                         x->route->gap_aim_ms);
+  in.yields
+      = !cf_outage_has_ended_recently (&x->service_state->outage, in.now_ms)
+        && cf_waiter_has_to_yield (&x->waiter, in.now_ms,
+                                   x->service_state->latency.pause_ms,
+                                   x->route->gap_aim_ms);
   if (x->route->stream)
     {
       in.stall_timeout_ms
-          = cf_stream_latency_stall_timeout_ms (&x->lane->latency);
+          = cf_stream_latency_stall_timeout_ms (&x->service_state->latency);
       in.ring_start = &x->gateway->ring_start;
     }
   return cf_balancer_pick (&x->gateway->targets, &in, t);
@@ -250,7 +254,8 @@
 is_wait_futile (const CfExchange *x)
 {
   return !x->may_have_run
-         && cf_outage_is_long (&x->lane->outage, cf_gateway_now (x->gateway));
+         && cf_outage_is_long (&x->service_state->outage,
+                               cf_gateway_now (x->gateway));
 }
 
 void
@@ -287,7 +292,8 @@
 cf_exchange_retry_or_end (CfExchange *x, const char *reason)
 {
   gboolean again = cf_exchange_may_retry (x);
-  gboolean in_budget = again && cf_retry_budget_take (&x->lane->budget);
+  gboolean in_budget
+      = again && cf_retry_budget_take (&x->service_state->budget);
 
   cf_log (LOG_NOTICE, CF_EV_RETRY,
           "id=%s reason=%s target=%s again=%s budget=%s ran=%s sends=%u "
@@ -356,13 +362,13 @@
 cf_exchange_dispatch_queued (CfGateway *g)
 {
   GHashTableIter it;
-  gpointer lane;
+  gpointer service_state;
 
   if (g->exiting)
     return;
   g_hash_table_iter_init (&it, g->service_states);
-  while (g_hash_table_iter_next (&it, NULL, &lane))
-    while (dispatch_first (g, lane))
+  while (g_hash_table_iter_next (&it, NULL, &service_state))
+    while (dispatch_first (g, service_state))
       ;
 }
 
@@ -370,7 +376,7 @@
 void
 cf_exchange_on_queue_timeout (CfExchange *x)
 {
-  gboolean outage = x->lane->outage.since_ms != 0;
+  gboolean outage = x->service_state->outage.since_ms != 0;
   CfTarget *t;
 
   if (refuse_before_send (x))
@@ -378,7 +384,7 @@
   x->queue_timed_out = outage;
   if (outage && pick_target (x, &t) == CF_PICK_OK)
     {
-      cf_wait_queue_remove (&x->lane->queue, &x->waiter);
+      cf_wait_queue_remove (&x->service_state->queue, &x->waiter);
       send_to (x, t);
     }
   else if (x->may_have_run)
--- a/gateway/exchange-silence.c
+++ b/gateway/exchange-silence.c
@@ -85,7 +85,7 @@
 gboolean
 cf_exchange_is_service_silent (const CfExchange *x, gint64 ms)
 {
-  const CfServiceState *l = x->lane;
+  const CfServiceState *l = x->service_state;
   gint64 since = MAX (l->last_event_ms, l->busy_since_ms);
 
   return x->route->stream && l->in_flight > 0
@@ -104,7 +104,7 @@
 target_stall_timeout_ms (const CfExchange *x)
 {
   return TARGET_STALL_FACTOR
-         * MAX (cf_stream_latency_stall_timeout_ms (&x->lane->latency),
+         * MAX (cf_stream_latency_stall_timeout_ms (&x->service_state->latency),
                 x->expected_first_ms);
 }
 
@@ -126,15 +126,17 @@
 
   return !CF_WITHOUT_STALL_CHECK && x->route->stream && x->last_event_ms == 0
          && cf_target_silence_ms (x->target, now) >= target_stall_timeout_ms (x)
-         && now - x->lane->last_event_ms
-                < cf_stream_latency_stall_timeout_ms (&x->lane->latency);
+         && now - x->service_state->last_event_ms
+                < cf_stream_latency_stall_timeout_ms (
+                    &x->service_state->latency);
 }
 
 /* Whether its target, or its whole service, sends nothing. */
 static gboolean
 is_target_or_service_silent (const CfExchange *x)
 {
-  gint64 stall = cf_stream_latency_stall_timeout_ms (&x->lane->latency);
+  gint64 stall
+      = cf_stream_latency_stall_timeout_ms (&x->service_state->latency);
 
   return cf_exchange_is_service_silent (x, stall)
          || cf_target_silence_ms (x->target, cf_gateway_now (x->gateway))
@@ -157,8 +159,9 @@
 has_time_for_retry (const CfExchange *x)
 {
   return cf_exchange_caller_remaining_ms (x)
-         > cf_stream_latency_first_event_ms (
-             &x->lane->latency, cf_exchange_engine_model (x), &x->size);
+         > cf_stream_latency_first_event_ms (&x->service_state->latency,
+                                             cf_exchange_engine_model (x),
+                                             &x->size);
 }
 
 /* Whether another target may be tried now.  Its silent target may have run it
@@ -169,7 +172,7 @@
 {
   x->may_have_run = TRUE;
   return cf_exchange_may_retry (x)
-         && cf_retry_budget_has_token (&x->lane->budget);
+         && cf_retry_budget_has_token (&x->service_state->budget);
 }
 
 /* Retries at another target; FALSE if that is not allowed or too late. */
--- a/gateway/exchange-stop.c
+++ b/gateway/exchange-stop.c
@@ -20,7 +20,7 @@
 
   if (x->route->stream)
     whole = cf_stream_latency_max_total_ms (
-        &x->lane->latency, cf_exchange_engine_model (x), &x->size,
+        &x->service_state->latency, cf_exchange_engine_model (x), &x->size,
         cf_gateway_now (x->gateway));
   return whole < 0 ? left : MIN (whole, left);
 }
@@ -55,7 +55,7 @@
           " pause_ms=%.1f answer=%" G_GINT64_FORMAT,
           x->id, outcome, completion_ms (x),
           x->gateway->stop_deadline_ms - cf_gateway_now (x->gateway),
-          x->lane->latency.pause_ms, x->size.answer);
+          x->service_state->latency.pause_ms, x->size.answer);
 }
 
 /* The check applies from SIGTERM on, although the platform routes callers here
@@ -100,12 +100,12 @@
 cf_exchange_refuse_all_too_late (CfGateway *g)
 {
   GHashTableIter it;
-  gpointer lane;
+  gpointer service_state;
   CfExchange *x;
 
   g_hash_table_iter_init (&it, g->service_states);
-  while (g_hash_table_iter_next (&it, NULL, &lane))
-    while ((x = first_too_late (lane)))
+  while (g_hash_table_iter_next (&it, NULL, &service_state))
+    while ((x = first_too_late (service_state)))
       cf_exchange_refuse_too_late (x);
 }
 
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -42,7 +42,7 @@
   if (!x->target)
     return;
   cf_target_request_ended (x->target);
-  x->lane->in_flight--;
+  x->service_state->in_flight--;
   g_clear_pointer (&x->target, cf_target_unref);
 }
 
@@ -73,8 +73,8 @@
   g->stats.outcomes[o]++;
   if (o == CF_OUTCOME_SUCCESS && !x->event_stream.n_events)
     cf_histogram_add (&g->stats.whole_ms, ms);
-  if (x->lane)
-    cf_wait_queue_remove (&x->lane->queue, &x->waiter);
+  if (x->service_state)
+    cf_wait_queue_remove (&x->service_state->queue, &x->waiter);
   cf_exchange_remove_unrouted (x);
   ev_timer_stop (g->loop, &x->deadline_timer);
   cf_exchange_release_target (x, TRUE);
@@ -198,13 +198,13 @@
   gint64 allowed = allowed_ms (x);
 
   x->service = cf_route_pick (x->route, x->hash);
-  x->lane = cf_gateway_service_state (x->gateway, x->service);
+  x->service_state = cf_gateway_service_state (x->gateway, x->service);
   cf_platform_parse_token_count (
       cf_http_reader_header (&x->caller->reader, CF_HDR_TOKEN_COUNT),
       &x->size.prompt, &x->size.answer);
   x->deadline_ms = x->start_ms + allowed;
   x->waiter.priority = request_priority (x);
-  cf_retry_budget_add_request (&x->lane->budget);
+  cf_retry_budget_add_request (&x->service_state->budget);
   ev_timer_set (&x->deadline_timer, (double)allowed / 1000, 0);
   ev_timer_start (x->gateway->loop, &x->deadline_timer);
   cf_exchange_send_or_queue (x);
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -105,7 +105,7 @@
   g->quarantine = cf_quarantine_new ();
   cf_gateway_service_state (g, "");
   cf_gateway_set_fleet_size (g, 0);
-  cf_gateway_set_fleet_place (g, g_random_double (), g->fleet_size);
+  cf_gateway_set_fleet_position (g, g_random_double (), g->fleet_size);
 }
 
 void
@@ -366,13 +366,13 @@
 }
 
 void
-cf_gateway_set_fleet_place (CfGateway *g, double ring_start, guint members)
+cf_gateway_set_fleet_position (CfGateway *g, double ring_start, guint members)
 {
   guint n = MAX (members, 1);
 
   g->ring_start = ring_start;
-  g->place.n = n;
-  g->place.index = (guint)round (ring_start * n) % n;
+  g->fleet_position.n = n;
+  g->fleet_position.index = (guint)round (ring_start * n) % n;
 }
 
 void
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -59,9 +59,9 @@
   gint64 targets_rev;           /**< store revision that @targets reflects */
   gint64 targets_at_ms;         /**< when the store last confirmed @targets */
   gboolean rate_limits_changed; /**< peers are to be notified of rate limits */
-  guint fleet_size;   /**< number of gateways that share the retry budget */
-  CfFleetPlace place; /**< of this gateway among all gateways */
-  double ring_start;  /**< start on the ring of targets, in [0, 1) */
+  guint fleet_size; /**< number of gateways that share the retry budget */
+  CfFleetPosition fleet_position; /**< of this gateway among all gateways */
+  double ring_start;          /**< start on the ring of targets, in [0, 1) */
   GHashTable *service_states; /**< service -> #CfServiceState */
   CfQuarantine *quarantine;   /**< requests that crash targets */
   CfCrashProbeList probes;    /**< probes of targets that may have crashed */
@@ -164,12 +164,12 @@
 void cf_gateway_expire_slowdowns (CfGateway *g);
 
 /**
- * cf_gateway_set_fleet_place:
+ * cf_gateway_set_fleet_position:
  * @ring_start: where this gateway starts on the ring of targets, in [0, 1)
  * @members: number of gateways for which @ring_start was computed
  */
-void cf_gateway_set_fleet_place (CfGateway *g, double ring_start,
-                                 guint members);
+void cf_gateway_set_fleet_position (CfGateway *g, double ring_start,
+                                    guint members);
 
 /** cf_gateway_set_fleet_size: sets the number of gateways that share the retry
  * budget; at least the number of seeds. */
--- a/gateway/peer-service.c
+++ b/gateway/peer-service.c
@@ -144,7 +144,7 @@
       l.id.n = strlen (t->record.id);
       l.incarnation = t->record.incarnation;
       l.millionths = (gint64)ceil (t->limit.per_s * CF_PEER_MILLIONTHS);
-      l.age_ms = g->now_ms - t->limit.heard_ms;
+      l.age_ms = g->now_ms - t->limit.received_ms;
       g_array_append_val (a, l);
     }
   return a;
@@ -313,12 +313,12 @@
   n = cf_membership_size (s->membership);
   cf_gateway_set_fleet_size (g, MAX (n, peer_fleet_size));
   if (n >= peer_fleet_size)
-    cf_gateway_set_fleet_place (
+    cf_gateway_set_fleet_position (
         g, cf_membership_ring_start (s->membership, NULL), n);
   else if (peer_ring_start >= 0 && peer_ring_start < CF_PEER_RING_UNITS)
-    cf_gateway_set_fleet_place (g, (double)peer_ring_start / CF_PEER_RING_UNITS,
-                                n_ring_members ? n_ring_members
-                                               : peer_fleet_size);
+    cf_gateway_set_fleet_position (
+        g, (double)peer_ring_start / CF_PEER_RING_UNITS,
+        n_ring_members ? n_ring_members : peer_fleet_size);
 }
 
 static void
--- a/gateway/rate-limit.c
+++ b/gateway/rate-limit.c
@@ -22,66 +22,69 @@
 }
 
 static gboolean
-set_rate (CfRateLimit *l, double per_s, gint64 heard_ms)
+set_rate (CfRateLimit *l, double per_s, gint64 received_ms)
 {
   double before = l->per_s;
 
   if (before == 0)
     {
       l->tokens = 0;
-      l->filled_ms = heard_ms;
+      l->refilled_ms = received_ms;
     }
   l->per_s = per_s;
-  l->heard_ms = heard_ms;
+  l->received_ms = received_ms;
   return is_notable (before, per_s);
 }
 
 gboolean
 cf_rate_limit_update (CfRateLimit *l, double per_s, gint64 now_ms)
 {
-  if (per_s == 0 && l->heard_ms == 0)
+  if (per_s == 0 && l->received_ms == 0)
     return FALSE;
   return set_rate (l, per_s, now_ms);
 }
 
 gboolean
-cf_rate_limit_update_from_peer (CfRateLimit *l, double per_s, gint64 heard_ms)
+cf_rate_limit_update_from_peer (CfRateLimit *l, double per_s,
+                                gint64 received_ms)
 {
-  if (l->heard_ms != 0 && heard_ms <= l->heard_ms + PEER_SKEW_MS)
+  if (l->received_ms != 0 && received_ms <= l->received_ms + PEER_SKEW_MS)
     return FALSE;
-  return set_rate (l, per_s, heard_ms);
+  return set_rate (l, per_s, received_ms);
 }
 
 gboolean
 cf_rate_limit_is_announced (const CfRateLimit *l, gint64 now_ms)
 {
   return l->per_s > 0
-         || (l->heard_ms != 0 && now_ms - l->heard_ms <= LIFTED_ANNOUNCE_MS);
+         || (l->received_ms != 0
+             && now_ms - l->received_ms <= LIFTED_ANNOUNCE_MS);
 }
 
 double
-cf_rate_limit_share (const CfRateLimit *l, const char *id, CfFleetPlace place)
+cf_rate_limit_share (const CfRateLimit *l, const char *id,
+                     CfFleetPosition fleet_position)
 {
-  guint n = MAX (place.n, 1);
+  guint n = MAX (fleet_position.n, 1);
   guint n_owners = (guint)CLAMP (l->per_s / MIN_SHARE_PER_S, 1.0, (double)n);
   guint first = g_str_hash (id) % n;
-  guint offset = (place.index % n + n - first) % n;
+  guint offset = (fleet_position.index % n + n - first) % n;
 
   return offset < n_owners ? l->per_s / n_owners : 0;
 }
 
 gboolean
-cf_rate_limit_may_send (CfRateLimit *l, const char *id, CfFleetPlace place,
-                        gint64 now_ms)
+cf_rate_limit_may_send (CfRateLimit *l, const char *id,
+                        CfFleetPosition fleet_position, gint64 now_ms)
 {
   double share;
 
   if (l->per_s == 0)
     return TRUE;
-  share = cf_rate_limit_share (l, id, place);
-  l->tokens += share * (double)(now_ms - l->filled_ms) / 1000;
+  share = cf_rate_limit_share (l, id, fleet_position);
+  l->tokens += share * (double)(now_ms - l->refilled_ms) / 1000;
   l->tokens = fmin (l->tokens, fmax (share * BURST_S, 1));
-  l->filled_ms = now_ms;
+  l->refilled_ms = now_ms;
   return share > 0 && l->tokens >= 1;
 }
 
--- a/gateway/rate-limit.h
+++ b/gateway/rate-limit.h
@@ -15,19 +15,19 @@
  */
 typedef struct
 {
-  double per_s;    /**< 0: the target states no limit */
-  gint64 heard_ms; /**< when the answer with this limit arrived, at this gateway
-                        or a peer; 0: the target never stated one */
-  double tokens;   /**< requests that may be sent now */
-  gint64 filled_ms; /**< when @tokens was last filled */
+  double per_s;       /**< 0: the target states no limit */
+  gint64 received_ms; /**< when the answer with this limit arrived, at this
+                        gateway or a peer; 0: the target never stated one */
+  double tokens;      /**< requests that may be sent now */
+  gint64 refilled_ms; /**< when @tokens was last filled */
 } CfRateLimit;
 
-/** CfFleetPlace: this gateway's position in the order of all @n gateways. */
+/** CfFleetPosition: this gateway's position in the order of all @n gateways. */
 typedef struct
 {
   guint index;
   guint n;
-} CfFleetPlace;
+} CfFleetPosition;
 
 /**
  * cf_rate_limit_update:
@@ -40,11 +40,11 @@
 /**
  * cf_rate_limit_update_from_peer:
  * Records the limit that a peer has from an answer.
- * @heard_ms: when the answer arrived there, by this gateway's clock
+ * @received_ms: when the answer arrived there, by this gateway's clock
  * Returns: as cf_rate_limit_update()
  */
 gboolean cf_rate_limit_update_from_peer (CfRateLimit *l, double per_s,
-                                         gint64 heard_ms);
+                                         gint64 received_ms);
 
 /** cf_rate_limit_is_announced: whether hello messages include the limit, for
  * peers that missed the change. */
@@ -53,12 +53,12 @@
 /** cf_rate_limit_share: requests per second that this gateway may send to the
  * target @id, which has a limit; 0: the gateway is not an owner. */
 double cf_rate_limit_share (const CfRateLimit *l, const char *id,
-                            CfFleetPlace place);
+                            CfFleetPosition fleet_position);
 
 /** cf_rate_limit_may_send: refills the token bucket, and returns whether a
  * request may be sent to the target @id now. */
 gboolean cf_rate_limit_may_send (CfRateLimit *l, const char *id,
-                                 CfFleetPlace place, gint64 now_ms);
+                                 CfFleetPosition fleet_position, gint64 now_ms);
 
 /** cf_rate_limit_consume: takes a token for a request that is sent. */
 void cf_rate_limit_consume (CfRateLimit *l);
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -134,7 +134,7 @@
 }
 
 static void
-on_fresh (CfGateway *g, gint64 as_of)
+on_confirmed (CfGateway *g, gint64 as_of)
 {
   g->targets_rev = as_of;
   g->targets_at_ms = cf_gateway_now (g);
@@ -159,7 +159,7 @@
   for (guint i = 0; i < missing_ids->len; i++)
     mark_missing (g, missing_ids->pdata[i], as_of, G_MAXINT64);
   g_ptr_array_free (missing_ids, TRUE);
-  on_fresh (g, as_of);
+  on_confirmed (g, as_of);
 }
 
 static void
@@ -186,7 +186,7 @@
 }
 
 static void
-on_contact (CfGateway *g, gboolean up)
+on_reachability_changed (CfGateway *g, gboolean up)
 {
   g->targets_store_up = up;
   if (!up || g_hash_table_size (g->targets.by_id) == 0)
@@ -197,7 +197,7 @@
 }
 
 static const CfStoreWatchCallbacks feed_calls
-    = { on_item, on_snapshot, on_fresh, on_contact };
+    = { on_item, on_snapshot, on_confirmed, on_reachability_changed };
 
 void
 cf_target_feed_start (CfStoreWatch *w, CfGateway *g)
--- a/t/t-balancer.c
+++ b/t/t-balancer.c
@@ -485,7 +485,7 @@
   CfTarget *t = NULL;
 
   get ("a")->limit = (CfRateLimit){
-    .per_s = 2, .heard_ms = 1, .tokens = 1, .filled_ms = 100
+    .per_s = 2, .received_ms = 1, .tokens = 1, .refilled_ms = 100
   };
   ck_assert_int_eq (pick (100, NULL, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "a");
@@ -496,7 +496,7 @@
   cf_target_table_remove (&table, "c");
   ck_assert_int_eq (pick (102, NULL, &t), CF_PICK_RATE_LIMITED);
   ck_assert_double_eq (
-      cf_balancer_rate_limit_per_s (&table, "s", (CfFleetPlace){ 0, 1 }), 2);
+      cf_balancer_rate_limit_per_s (&table, "s", (CfFleetPosition){ 0, 1 }), 2);
   ck_assert_int_eq (pick (700, NULL, &t), CF_PICK_OK);
   ck_assert_str_eq (t->record.id, "a");
 }
--- a/t/t-fleet.c
+++ b/t/t-fleet.c
@@ -177,8 +177,8 @@
 }
 END_TEST
 
-/* The place is the same when computed from the start on the ring as peers
- * receive it, rounded to 1 / CF_PEER_RING_UNITS. */
+/* The fleet_position is the same when computed from the start on the ring as
+ * peers receive it, rounded to 1 / CF_PEER_RING_UNITS. */
 START_TEST (each_gateway_has_a_distinct_place)
 {
   const guint fleets[] = { 1, 2, 3, 12, 35, 340 };
@@ -190,12 +190,12 @@
         double start = (double)i / fleets[f];
         gint64 wire = (gint64)(start * CF_PEER_RING_UNITS);
 
-        cf_gateway_set_fleet_place (&g, start, fleets[f]);
-        ck_assert_uint_eq (g.place.index, i);
-        cf_gateway_set_fleet_place (&g, (double)wire / CF_PEER_RING_UNITS,
-                                    fleets[f]);
-        ck_assert_uint_eq (g.place.index, i);
-        ck_assert_uint_eq (g.place.n, fleets[f]);
+        cf_gateway_set_fleet_position (&g, start, fleets[f]);
+        ck_assert_uint_eq (g.fleet_position.index, i);
+        cf_gateway_set_fleet_position (&g, (double)wire / CF_PEER_RING_UNITS,
+                                       fleets[f]);
+        ck_assert_uint_eq (g.fleet_position.index, i);
+        ck_assert_uint_eq (g.fleet_position.n, fleets[f]);
       }
   cf_gateway_clear (&g);
 }
--- a/t/t-rate-limit.c
+++ b/t/t-rate-limit.c
@@ -161,12 +161,12 @@
   for (gsize r = 0; r < G_N_ELEMENTS (rates); r++)
     for (gsize f = 0; f < G_N_ELEMENTS (fleets); f++)
       {
-        const CfRateLimit l = { .per_s = rates[r], .heard_ms = 1 };
+        const CfRateLimit l = { .per_s = rates[r], .received_ms = 1 };
         double sum = 0;
 
         for (guint i = 0; i < fleets[f]; i++)
           sum += cf_rate_limit_share (&l, "i-1",
-                                      (CfFleetPlace){ i, fleets[f] });
+                                      (CfFleetPosition){ i, fleets[f] });
         ck_assert_double_eq_tol (sum, rates[r], 1e-6);
       }
 }
@@ -186,7 +186,8 @@
     cf_rate_limit_update (&l[i], per_s, 1);
   for (gint64 now = 2; now < 60000; now += tick_ms)
     for (guint i = 0; i < n; i++)
-      while (cf_rate_limit_may_send (&l[i], "i-1", (CfFleetPlace){ i, n }, now))
+      while (
+          cf_rate_limit_may_send (&l[i], "i-1", (CfFleetPosition){ i, n }, now))
         {
           cf_rate_limit_consume (&l[i]);
           g_array_append_val (sent, now);
@@ -232,9 +233,10 @@
   ck_assert_double_eq (l.per_s, 0);
   ck_assert (cf_rate_limit_is_announced (&l, 5000));
   ck_assert (cf_rate_limit_update_from_peer (&l, 1.1, 5000));
-  ck_assert (cf_rate_limit_may_send (&l, "i", (CfFleetPlace){ 0, 1 }, 6000));
+  ck_assert (cf_rate_limit_may_send (&l, "i", (CfFleetPosition){ 0, 1 }, 6000));
   cf_rate_limit_consume (&l);
-  ck_assert (!cf_rate_limit_may_send (&l, "i", (CfFleetPlace){ 0, 1 }, 6001));
+  ck_assert (
+      !cf_rate_limit_may_send (&l, "i", (CfFleetPosition){ 0, 1 }, 6001));
 }
 END_TEST
 
