--- a/gateway/balancer.c
+++ b/gateway/balancer.c
@@ -7,7 +7,7 @@
 
 /** A gateway may use this multiple of an even share of a target's slots. */
 #define SHARE_HEADROOM 1.25
-/** The fraction of that limit that yielding requests may fill. */
+/** The fraction of that share that yielding requests may fill. */
 #define YIELD_TARGET_FRACTION 0.6
 /** The fraction of the concurrency limit that yielding requests may fill. */
 #define YIELD_LIMIT_FRACTION 0.85
--- a/gateway/balancer.h
+++ b/gateway/balancer.h
@@ -7,7 +7,7 @@
 {
   CF_PICK_OK,
   CF_PICK_NO_TARGET,    /**< no target of the service takes new requests */
-  CF_PICK_FULL,         /**< every target has all this gateway may send it */
+  CF_PICK_FULL,         /**< this gateway may send the service no more now */
   CF_PICK_RATE_LIMITED, /**< only the targets' rate limits prevent it */
 } CfPickResult;
 
@@ -23,7 +23,7 @@
   guint n_gateways;        /**< gateways that send to these targets */
   CfFleetPosition fleet_position; /**< this gateway's position among them */
   guint in_flight;                /**< this gateway's requests at the service */
-  guint limit;              /**< concurrency limit, of @in_flight; 0: none */
+  guint limit;              /**< concurrency limit for @in_flight; 0: none */
   gint64 max_conns;         /**< connections a target accepts from all
                                  callers; 0: unlimited */
   const double *ring_start; /**< (nullable): where among the targets the search
@@ -60,12 +60,14 @@
 
 /**
  * cf_balancer_pick:
- * Chooses the target with the fewest requests of this gateway per slot; among
- * equals one in the gateway's own data centre, then the first one from
- * @ring_start on.  Targets that are leaving, replaced, ejected, slow, stalled,
- * full, or whose rate limit leaves this gateway nothing are passed over.  When
- * less than half of the targets are healthy, ejected, slow and stalled ones are
- * used too: an ejection may be wrong, and must not take a whole service down.
+ * Chooses the target with the fewest requests of this gateway per slot,
+ * weighted by the target's slowdown; among equals one in the gateway's own data
+ * centre, then the first one from @ring_start on.  Targets that are leaving,
+ * replaced, already tried, ejected, slow, stalled, full, or whose rate limit
+ * allows this gateway no request now are passed over.  When less than half of
+ * the targets are healthy and none of them is free, an ejected, slow or stalled
+ * one is used: an ejection may be wrong, and must not take a whole service
+ * down.
  *
  * @out: (out) (nullable): the target, not referenced
  */
--- a/gateway/crash-probe.c
+++ b/gateway/crash-probe.c
@@ -9,8 +9,8 @@
 
 /** How long a lost request waits for the result: a few network round trips. */
 #define WAITER_TIMEOUT_S 0.05
-/** How long the probe goes on after that.  The whole time allows for a lost SYN
- * packet, which is sent again after a second; crashed targets are down for
+/** How long the probe goes on after that.  Both times together allow for a lost
+ * SYN packet, which is sent again after a second; crashed targets are down for
  * longer. */
 #define REMAINING_TIMEOUT_S 1.45
 
--- a/gateway/exchange-answer.c
+++ b/gateway/exchange-answer.c
@@ -16,8 +16,8 @@
  * target of 12 slots, with streams of 1.2 s, frees a slot about every 100 ms.
  */
 #define FULL_TARGET_PAUSE_MS 50
-/** Silence of a whole service after which it is taken to do no work: each pass
- * of a group produces events, and takes 50 to 200 ms under load. */
+/** Silence of a whole service after which it is assumed to do no work: each
+ * pass of a group produces events, and takes 50 to 200 ms under load. */
 #define OUTAGE_MIN_SILENCE_MS 400
 
 void
@@ -55,16 +55,16 @@
 static void
 detect_outage (CfExchange *x)
 {
-  CfServiceState *l = x->service_state;
+  CfServiceState *s = x->service_state;
   gint64 now = cf_gateway_now (x->gateway);
 
-  if (now - l->last_event_ms < OUTAGE_MIN_SILENCE_MS
-      || !cf_outage_record_refusal (&l->outage, now))
+  if (now - s->last_event_ms < OUTAGE_MIN_SILENCE_MS
+      || !cf_outage_record_refusal (&s->outage, now))
     return;
   cf_log (LOG_WARNING, CF_EV_OUTAGE,
           "service=%s outcome=begins quiet_ms=%" G_GINT64_FORMAT
           " faulty=%s id=%s",
-          x->service, now - l->last_event_ms, x->faulty_addr, x->id);
+          x->service, now - s->last_event_ms, x->faulty_addr, x->id);
 }
 
 /* Whether the answer says that another incarnation runs at its target's
@@ -107,7 +107,8 @@
     x->target->full_until_ms = now + FULL_TARGET_PAUSE_MS;
 }
 
-/* A target of the service does its work, which ends any outage. */
+/* Records that a target of the service processes requests, which ends any
+ * outage. */
 static void
 record_progress (CfExchange *x)
 {
@@ -131,38 +132,39 @@
 static void
 log_overload (const CfExchange *x)
 {
-  const CfServiceState *l = x->service_state;
-  const CfWaiter *first = TAILQ_FIRST (&l->queue.waiters);
+  const CfServiceState *s = x->service_state;
+  const CfWaiter *first = TAILQ_FIRST (&s->queue.waiters);
 
   cf_log (LOG_NOTICE, CF_EV_OVERLOAD,
           "service=%s outcome=%s limit=%u in_flight=%u first_ms=%.0f "
           "pause_ms=%.0f waiting=%u waited_ms=%" G_GINT64_FORMAT,
-          x->service, cf_concurrency_limit_get (&l->limit) ? "begins" : "over",
-          cf_concurrency_limit_get (&l->limit), l->in_flight, l->limit.mean_ms,
-          l->latency.pause_ms, l->queue.n,
+          x->service, cf_concurrency_limit_get (&s->limit) ? "begins" : "over",
+          cf_concurrency_limit_get (&s->limit), s->in_flight, s->limit.mean_ms,
+          s->latency.pause_ms, s->queue.n,
           first ? cf_gateway_now (x->gateway) - first->since_ms : 0);
 }
 
 static void
 sample_concurrency_limit (CfExchange *x)
 {
-  CfServiceState *l = x->service_state;
+  CfServiceState *s = x->service_state;
   CfFirstEventSample e = { 0 };
 
   e.now_ms = cf_gateway_now (x->gateway);
   e.sent_ms = x->sent_ms;
   e.unqueued_ms = cf_stream_latency_unqueued_ms (
-      &l->latency, cf_exchange_engine_model (x), &x->size);
+      &s->latency, cf_exchange_engine_model (x), &x->size);
   e.aim_ms = x->route->aim_ms;
-  e.in_flight = l->in_flight;
+  e.in_flight = s->in_flight;
   e.fair_share
       = (double)cf_target_table_slots (&x->gateway->targets, x->service)
         / MAX (x->gateway->fleet_size, 1);
-  if (cf_concurrency_limit_add_sample (&l->limit, &e))
+  if (cf_concurrency_limit_add_sample (&s->limit, &e))
     log_overload (x);
 }
 
-/* Logs the pass that has just ended if it made streams late. */
+/* Adds an event to the record of passes, and logs the pass that this shows to
+ * have ended if it made streams late. */
 static void
 record_pass (CfExchange *x, gint64 pause_ms)
 {
@@ -286,7 +288,7 @@
     {
       if (x->held_body->len + n <= HELD_BODY_MAX)
         g_string_append_len (x->held_body, data, (gssize)n);
-      else /* too large to hold: handled as if it were not signed */
+      else /* too large to hold: handled as unsigned */
         x->answer_kind = CF_ANSWER_UNSIGNED;
       return;
     }
--- a/gateway/exchange-crash.c
+++ b/gateway/exchange-crash.c
@@ -59,9 +59,9 @@
     cf_exchange_retry_or_end (x, "lost");
 }
 
-/* A request that has produced no event may have caused the crash of its target
- * and would crash the next one too.  It is retried only if the probe finds its
- * target alive. */
+/* Whether a retry has to wait for the result of the probe.  A request that has
+ * produced no event may have crashed its target, and would then crash the next
+ * one too, so it is retried only if the probe does not find a crash. */
 static gboolean
 has_to_await_probe (CfExchange *x)
 {
@@ -71,18 +71,18 @@
 gboolean
 cf_exchange_probe_lost_target (CfExchange *x)
 {
-  CfLostRequest l = { .sent_ms = x->sent_ms };
+  CfLostRequest lost = { .sent_ms = x->sent_ms };
   gboolean waits;
 
   log_lost_connection (x);
   if (CF_WITHOUT_QUARANTINE || !may_have_crashed (x))
     return FALSE;
-  l.digest = *request_digest (x);
-  l.lost_ms = cf_gateway_now (x->gateway);
+  lost.digest = *request_digest (x);
+  lost.lost_ms = cf_gateway_now (x->gateway);
   x->target_may_have_crashed = TRUE;
   x->crash_waiter.done = on_probe_result;
   waits = has_to_await_probe (x);
-  if (!cf_crash_probe_start (x->gateway, x->target, &l,
+  if (!cf_crash_probe_start (x->gateway, x->target, &lost,
                              waits ? &x->crash_waiter : NULL))
     return FALSE;
   if (waits)
@@ -142,11 +142,11 @@
 }
 
 static CfExchange *
-first_quarantined (const CfServiceState *l)
+first_quarantined (const CfServiceState *s)
 {
   CfWaiter *w;
 
-  TAILQ_FOREACH (w, &l->queue.waiters, link)
+  TAILQ_FOREACH (w, &s->queue.waiters, link)
   if (is_quarantined (w->owner))
     return w->owner;
   return NULL;
--- a/gateway/exchange-parts.h
+++ b/gateway/exchange-parts.h
@@ -39,7 +39,7 @@
   const char *service;  /**< owned by @policy */
   CfServiceState *service_state;
   const char *org; /**< (nullable): organisation, owned by @policy */
-  char *id;        /**< request id of this attempt, as the caller sent it */
+  char *id;        /**< request id of the caller's attempt, or "-" */
   guint hash;      /**< of @id */
   gint64 start_ms;
   gint64 deadline_ms; /**< by cf_gateway_now() */
@@ -120,7 +120,7 @@
 /**
  * cf_exchange_defer_routing:
  * Makes a request wait if it cannot be routed yet but may be soon.
- * Returns: %FALSE if it is not to wait; route it now.
+ * Returns: %FALSE if it does not wait and has to be routed now.
  */
 gboolean cf_exchange_defer_routing (CfExchange *x);
 
@@ -130,7 +130,8 @@
 
 /* Choice of a target, queueing and retries. */
 
-/** cf_exchange_backoff_ms: in how long a refused request may find a slot. */
+/** cf_exchange_backoff_ms: the minimum back-off for its caller if it is
+ * refused, after which a slot may be free. */
 gint64 cf_exchange_backoff_ms (const CfExchange *x);
 
 /** cf_exchange_may_retry: whether it may be sent to another target. */
@@ -151,9 +152,9 @@
 
 /**
  * cf_exchange_stop_slack_ms:
- * Returns: for how long it may still wait before it is sent, and be complete
- *   before the stopping process ends; %G_MAXINT64 if shutdown does not limit
- *   it.
+ * Returns: for how long it may still wait before it is sent and yet be complete
+ *   before the stopping process ends; %G_MAXINT64 if it is not checked for
+ *   that.
  */
 gint64 cf_exchange_stop_slack_ms (const CfExchange *x);
 
@@ -168,7 +169,8 @@
 /* Targets that send nothing. */
 
 /** cf_exchange_start_silence_timer: limits its target's silence, or its wait
- * in the queue, to @ms. */
+ * in the queue, to @ms, or to the time at which its caller gives up, if that is
+ * sooner and has not passed. */
 void cf_exchange_start_silence_timer (CfExchange *x, gint64 ms);
 
 /** cf_exchange_silence_timeout_ms: how long its target may be silent. */
@@ -180,7 +182,7 @@
 gint64 cf_exchange_first_check_ms (const CfExchange *x);
 
 /** cf_exchange_caller_wait_ms: how long callers wait for the first event of a
- * stream, or for another answer to meet its objective. */
+ * stream; for a call, its latency objective. */
 gint64 cf_exchange_caller_wait_ms (const CfExchange *x);
 
 /**
@@ -239,6 +241,6 @@
 /** cf_exchange_on_upstream_failure: the upstream connection failed. */
 void cf_exchange_on_upstream_failure (void *owner, CfUpstreamFailure f);
 
-/** cf_exchange_upstream_callbacks: for the upstream connection of an exchange.
- */
+/** cf_exchange_upstream_callbacks: the callbacks of an exchange's upstream
+ * connection. */
 extern const CfUpstreamCallbacks cf_exchange_upstream_callbacks;
--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -15,13 +15,13 @@
 gint64
 cf_exchange_backoff_ms (const CfExchange *x)
 {
-  const CfServiceState *l = x->service_state;
+  const CfServiceState *s = x->service_state;
 
-  if (cf_outage_is_long (&l->outage, cf_gateway_now (x->gateway)))
+  if (cf_outage_is_long (&s->outage, cf_gateway_now (x->gateway)))
     return cf_wait_queue_backoff_ms (CF_NO_CAPACITY_LONG_OUTAGE);
-  if (l->outage.since_ms != 0)
+  if (s->outage.since_ms != 0)
     return cf_wait_queue_backoff_ms (CF_NO_CAPACITY_OUTAGE);
-  return cf_wait_queue_backoff_ms (cf_concurrency_limit_get (&l->limit) != 0
+  return cf_wait_queue_backoff_ms (cf_concurrency_limit_get (&s->limit) != 0
                                        ? CF_NO_CAPACITY_OVERLOAD
                                        : CF_NO_CAPACITY_FULL);
 }
@@ -110,9 +110,9 @@
   return (guint)MAX (slots * QUEUED_PER_SLOT, 1);
 }
 
-/* The latest time to send it at which it still meets its objective. */
+/* Returns the latest time to send it so that it meets its objective. */
 static gint64
-latest_start_for_objective_ms (const CfExchange *x)
+get_objective_send_by_ms (const CfExchange *x)
 {
   gint64 first = 0;
 
@@ -122,10 +122,11 @@
   return cf_waiter_objective_send_by_ms (x->start_ms, x->route->aim_ms, first);
 }
 
-/* The latest time to send it at which an answer of usual length is complete
- * before its deadline. */
+/* Returns the latest time to send it so that an answer of usual length is
+ * complete by its deadline.  For a call, whose duration is not known, that is
+ * the deadline. */
 static gint64
-latest_start_for_deadline_ms (const CfExchange *x)
+get_deadline_send_by_ms (const CfExchange *x)
 {
   if (!x->route->stream)
     return x->deadline_ms;
@@ -135,8 +136,9 @@
                                                &x->size);
 }
 
-/* Queues it until a target has a free slot, at most for as long as that leaves
- * time for the work itself. */
+/* Queues it until a target has a free slot.  If the queue is full, the least
+ * urgent request is refused.  The wait is limited so that enough time remains
+ * for the work itself. */
 static void
 enqueue (CfExchange *x)
 {
@@ -146,8 +148,8 @@
   CfWaiter *evicted;
 
   x->waiter.since_ms = now;
-  x->waiter.objective_send_by_ms = latest_start_for_objective_ms (x);
-  x->waiter.deadline_send_by_ms = latest_start_for_deadline_ms (x);
+  x->waiter.objective_send_by_ms = get_objective_send_by_ms (x);
+  x->waiter.deadline_send_by_ms = get_deadline_send_by_ms (x);
   if (!cf_wait_queue_add (&x->service_state->queue, &x->waiter, max_queued (x),
                           &evicted))
     {
@@ -201,8 +203,8 @@
 {
   const CfOutage *o = &x->service_state->outage;
 
-  /* Callers would give up on any more work that is sent to this service, and
-   * its stalled targets may not notice that they did. */
+  /* The service is silent.  Callers would give up on further requests sent to
+   * it, and its stalled targets might not notice the cancellation. */
   if (!CF_WITHOUT_STALL_CHECK
       && cf_exchange_is_service_silent (
           x, cf_stream_latency_stall_timeout_ms (&x->service_state->latency)))
@@ -232,8 +234,8 @@
   in.in_flight = x->service_state->in_flight;
   in.limit = cf_concurrency_limit_get (&x->service_state->limit);
   in.max_conns = sv ? sv->max_conns : 0;
-  /* Just after an outage no request is in time, so there is none to leave
-   * slots for. */
+  /* Just after an outage all requests are late, so there are none on time to
+   * leave slots for. */
   in.yields
       = !cf_outage_has_ended_recently (&x->service_state->outage, in.now_ms)
         && cf_waiter_has_to_yield (&x->waiter, in.now_ms,
@@ -248,8 +250,8 @@
   return cf_balancer_pick (&x->gateway->targets, &in, t);
 }
 
-/* Whether its service has an outage that is so long that queueing it would
- * only delay its refusal. */
+/* Whether the outage of its service has lasted so long that queueing the
+ * request would only delay its refusal. */
 static gboolean
 is_wait_futile (const CfExchange *x)
 {
@@ -318,27 +320,27 @@
 
 /* (nullable): the first queued request that may probe an outage. */
 static CfWaiter *
-first_probe_candidate (CfServiceState *l)
+first_probe_candidate (CfServiceState *s)
 {
   CfWaiter *w;
 
-  TAILQ_FOREACH (w, &l->queue.waiters, link)
+  TAILQ_FOREACH (w, &s->queue.waiters, link)
   if (may_probe (w->owner))
     return w;
   return NULL;
 }
 
-/* Sends the first request of the queue if a target has a free slot.  FALSE if
- * none was taken from the queue. */
+/* Sends the first request of the queue if a target has a free slot, or refuses
+ * it if it must not be sent.  FALSE if none was taken from the queue. */
 static gboolean
-dispatch_first (CfGateway *g, CfServiceState *l)
+dispatch_first (CfGateway *g, CfServiceState *s)
 {
-  CfWaitQueue *q = &l->queue;
+  CfWaitQueue *q = &s->queue;
   CfWaiter *w
-      = l->outage.since_ms
-            ? first_probe_candidate (l)
+      = s->outage.since_ms
+            ? first_probe_candidate (s)
             : cf_wait_queue_first (q, cf_gateway_now (g),
-                                   cf_concurrency_limit_get (&l->limit));
+                                   cf_concurrency_limit_get (&s->limit));
   CfExchange *x;
   CfTarget *t;
 
--- a/gateway/exchange-silence.c
+++ b/gateway/exchange-silence.c
@@ -23,9 +23,9 @@
  * first events and pauses usually take. */
 #define TARGET_STALL_FACTOR 2
 /** How long before its caller gives up a stream without an event is checked for
- * the last time.  An error answer has to reach the caller before that: it then
- * retries, and does not leave work at a target that cannot be notified of the
- * cancellation. */
+ * the last time.  An error answer has to reach the caller before it gives up:
+ * the caller then retries, and does not leave work at a target that cannot be
+ * notified of the cancellation. */
 #define CALLER_WAIT_MARGIN_MS 150
 /** Interval of further checks of a target until the caller gives up. */
 #define RECHECK_INTERVAL_MS 50
@@ -85,10 +85,10 @@
 gboolean
 cf_exchange_is_service_silent (const CfExchange *x, gint64 ms)
 {
-  const CfServiceState *l = x->service_state;
-  gint64 since = MAX (l->last_event_ms, l->busy_since_ms);
+  const CfServiceState *s = x->service_state;
+  gint64 since = MAX (s->last_event_ms, s->busy_since_ms);
 
-  return x->route->stream && l->in_flight > 0
+  return x->route->stream && s->in_flight > 0
          && cf_gateway_now (x->gateway) - since > ms;
 }
 
@@ -153,8 +153,8 @@
 }
 
 /* Whether another target can send a first event before the caller gives up.  If
- * not, a retry would leave two targets with work for nobody, only one of which
- * can be notified of the cancellation. */
+ * not, a retry would leave two targets with work that no caller waits for, only
+ * one of which can be notified of the cancellation. */
 static gboolean
 has_time_for_retry (const CfExchange *x)
 {
@@ -164,11 +164,12 @@
                                              &x->size);
 }
 
-/* Whether another target may be tried now.  Its silent target may have run it
- * already.  Without a retry in the budget its own target, silent or not, is the
- * only one that can still answer. */
+/* Marks it as possibly run, since its silent target may have run it, and
+ * returns whether another target may be tried now.  Without a retry in the
+ * budget, its own target is the only one that can still answer, even if it is
+ * silent. */
 static gboolean
-may_retry_elsewhere (CfExchange *x)
+check_retry_elsewhere (CfExchange *x)
 {
   x->may_have_run = TRUE;
   return cf_exchange_may_retry (x)
@@ -179,7 +180,7 @@
 static gboolean
 retry_stalled (CfExchange *x)
 {
-  if (!may_retry_elsewhere (x) || !has_time_for_retry (x))
+  if (!check_retry_elsewhere (x) || !has_time_for_retry (x))
     return FALSE;
   cf_exchange_record_failure (x, x->target, "stands-still");
   cf_exchange_discard_answer (x);
@@ -191,8 +192,8 @@
 cf_exchange_on_silence_timer (struct ev_loop *loop, ev_timer *w, int revents)
 {
   CfExchange *x = w->data;
-  gint64 left = x->sent_ms + cf_exchange_silence_timeout_ms (x)
-                - cf_gateway_now (x->gateway);
+  gint64 remaining = x->sent_ms + cf_exchange_silence_timeout_ms (x)
+                     - cf_gateway_now (x->gateway);
 
   if (x->waiter.queued)
     {
@@ -205,14 +206,14 @@
       cf_exchange_fail (x, "stands-still");
       return;
     }
-  if (x->last_event_ms == 0 && left > TIMER_TOLERANCE_MS)
+  if (x->last_event_ms == 0 && remaining > TIMER_TOLERANCE_MS)
     {
       if (is_only_target_stalled (x) && retry_stalled (x))
         return;
       cf_exchange_start_silence_timer (
           x, cf_exchange_caller_remaining_ms (x) <= TIMER_TOLERANCE_MS
                  ? RECHECK_INTERVAL_MS
-                 : MIN (left, target_stall_timeout_ms (x) / 2));
+                 : MIN (remaining, target_stall_timeout_ms (x) / 2));
       return;
     }
   /* When all targets are silent, as the ranks of a group are while one of them
@@ -223,7 +224,7 @@
       return;
     }
   /* Without another target to try, only the silent one can still answer. */
-  if (!may_retry_elsewhere (x)
+  if (!check_retry_elsewhere (x)
       || (is_target_or_service_silent (x) && !has_time_for_retry (x)))
     {
       if (x->route->stream && x->last_event_ms == 0)
--- a/gateway/exchange-stop.c
+++ b/gateway/exchange-stop.c
@@ -15,20 +15,21 @@
 static gint64
 completion_ms (const CfExchange *x)
 {
-  gint64 left = cf_exchange_remaining_ms (x);
-  gint64 whole = -1;
+  gint64 remaining = cf_exchange_remaining_ms (x);
+  gint64 total = -1;
 
   if (x->route->stream)
-    whole = cf_stream_latency_max_total_ms (
+    total = cf_stream_latency_max_total_ms (
         &x->service_state->latency, cf_exchange_engine_model (x), &x->size,
         cf_gateway_now (x->gateway));
-  return whole < 0 ? left : MIN (whole, left);
+  return total < 0 ? remaining : MIN (total, remaining);
 }
 
-/* Whether nothing but its time limit bounds how long it takes.  Such a call
- * takes some ms where its limit is seconds, so it is accepted while the
- * platform still routes callers here; of the few that come later, the limit
- * decides. */
+/* Whether its duration cannot be estimated, so that completion_ms() is just its
+ * remaining time.  Such a call usually takes some ms although its time limit is
+ * seconds, so it is not checked while the platform still routes callers here.
+ * The few that come later are accepted only if their whole remaining time ends
+ * before this process does. */
 static gboolean
 has_unknown_duration (const CfExchange *x)
 {
@@ -86,11 +87,11 @@
 }
 
 static CfExchange *
-first_too_late (const CfServiceState *l)
+first_too_late (const CfServiceState *s)
 {
   CfWaiter *w;
 
-  TAILQ_FOREACH (w, &l->queue.waiters, link)
+  TAILQ_FOREACH (w, &s->queue.waiters, link)
   if (cf_exchange_stop_slack_ms (w->owner) <= 0)
     return w->owner;
   return NULL;
--- a/gateway/exchange-unrouted.c
+++ b/gateway/exchange-unrouted.c
@@ -5,7 +5,8 @@
  * within about 100 ms.  If it has not got them by this time, the store and all
  * peers may be unreachable, and requests are refused at once. */
 #define STARTUP_TIMEOUT_MS 2000
-/** Limits of a request's wait: a time, and a third of the caller's timeout. */
+/** A request waits for at most this time, and this fraction of its caller's
+ * timeout. */
 #define UNROUTED_MAX_MS 1000
 #define UNROUTED_FRACTION 0.33
 
@@ -20,11 +21,12 @@
 static gint64
 unrouted_timeout_ms (const CfExchange *x)
 {
-  gint64 allowed = cf_exchange_caller_timeout_ms (x);
+  gint64 timeout_ms = cf_exchange_caller_timeout_ms (x);
 
-  if (allowed <= 0)
+  if (timeout_ms <= 0)
     return UNROUTED_MAX_MS;
-  return MIN (UNROUTED_MAX_MS, (gint64)((double)allowed * UNROUTED_FRACTION));
+  return MIN (UNROUTED_MAX_MS,
+              (gint64)((double)timeout_ms * UNROUTED_FRACTION));
 }
 
 static void
--- a/gateway/rate-limit.c
+++ b/gateway/rate-limit.c
@@ -2,13 +2,14 @@
 
 #include <math.h>
 
-/** There is one owner for each this many requests per second of the limit. */
+/** Minimum share of an owner: a limit is divided among as many owners as can
+ * have this rate, but at least one and at most all gateways. */
 #define MIN_SHARE_PER_S 1.0
-/** An owner may save up its share of this time for a short burst. */
+/** Capacity of an owner's token bucket, as the time in which its share fills
+ * it; it is at least one token. */
 #define BURST_S 0.25
-/** Peers' updates are delayed by the network, and the ages in them are rounded;
- * an update has to be newer by more than this to replace what this gateway
- * knows. */
+/** Peers' updates are delayed by the network, and the ages in them are rounded,
+ * so an update has to be newer by more than this to replace the known limit. */
 #define PEER_SKEW_MS 100
 /** How long hello messages include a limit that was lifted. */
 #define LIFTED_ANNOUNCE_MS 10000
--- a/gateway/stream-latency.c
+++ b/gateway/stream-latency.c
@@ -43,52 +43,52 @@
 }
 
 static void
-update_slowest (CfStreamLatency *p, gint64 now)
+update_slowest (CfStreamLatency *l, gint64 now)
 {
-  if (now - p->window_start_ms >= WINDOW_MS)
+  if (now - l->window_start_ms >= WINDOW_MS)
     {
-      p->slowest_pause_ms[1] = now - p->window_start_ms < 2 * WINDOW_MS
-                                   ? p->slowest_pause_ms[0]
+      l->slowest_pause_ms[1] = now - l->window_start_ms < 2 * WINDOW_MS
+                                   ? l->slowest_pause_ms[0]
                                    : 0;
-      p->slowest_pause_ms[0] = 0;
-      p->window_start_ms = now;
+      l->slowest_pause_ms[0] = 0;
+      l->window_start_ms = now;
     }
-  p->slowest_pause_ms[0] = MAX (p->slowest_pause_ms[0], p->unstalled_pause_ms);
+  l->slowest_pause_ms[0] = MAX (l->slowest_pause_ms[0], l->unstalled_pause_ms);
 }
 
 void
-cf_stream_latency_add_event (CfStreamLatency *p, gint64 now, gint64 pause_ms)
+cf_stream_latency_add_event (CfStreamLatency *l, gint64 now, gint64 pause_ms)
 {
   if (pause_ms <= MAX_PASS_MS)
     {
-      update_ewma (&p->unstalled_pause_ms, (double)pause_ms, EVENT_EWMA_WEIGHT);
-      update_slowest (p, now);
+      update_ewma (&l->unstalled_pause_ms, (double)pause_ms, EVENT_EWMA_WEIGHT);
+      update_slowest (l, now);
     }
-  update_ewma (&p->pause_ms, (double)pause_ms, EVENT_EWMA_WEIGHT);
+  update_ewma (&l->pause_ms, (double)pause_ms, EVENT_EWMA_WEIGHT);
 }
 
 void
-cf_stream_latency_add_first_event (CfStreamLatency *p, gint64 ms)
+cf_stream_latency_add_first_event (CfStreamLatency *l, gint64 ms)
 {
-  double deviation = p->first_ms > 0 ? fabs ((double)ms - p->first_ms) : 0;
+  double deviation = l->first_ms > 0 ? fabs ((double)ms - l->first_ms) : 0;
 
-  update_ewma (&p->first_ms, (double)ms, FIRST_EVENT_EWMA_WEIGHT);
-  update_ewma (&p->first_deviation_ms, deviation, FIRST_EVENT_EWMA_WEIGHT);
+  update_ewma (&l->first_ms, (double)ms, FIRST_EVENT_EWMA_WEIGHT);
+  update_ewma (&l->first_deviation_ms, deviation, FIRST_EVENT_EWMA_WEIGHT);
 }
 
 gint64
-cf_stream_latency_stall_timeout_ms (const CfStreamLatency *p)
+cf_stream_latency_stall_timeout_ms (const CfStreamLatency *l)
 {
-  return MAX (MIN_STALL_MS, (gint64)(STALL_PAUSES * p->pause_ms));
+  return MAX (MIN_STALL_MS, (gint64)(STALL_PAUSES * l->pause_ms));
 }
 
 /* Duration of a typical pass of the engine, in which all its streams write one
  * event. */
 static double
-get_typical_pass_ms (const CfStreamLatency *p, const CfEngineModel *e)
+get_typical_pass_ms (const CfStreamLatency *l, const CfEngineModel *e)
 {
-  if (p->pause_ms > 0)
-    return p->pause_ms;
+  if (l->pause_ms > 0)
+    return l->pause_ms;
   return e ? e->stride * (e->step_ms + e->per_seq_ms * TYPICAL_BATCH) : 0;
 }
 
@@ -103,27 +103,27 @@
 /* The first event takes the rest of the current pass, the processing of the
  * prompt, and the stream's own first pass. */
 double
-cf_stream_latency_unqueued_ms (const CfStreamLatency *p, const CfEngineModel *e,
+cf_stream_latency_unqueued_ms (const CfStreamLatency *l, const CfEngineModel *e,
                                const CfStreamSize *size)
 {
-  double pass = get_typical_pass_ms (p, e);
+  double pass = get_typical_pass_ms (l, e);
 
   return pass > 0 ? 2 * pass + get_prompt_ms (e, size) : 0;
 }
 
 gint64
-cf_stream_latency_first_event_ms (const CfStreamLatency *p,
+cf_stream_latency_first_event_ms (const CfStreamLatency *l,
                                   const CfEngineModel *e,
                                   const CfStreamSize *size)
 {
-  if (p->first_ms > 0)
-    return (gint64)(p->first_ms
-                    + FIRST_EVENT_DEVIATIONS * p->first_deviation_ms);
-  return (gint64)cf_stream_latency_unqueued_ms (p, e, size);
+  if (l->first_ms > 0)
+    return (gint64)(l->first_ms
+                    + FIRST_EVENT_DEVIATIONS * l->first_deviation_ms);
+  return (gint64)cf_stream_latency_unqueued_ms (l, e, size);
 }
 
 gint64
-cf_stream_latency_typical_total_ms (const CfStreamLatency *p,
+cf_stream_latency_typical_total_ms (const CfStreamLatency *l,
                                     const CfEngineModel *e,
                                     const CfStreamSize *size)
 {
@@ -134,8 +134,8 @@
   answer = e->mean_answer_tokens;
   if (size->answer > 0)
     answer = MIN (answer, (double)size->answer);
-  return (gint64)(cf_stream_latency_unqueued_ms (p, e, size)
-                  + get_typical_pass_ms (p, e) * answer / e->stride);
+  return (gint64)(cf_stream_latency_unqueued_ms (l, e, size)
+                  + get_typical_pass_ms (l, e) * answer / e->stride);
 }
 
 /* Duration of a pass of an engine with all slots in use. */
@@ -148,20 +148,20 @@
 
 /* Duration of the slowest pass to be expected, regardless of a current lull. */
 static double
-get_slow_pass_ms (const CfStreamLatency *p, const CfEngineModel *e, gint64 now)
+get_slow_pass_ms (const CfStreamLatency *l, const CfEngineModel *e, gint64 now)
 {
-  gint64 age = now - p->window_start_ms;
-  double pass = MAX (get_typical_pass_ms (p, e), get_full_pass_ms (e));
+  gint64 age = now - l->window_start_ms;
+  double pass = MAX (get_typical_pass_ms (l, e), get_full_pass_ms (e));
 
   if (age < 2 * WINDOW_MS)
-    pass = MAX (pass, p->slowest_pause_ms[0]);
+    pass = MAX (pass, l->slowest_pause_ms[0]);
   if (age < WINDOW_MS)
-    pass = MAX (pass, p->slowest_pause_ms[1]);
+    pass = MAX (pass, l->slowest_pause_ms[1]);
   return pass;
 }
 
 gint64
-cf_stream_latency_max_total_ms (const CfStreamLatency *p,
+cf_stream_latency_max_total_ms (const CfStreamLatency *l,
                                 const CfEngineModel *e,
                                 const CfStreamSize *size, gint64 now)
 {
@@ -171,12 +171,12 @@
 
   if (!e || e->stride < 1)
     return -1;
-  pass = TOTAL_MARGIN * get_slow_pass_ms (p, e, now);
+  pass = TOTAL_MARGIN * get_slow_pass_ms (l, e, now);
   if (pass <= 0)
     return -1;
   if (answer <= 0)
     answer = e->mean_answer_tokens;
-  first = MAX ((double)cf_stream_latency_first_event_ms (p, e, size),
+  first = MAX ((double)cf_stream_latency_first_event_ms (l, e, size),
                2 * pass + get_prompt_ms (e, size));
   return (gint64)MIN (first + pass * ceil (answer / e->stride), MAX_TOTAL_MS);
 }
--- a/gateway/stream-latency.h
+++ b/gateway/stream-latency.h
@@ -30,19 +30,19 @@
 
 /** cf_stream_latency_add_event: adds an event that arrived at @now_ms,
  * @pause_ms after the previous one of its stream. */
-void cf_stream_latency_add_event (CfStreamLatency *p, gint64 now_ms,
+void cf_stream_latency_add_event (CfStreamLatency *l, gint64 now_ms,
                                   gint64 pause_ms);
 
 /** cf_stream_latency_add_first_event: adds a first event that arrived @ms after
  * its request was sent. */
-void cf_stream_latency_add_first_event (CfStreamLatency *p, gint64 ms);
+void cf_stream_latency_add_first_event (CfStreamLatency *l, gint64 ms);
 
 /**
  * cf_stream_latency_stall_timeout_ms:
  * Returns: the time without output after which a target that has requests is
  *   considered stalled: its VM is frozen, or its group waits for another rank.
  */
-gint64 cf_stream_latency_stall_timeout_ms (const CfStreamLatency *p);
+gint64 cf_stream_latency_stall_timeout_ms (const CfStreamLatency *l);
 
 /**
  * cf_stream_latency_first_event_ms:
@@ -50,7 +50,7 @@
  * Returns: the time from sending within which five of six first events arrive;
  *   0 if nothing is known.
  */
-gint64 cf_stream_latency_first_event_ms (const CfStreamLatency *p,
+gint64 cf_stream_latency_first_event_ms (const CfStreamLatency *l,
                                          const CfEngineModel *e,
                                          const CfStreamSize *size);
 
@@ -60,13 +60,13 @@
  * Returns: the time from sending to the first event at a target with a free
  *   slot; 0 if nothing is known.
  */
-double cf_stream_latency_unqueued_ms (const CfStreamLatency *p,
+double cf_stream_latency_unqueued_ms (const CfStreamLatency *l,
                                       const CfEngineModel *e,
                                       const CfStreamSize *size);
 
 /** cf_stream_latency_typical_total_ms: the time from sending to the end of a
  * stream of usual length, at the current pass time; 0 if nothing is known. */
-gint64 cf_stream_latency_typical_total_ms (const CfStreamLatency *p,
+gint64 cf_stream_latency_typical_total_ms (const CfStreamLatency *l,
                                            const CfEngineModel *e,
                                            const CfStreamSize *size);
 
@@ -78,6 +78,6 @@
  * Returns: the maximum time from sending to the end of a stream; -1 if nothing
  *   is known.
  */
-gint64 cf_stream_latency_max_total_ms (const CfStreamLatency *p,
+gint64 cf_stream_latency_max_total_ms (const CfStreamLatency *l,
                                        const CfEngineModel *e,
                                        const CfStreamSize *size, gint64 now_ms);
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -6,7 +6,7 @@
 /** Upper bound for the propagation of a removal to this gateway, and for the
  * transit of a request that was sent before the removal arrived. */
 #define PROPAGATION_MS 200
-/** Live targets have rewritten their entries two seconds after the store's
+/** Live targets have rewritten their entries within two seconds of the store's
  * return; the rest is for the propagation. */
 #define RETURN_GRACE_MS (2000 + PROPAGATION_MS)
 
@@ -40,7 +40,8 @@
   return MIN (m->until_ms, grace.until_ms);
 }
 
-/* Sets the timer to when the first missing entry is due. */
+/* Sets the timer for the first time at which the target of a missing entry is
+ * to be removed. */
 static void
 start_timer (CfGateway *g)
 {
@@ -59,9 +60,9 @@
   ev_timer_start (g->loop, &grace.timer);
 }
 
-/* Returns until when the target of an entry that was removed after the store's
- * return may get work.  Such an entry did not expire during the outage; its
- * target is draining. */
+/* Returns the time until which a target may get work if its entry was removed
+ * after the store's return.  Such an entry did not expire during the outage;
+ * its target is draining. */
 static gint64
 get_drain_end_ms (const CfGateway *g)
 {
--- a/gateway/target.h
+++ b/gateway/target.h
@@ -37,7 +37,7 @@
   CfUpstreamList idle;     /**< unused connections to it, last used first */
   CfUpstreamList busy;     /**< connections that carry a request */
   CfOutlier outlier;
-  double slowdown; /**< how many times longer than usual its work takes */
+  double slowdown; /**< duration of its work, relative to the usual one */
   gint64 slowdown_updated_ms; /**< when @slowdown was last reported; 0: never */
   gint64 slowdown_observed_ms; /**< when an agent last reported it to this
                                     process; 0: never */
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -16,7 +16,8 @@
  * closes the connection, so that the target does not close it while a request
  * is in transit. */
 #define IDLE_TIMEOUT_FRACTION 0.6
-/** Limit of an answer's head: input from targets is bounded too. */
+/** Maximum size of an answer's head: input from targets is bounded like that
+ * from callers. */
 #define ANSWER_HEAD_MAX_BYTES 65536
 #define READ_BYTES 16384
 
@@ -236,12 +237,12 @@
 static void
 handle_eof (CfUpstream *u)
 {
-  gboolean whole = u->owner && u->reader.has_head && !u->skipping_answer
-                   && cf_http_reader_eof (&u->reader);
+  gboolean is_complete = u->owner && u->reader.has_head && !u->skipping_answer
+                         && cf_http_reader_eof (&u->reader);
 
   if (u->is_closed)
     return;
-  if (whole)
+  if (is_complete)
     finish_answer (u, FALSE);
   else
     fail (u, u->sent_any ? CF_FAILURE_LOST : CF_FAILURE_UNSENT);
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -51,8 +51,8 @@
   gboolean skipping_answer; /**< an interim answer, or one with another
                                  request id */
   gboolean paused;
-  gboolean in_read; /**< a read is in progress, and frees the connection at its
-                         end if that was closed */
+  gboolean in_read; /**< a read is in progress; at its end it frees the
+                         connection if that has been closed */
   gboolean is_closed;
   gboolean reused;
 };
--- a/gateway/wait-queue.c
+++ b/gateway/wait-queue.c
@@ -12,9 +12,9 @@
 /** The fraction of the objective that the first event is assumed to take while
  * its service's latency is unknown. */
 #define UNKNOWN_FIRST_EVENT_FRACTION 0.4
-/** The maximum of that fraction, whatever the estimate: with an estimate beyond
- * the objective every request would be late on arrival, and the queue would be
- * first come, first served. */
+/** The maximum of that fraction, even if the estimate is higher: with an
+ * estimate beyond the objective every request would be late on arrival, and the
+ * queue would be first come, first served. */
 #define MAX_FIRST_EVENT_FRACTION 0.75
 /** Minimum back-off requested of callers when all targets are full. */
 #define FULL_BACKOFF_MS 400
--- a/t/t-gateway.c
+++ b/t/t-gateway.c
@@ -38,8 +38,8 @@
   return p_ask (front, req);
 }
 
-/* Makes the next @x requests at each plain target, or each rank, meet the fault
- * @kind. */
+/* Injects the fault @kind into the next @x requests at each plain target, or at
+ * each rank. */
 static void
 set_desk_fault (const char *kind, int x)
 {
--- a/t/t-network.c
+++ b/t/t-network.c
@@ -440,7 +440,7 @@
 
 /* A stream that was queued reaches a rank that has stalled.  Another rank could
  * not send a first event before the caller leaves, so the stream is not
- * retried, and only one rank is left with work for nobody. */
+ * retried, and only one rank is left with work that no caller waits for. */
 START_TEST (no_retry_if_caller_leaves_first)
 {
   g_autofree char *answer = NULL;
--- a/t/t-overload.c
+++ b/t/t-overload.c
@@ -1,7 +1,7 @@
 /*
- * Simulated outages and bursts: the gateways' real decisions with a model of a
- * group of ranks that make each pass together, and how many callers are served
- * on time afterwards.
+ * Simulates outages and bursts: the gateways' real decisions with a model of a
+ * group of ranks that make each pass together.  The tests check how many
+ * callers are served on time afterwards.
  */
 #include "gateway/balancer.h"
 #include "gateway/concurrency-limit.h"
--- a/t/t-planned-stop.c
+++ b/t/t-planned-stop.c
@@ -11,9 +11,9 @@
  * sent, seven short of its end.  Another stream of that size, 0.1 s after it
  * was accepted, is refused.
  *
- * The cause: accepting a stream cannot be undone, but was decided by the pace
- * of a short lull, and only once.  A request that waited for a free slot, or
- * was retried, was not checked again.
+ * The cause: accepting a stream cannot be undone, but was decided by the pass
+ * times of a short lull, and only once.  A request that waited for a free slot,
+ * or was retried, was not checked again.
  */
 #include "harness.h"
 #include "platform-harness.h"
@@ -182,7 +182,7 @@
 END_TEST
 
 /* Until the platform has polled readiness twice, callers are still routed here.
- * A request that cannot complete at the current pace is not accepted then
+ * A request that cannot complete at the current pass times is not accepted then
  * either. */
 START_TEST (stream_accepted_under_load_is_not_cut_off)
 {
--- a/t/t-quarantine.c
+++ b/t/t-quarantine.c
@@ -251,7 +251,8 @@
 }
 END_TEST
 
-/* An attacker's many requests do not evict one that is quarantined. */
+/* Many suspected requests, as an attacker may send, do not evict one that is
+ * quarantined. */
 START_TEST (number_of_records_is_bounded)
 {
   CfQuarantine *q = cf_quarantine_new ();
@@ -279,7 +280,7 @@
 }
 END_TEST
 
-/* Peers would otherwise treat it as answered. */
+/* Peers would treat a request that is announced as cleared as answered. */
 START_TEST (evicted_request_is_not_announced_as_cleared)
 {
   CfQuarantine *q = cf_quarantine_new ();
--- a/t/t-wait-queue.c
+++ b/t/t-wait-queue.c
@@ -77,128 +77,129 @@
 } Simulation;
 
 static void
-queue_request (Simulation *p, Request *r)
+queue_request (Simulation *sim, Request *r)
 {
   CfWaiter *evicted;
   gint64 typical_ms = EXPECTED_FIRST_MS + TYPICAL_EVENTS * PASS_MS;
 
   r->state = WAITING;
-  r->start_ms = p->now;
+  r->start_ms = sim->now;
   r->w.owner = r;
-  r->w.since_ms = p->now;
+  r->w.since_ms = sim->now;
   r->w.objective_send_by_ms = cf_waiter_objective_send_by_ms (
-      p->now, OBJECTIVE_MS, EXPECTED_FIRST_MS);
+      sim->now, OBJECTIVE_MS, EXPECTED_FIRST_MS);
   r->w.deadline_send_by_ms
-      = p->policy.by_deadline ? r->deadline_ms - typical_ms : 0;
-  r->next_ms = p->now
+      = sim->policy.by_deadline ? r->deadline_ms - typical_ms : 0;
+  r->next_ms = sim->now
                + cf_wait_queue_max_wait_ms (FIRST_EVENT_TIMEOUT_MS,
-                                            r->deadline_ms - p->now);
-  if (!cf_wait_queue_add (&p->queue, &r->w, MAX_WAITERS, &evicted))
-    r->next_ms = p->now;
+                                            r->deadline_ms - sim->now);
+  if (!cf_wait_queue_add (&sim->queue, &r->w, MAX_WAITERS, &evicted))
+    r->next_ms = sim->now;
 }
 
 static void
-refuse (Simulation *p, Request *r)
+refuse (Simulation *sim, Request *r)
 {
-  gint64 remaining_ms = r->deadline_ms - p->now;
+  gint64 remaining_ms = r->deadline_ms - sim->now;
 
-  cf_wait_queue_remove (&p->queue, &r->w);
+  cf_wait_queue_remove (&sim->queue, &r->w);
   r->state = r->is_retry ? LOST : BACKING_OFF;
   r->is_retry = TRUE;
-  r->next_ms
-      = p->now
-        + cf_retry_after_ms (remaining_ms,
-                             cf_wait_queue_backoff_ms (
-                                 p->outage.since_ms != 0 ? CF_NO_CAPACITY_OUTAGE
-                                                         : CF_NO_CAPACITY_FULL),
-                             g_rand_int (p->rand));
+  r->next_ms = sim->now
+               + cf_retry_after_ms (
+                   remaining_ms,
+                   cf_wait_queue_backoff_ms (sim->outage.since_ms != 0
+                                                 ? CF_NO_CAPACITY_OUTAGE
+                                                 : CF_NO_CAPACITY_FULL),
+                   g_rand_int (sim->rand));
 }
 
 static void
-add_request (Simulation *p)
+add_request (Simulation *sim)
 {
   Request *r = g_new0 (Request, 1);
 
   r->deadline_ms
-      = p->now + g_rand_int_range (p->rand, MIN_DEADLINE_MS, MAX_DEADLINE_MS);
+      = sim->now
+        + g_rand_int_range (sim->rand, MIN_DEADLINE_MS, MAX_DEADLINE_MS);
   r->duration_ms
-      = EXPECTED_FIRST_MS + PASS_MS * g_rand_int_range (p->rand, 4, 35);
-  g_ptr_array_add (p->requests, r);
-  queue_request (p, r);
+      = EXPECTED_FIRST_MS + PASS_MS * g_rand_int_range (sim->rand, 4, 35);
+  g_ptr_array_add (sim->requests, r);
+  queue_request (sim, r);
 }
 
 static void
-add_arrivals (Simulation *p)
+add_arrivals (Simulation *sim)
 {
   double n = ARRIVALS_PER_S * STEP_MS / 1000.0;
 
   for (; n > 0; n--)
-    if (n >= 1 || g_rand_double (p->rand) < n)
-      add_request (p);
+    if (n >= 1 || g_rand_double (sim->rand) < n)
+      add_request (sim);
 }
 
 /* Cuts off the running requests; their callers notice that no events come, and
  * retry. */
 static void
-lose_power (Simulation *p)
+lose_power (Simulation *sim)
 {
-  for (guint i = 0; i < p->requests->len; i++)
+  for (guint i = 0; i < sim->requests->len; i++)
     {
-      Request *r = p->requests->pdata[i];
+      Request *r = sim->requests->pdata[i];
 
       if (r->state != RUNNING)
         continue;
       r->state = BACKING_OFF;
       r->is_retry = TRUE;
       r->on_time = FALSE;
-      r->next_ms = p->now + FIRST_EVENT_TIMEOUT_MS;
+      r->next_ms = sim->now + FIRST_EVENT_TIMEOUT_MS;
     }
-  p->running = 0;
-  cf_outage_record_refusal (&p->outage, p->now);
+  sim->running = 0;
+  cf_outage_record_refusal (&sim->outage, sim->now);
 }
 
 static void
-serve (Simulation *p)
+serve (Simulation *sim)
 {
   CfWaiter *w;
 
-  while (p->running < N_SLOTS
-         && (w = cf_wait_queue_first (&p->queue, p->now, FALSE)))
+  while (sim->running < N_SLOTS
+         && (w = cf_wait_queue_first (&sim->queue, sim->now, FALSE)))
     {
       gboolean uses_all_slots
-          = !p->policy.always_yields
-            && cf_outage_has_ended_recently (&p->outage, p->now);
+          = !sim->policy.always_yields
+            && cf_outage_has_ended_recently (&sim->outage, sim->now);
       Request *r = w->owner;
 
       if (!uses_all_slots
-          && cf_waiter_has_to_yield (w, p->now, PASS_MS, GAP_OBJECTIVE_MS)
-          && p->running >= N_SLOTS * LATE_FRACTION)
+          && cf_waiter_has_to_yield (w, sim->now, PASS_MS, GAP_OBJECTIVE_MS)
+          && sim->running >= N_SLOTS * LATE_FRACTION)
         return;
-      cf_wait_queue_remove (&p->queue, w);
+      cf_wait_queue_remove (&sim->queue, w);
       r->state = RUNNING;
-      r->on_time = !r->is_retry && p->now <= w->objective_send_by_ms;
-      r->next_ms = p->now + r->duration_ms;
-      p->running++;
+      r->on_time = !r->is_retry && sim->now <= w->objective_send_by_ms;
+      r->next_ms = sim->now + r->duration_ms;
+      sim->running++;
     }
 }
 
 static void
-advance_requests (Simulation *p)
+advance_requests (Simulation *sim)
 {
-  for (guint i = 0; i < p->requests->len; i++)
+  for (guint i = 0; i < sim->requests->len; i++)
     {
-      Request *r = p->requests->pdata[i];
+      Request *r = sim->requests->pdata[i];
 
-      if (p->now < r->next_ms || r->state == SERVED || r->state == LOST)
+      if (sim->now < r->next_ms || r->state == SERVED || r->state == LOST)
         continue;
       if (r->state == WAITING)
-        refuse (p, r);
+        refuse (sim, r);
       else if (r->state == BACKING_OFF)
-        queue_request (p, r);
+        queue_request (sim, r);
       else
         {
-          p->running--;
-          r->state = p->now <= r->deadline_ms ? SERVED : LOST;
+          sim->running--;
+          r->state = sim->now <= r->deadline_ms ? SERVED : LOST;
         }
     }
 }
@@ -206,34 +207,34 @@
 static Tally
 simulate (Policy policy, guint32 seed)
 {
-  Simulation p = { .policy = policy };
+  Simulation sim = { .policy = policy };
   Tally t = { 0 };
 
-  cf_wait_queue_init (&p.queue);
-  p.requests = g_ptr_array_new_with_free_func (g_free);
-  p.rand = g_rand_new_with_seed (seed);
-  for (p.now = 0; p.now < END_MS; p.now += STEP_MS)
+  cf_wait_queue_init (&sim.queue);
+  sim.requests = g_ptr_array_new_with_free_func (g_free);
+  sim.rand = g_rand_new_with_seed (seed);
+  for (sim.now = 0; sim.now < END_MS; sim.now += STEP_MS)
     {
-      if (p.now < POWER_LOSS_MS || p.now >= ARRIVALS_RESUME_MS)
-        add_arrivals (&p);
-      if (p.now == POWER_LOSS_MS)
-        lose_power (&p);
-      if (p.now == GROUP_OPEN_MS)
-        cf_outage_record_answer (&p.outage, p.now);
-      advance_requests (&p);
-      if (p.now < POWER_LOSS_MS || p.now >= GROUP_OPEN_MS)
-        serve (&p);
+      if (sim.now < POWER_LOSS_MS || sim.now >= ARRIVALS_RESUME_MS)
+        add_arrivals (&sim);
+      if (sim.now == POWER_LOSS_MS)
+        lose_power (&sim);
+      if (sim.now == GROUP_OPEN_MS)
+        cf_outage_record_answer (&sim.outage, sim.now);
+      advance_requests (&sim);
+      if (sim.now < POWER_LOSS_MS || sim.now >= GROUP_OPEN_MS)
+        serve (&sim);
     }
-  for (guint i = 0; i < p.requests->len; i++)
+  for (guint i = 0; i < sim.requests->len; i++)
     {
-      const Request *r = p.requests->pdata[i];
+      const Request *r = sim.requests->pdata[i];
 
       t.all++;
       t.lost += r->state == LOST;
       t.on_time += r->state == SERVED && r->on_time;
     }
-  g_rand_free (p.rand);
-  g_ptr_array_unref (p.requests);
+  g_rand_free (sim.rand);
+  g_ptr_array_unref (sim.requests);
   return t;
 }
 
