--- a/t/t-gateway.c
+++ b/t/t-gateway.c
@@ -441,9 +441,9 @@
 }
 END_TEST
 
-/* The store has recovered from an outage for longer than the time that expired
- * entries have to come back.  A target that is removed then gets no more
- * requests at once. */
+/* An outage of the store ended longer ago than the time that expired entries
+ * have to come back.  A target that is removed now gets no more requests from
+ * this moment on. */
 START_TEST (target_removal_is_seen_after_store_outage)
 {
   g_free (p_test (STORE, "POST /test/mode?mode=busy", ""));
@@ -501,8 +501,8 @@
 /* Both plain targets work on a request that they will never answer, since their
  * VMs lose power; they restart under the same ids.  A request that may be
  * repeated is sent to the new incarnation at once.  One that may not is
- * answered at once, as one that may have run.  Without the restart being
- * noticed, either takes 375 ms of silence. */
+ * answered at once, as one that may have run.  If the restart were not noticed,
+ * either would be answered only after 375 ms of silence. */
 START_TEST (a_restart_under_the_same_id_ends_what_ran_there)
 {
   g_autofree char *quote = p_request ("GET /quote/a", "s1", "", "");
@@ -725,8 +725,9 @@
 }
 END_TEST
 
-/* After a kill of all gateways, requests that arrived while the new processes
- * read the configuration were refused, most of them on their last attempt. */
+/* Guards against refusing requests that arrive while a new process reads its
+ * configuration: after a kill of all gateways, most of these requests were on
+ * their last attempt. */
 START_TEST (request_waits_for_config_at_startup)
 {
   g_autofree char *req = p_request ("POST /order/a", "u1", NULL, "x");
--- a/t/t-network.c
+++ b/t/t-network.c
@@ -21,9 +21,9 @@
 /** Requests that one of three gateways may have in flight: a third of the 12
  * slots of each rank, and a quarter more. */
 #define GATEWAY_SLOTS (5 * N_RANKS)
-/** Callers of streams leave 2 s after their request; some ms less. */
+/** A few ms less than the 2 s after which callers leave a silent stream. */
 #define CALLER_WAIT_MS 1980
-/** Less than a stream may be queued, 1.2 s. */
+/** A little less than the time for which a stream may be queued, 1.2 s. */
 #define QUEUE_WAIT_MS 1140
 #define STORE BASE
 #define DESK_1 (BASE + 1)
@@ -301,15 +301,16 @@
  * and new connections to the target are used again. */
 START_TEST (silent_target_connections)
 {
-  const char behind[] = "{\"service\":\"desk\",\"addr\":\"127.0.0.1:23052\","
-                        "\"zone\":\"dc1\",\"version\":\"v1\",\"slots\":6,"
-                        "\"state\":\"ready\",\"cold-left-ms\":0,\"seq\":9,"
-                        "\"born\":" LATER_INCARNATION "}";
+  const char behind_proxy[]
+      = "{\"service\":\"desk\",\"addr\":\"127.0.0.1:23052\","
+        "\"zone\":\"dc1\",\"version\":\"v1\",\"slots\":6,"
+        "\"state\":\"ready\",\"cold-left-ms\":0,\"seq\":9,"
+        "\"born\":" LATER_INCARNATION "}";
   pid_t proxy = p_proxy (DESK_PROXY, DESK_1);
   int lost = 0;
 
   p_ready_gateway (BASE, 1);
-  put_entry ("servers/desk-0", behind);
+  put_entry ("servers/desk-0", behind_proxy);
   ck_assert (p_log_says (LOG_1, "addr=127.0.0.1:23052", 2000));
   for (int i = 0; i < 6; i++)
     {
@@ -353,8 +354,8 @@
   return p_runs (RANK_1, N_RANKS, "runs");
 }
 
-/* Waits up to @ms until the ranks have run @n requests.  Whether it is exactly
- * @n. */
+/* Waits up to @ms until the ranks have run @n requests.  Returns whether they
+ * have run exactly @n. */
 static gboolean
 wait_for_rank_runs (double n, int ms)
 {
--- a/t/t-overload.c
+++ b/t/t-overload.c
@@ -37,8 +37,8 @@
   int stride;
   double skew_factor; /* duration of a pass relative to one at even load: the
                         expert map's skew, for the experts' part of the work */
-  double prompt_ms; /* added to a pass of all ranks by each prompt: its part of
-                     a rank's work, divided by the ranks */
+  double prompt_ms;   /* what each prompt adds to a pass: the work for a prompt,
+                       divided by the number of ranks */
   gint64 aim_ms;
   gint64 gap_aim_ms;
   double per_s;
@@ -64,7 +64,7 @@
   .skew_factor = 1.25, .aim_ms = 600, .gap_aim_ms = 200,                       \
   .shared_fraction = 0.85
 
-/* Load of nine tenths of the capacity: a backlog is worked off slowly. */
+/* At a load of nine tenths of the capacity, a backlog is worked off slowly. */
 static const Scenario small
     = { SLOTS_12,         .n_gateways = 4, .ranks = 16,
         .prompt_ms = 1.2, .per_s = 92,     .outage_end_ms = 7000 };
@@ -451,14 +451,14 @@
 get_fraction (const int *what, int from, int to)
 {
   int n = 0;
-  int of = 0;
+  int n_arrived = 0;
 
   for (int i = from; i < to; i++)
     {
       n += what[i];
-      of += tally.arrived[i];
+      n_arrived += tally.arrived[i];
     }
-  return (double)n / of;
+  return (double)n / n_arrived;
 }
 
 /* Without yielding, the late requests of a backlog fill every batch and make
@@ -550,14 +550,14 @@
 }
 
 static double
-get_on_time_after_burst (const Scenario *of, double peaks, double times,
-                         gint64 for_ms)
+get_on_time_after_burst (const Scenario *base, double peak_multiple,
+                         double factor, gint64 duration_ms)
 {
-  Scenario spec = *of;
+  Scenario spec = *base;
 
-  spec.per_s = get_capacity (of) * PEAK_FRACTION * peaks;
-  spec.burst_factor = times;
-  spec.burst_end_ms = BURST_START_MS + for_ms;
+  spec.per_s = get_capacity (base) * PEAK_FRACTION * peak_multiple;
+  spec.burst_factor = factor;
+  spec.burst_end_ms = BURST_START_MS + duration_ms;
   spec.callers_time_out = TRUE;
   spec.callers_retry = TRUE;
   run_with_all_mechanisms (&spec);
@@ -567,24 +567,24 @@
 }
 
 static void
-check_bursts (const Scenario *spec, double peaks)
+check_bursts (const Scenario *spec, double peak_multiple)
 {
   static const struct
   {
-    double times;
-    gint64 for_ms;
+    double factor;
+    gint64 duration_ms;
   } bursts[] = { { 1.5, 2000 }, { 1.5, 5000 }, { 2, 2000 }, { 2, 5000 } };
 
   for (guint i = 0; i < G_N_ELEMENTS (bursts); i++)
     {
-      double on_time = get_on_time_after_burst (spec, peaks, bursts[i].times,
-                                                bursts[i].for_ms);
+      double on_time = get_on_time_after_burst (
+          spec, peak_multiple, bursts[i].factor, bursts[i].duration_ms);
 
       ck_assert_msg (on_time >= 0.9,
                      "%d gateways, %.1f times for %" G_GINT64_FORMAT
                      " ms at %.1f of the peak: %.2f in time",
-                     spec->n_gateways, bursts[i].times, bursts[i].for_ms, peaks,
-                     on_time);
+                     spec->n_gateways, bursts[i].factor, bursts[i].duration_ms,
+                     peak_multiple, on_time);
     }
 }
 
@@ -603,9 +603,9 @@
 
 /* Streams per second that meet their objectives. */
 static double
-get_goodput (const Scenario *of, double per_s)
+get_goodput (const Scenario *base, double per_s)
 {
-  Scenario spec = *of;
+  Scenario spec = *base;
 
   spec.per_s = per_s;
   spec.callers_time_out = TRUE;
--- a/t/t-planned-stop.c
+++ b/t/t-planned-stop.c
@@ -1,6 +1,6 @@
 /*
- * A gateway that stops must not cut off a stream that it accepted after
- * SIGTERM.
+ * Guards against a gateway that stops and cuts off a stream that it accepted
+ * after SIGTERM.  That came about as follows.
  *
  * Two gateways of a deployment are stopping and refuse most requests, so the
  * engine has less to do and its passes take 25 ms instead of 40 ms.  The third
@@ -27,7 +27,8 @@
 #define RANK_1 (BASE + 3)
 #define N_RANKS 4
 /** Time from SIGTERM until a gateway accepts only requests that complete in
- * time, and some ms more. */
+ * time, and some ms more.  The tests keep a caller connected for that long,
+ * since a process that stops exits when its last caller has left. */
 #define STRICT_CHECK_MS 2400
 #define TOKENS_PER_EVENT 4
 /** Requests that one of three gateways may have in flight: a third of the 12
@@ -94,9 +95,6 @@
     close (fds[i]);
 }
 
-/* A process that stops exits when its last caller has left, so the tests keep
- * one connected until STRICT_CHECK_MS. */
-
 /* Runs four streams of @events events at gateway 1 to their ends. */
 static void
 run_streams (int events)
--- a/t/t-quarantine.c
+++ b/t/t-quarantine.c
@@ -405,7 +405,7 @@
 }
 END_TEST
 
-/* All of them have the same request, as with a popular one. */
+/* All targets have the same popular request when they crash. */
 START_TEST (targets_that_crash_together_do_not_quarantine_request)
 {
   g_autofree char *req = p_request (
