--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -15,13 +15,13 @@
 gint64
 cf_exchange_backoff_ms (const CfExchange *x)
 {
-  const CfServiceState *l = x->lane;
+  const CfServiceState *s = x->service_state;
 
-  if (cf_outage_is_long (&l->outage, cf_gateway_now (x->gateway)))
+  if (cf_outage_is_long (&s->outage, cf_gateway_now (x->gateway)))
     return cf_wait_queue_backoff_ms (CF_NO_CAPACITY_LONG_OUTAGE);
-  if (l->outage.since_ms != 0)
+  if (s->outage.since_ms != 0)
     return cf_wait_queue_backoff_ms (CF_NO_CAPACITY_OUTAGE);
-  return cf_wait_queue_backoff_ms (cf_concurrency_limit_get (&l->limit) != 0
+  return cf_wait_queue_backoff_ms (cf_concurrency_limit_get (&s->limit) != 0
                                        ? CF_NO_CAPACITY_OVERLOAD
                                        : CF_NO_CAPACITY_FULL);
 }
@@ -75,18 +75,19 @@
               "id=%s target=%s after_event=%" G_GINT64_FORMAT, x->id,
               t->record.id, added.last_event_id);
     }
-  cf_outage_record_send (&x->lane->outage, cf_gateway_now (x->gateway));
+  cf_outage_record_send (&x->service_state->outage,
+                         cf_gateway_now (x->gateway));
   x->target = cf_target_ref (t);
   cf_target_request_started (t, cf_gateway_now (x->gateway));
   cf_rate_limit_consume (&t->limit);
-  if (x->lane->in_flight++ == 0)
-    x->lane->busy_since_ms = cf_gateway_now (x->gateway);
+  if (x->service_state->in_flight++ == 0)
+    x->service_state->busy_since_ms = cf_gateway_now (x->gateway);
   x->sends++;
   x->events_at_send = x->event_stream.n_events;
   x->sent_ms = cf_gateway_now (x->gateway);
   if (x->route->stream)
     x->expected_first_ms = cf_stream_latency_first_event_ms (
-        &x->lane->latency, cf_exchange_engine_model (x), &x->size);
+        &x->service_state->latency, cf_exchange_engine_model (x), &x->size);
   x->gateway->stats.sends++;
   g_ptr_array_add (x->tried_targets, cf_target_ref (t));
   x->upstream = cf_upstream_send (x->gateway->loop, t, req, x->id, head_only,
@@ -109,32 +110,35 @@
   return (guint)MAX (slots * QUEUED_PER_SLOT, 1);
 }
 
-/* The latest time to send it at which it still meets its objective. */
+/* Returns the latest time to send it so that it meets its objective. */
 static gint64
-latest_start_for_objective_ms (const CfExchange *x)
+get_objective_send_by_ms (const CfExchange *x)
 {
   gint64 first = 0;
 
   if (x->route->stream)
     first = cf_stream_latency_first_event_ms (
-        &x->lane->latency, cf_exchange_engine_model (x), &x->size);
+        &x->service_state->latency, cf_exchange_engine_model (x), &x->size);
   return cf_waiter_objective_send_by_ms (x->start_ms, x->route->aim_ms, first);
 }
 
-/* The latest time to send it at which an answer of usual length is complete
- * before its deadline. */
+/* Returns the latest time to send it so that an answer of usual length is
+ * complete by its deadline.  For a call, whose duration is not known, that is
+ * the deadline. */
 static gint64
-latest_start_for_deadline_ms (const CfExchange *x)
+get_deadline_send_by_ms (const CfExchange *x)
 {
   if (!x->route->stream)
     return x->deadline_ms;
   return x->deadline_ms
-         - cf_stream_latency_typical_total_ms (
-             &x->lane->latency, cf_exchange_engine_model (x), &x->size);
+         - cf_stream_latency_typical_total_ms (&x->service_state->latency,
+                                               cf_exchange_engine_model (x),
+                                               &x->size);
 }
 
-/* Queues it until a target has a free slot, at most for as long as that leaves
- * time for the work itself. */
+/* Queues it until a target has a free slot.  If the queue is full, the least
+ * urgent request is refused.  The wait is limited so that enough time remains
+ * for the work itself. */
 static void
 enqueue (CfExchange *x)
 {
@@ -144,9 +148,9 @@
   CfWaiter *evicted;
 
   x->waiter.since_ms = now;
-  x->waiter.objective_send_by_ms = latest_start_for_objective_ms (x);
-  x->waiter.deadline_send_by_ms = latest_start_for_deadline_ms (x);
-  if (!cf_wait_queue_add (&x->lane->queue, &x->waiter, max_queued (x),
+  x->waiter.objective_send_by_ms = get_objective_send_by_ms (x);
+  x->waiter.deadline_send_by_ms = get_deadline_send_by_ms (x);
+  if (!cf_wait_queue_add (&x->service_state->queue, &x->waiter, max_queued (x),
                           &evicted))
     {
       if (x->may_have_run)
@@ -158,7 +162,8 @@
   x->gateway->stats.queued++;
   cf_log (LOG_INFO, CF_EV_QUEUE,
           "id=%s service=%s waiting=%u in_flight=%u limit_ms=%" G_GINT64_FORMAT,
-          x->id, x->service, x->lane->queue.n, x->lane->in_flight, limit);
+          x->id, x->service, x->service_state->queue.n,
+          x->service_state->in_flight, limit);
   cf_exchange_start_silence_timer (x, limit);
   if (evicted)
     cf_exchange_refuse (evicted->owner, "more-urgent-waits",
@@ -171,8 +176,8 @@
 enqueue_if_rate_allows (CfExchange *x)
 {
   double per_s = cf_balancer_rate_limit_per_s (&x->gateway->targets, x->service,
-                                               x->gateway->place);
-  double wait_ms = (x->lane->queue.n + 1) * 1000.0 / per_s;
+                                               x->gateway->fleet_position);
+  double wait_ms = (x->service_state->queue.n + 1) * 1000.0 / per_s;
   gint64 limit = cf_wait_queue_max_wait_ms (cf_exchange_caller_wait_ms (x),
                                             cf_exchange_remaining_ms (x));
 
@@ -196,13 +201,13 @@
 static gboolean
 is_held_back (const CfExchange *x)
 {
-  const CfOutage *o = &x->lane->outage;
+  const CfOutage *o = &x->service_state->outage;
 
-  /* Callers would give up on any more work that is sent to this service, and
-   * its stalled targets may not notice that they did. */
+  /* The service is silent.  Callers would give up on further requests sent to
+   * it, and its stalled targets might not notice the cancellation. */
   if (!CF_WITHOUT_STALL_CHECK
       && cf_exchange_is_service_silent (
-          x, cf_stream_latency_stall_timeout_ms (&x->lane->latency)))
+          x, cf_stream_latency_stall_timeout_ms (&x->service_state->latency)))
     return TRUE;
   if (CF_WITHOUT_OUTAGE_WAIT)
     return FALSE;
@@ -225,32 +230,34 @@
   in.tried = x->tried_targets;
   in.now_ms = cf_gateway_now (x->gateway);
   in.n_gateways = x->gateway->fleet_size;
-  in.place = x->gateway->place;
-  in.in_flight = x->lane->in_flight;
-  in.limit = cf_concurrency_limit_get (&x->lane->limit);
+  in.fleet_position = x->gateway->fleet_position;
+  in.in_flight = x->service_state->in_flight;
+  in.limit = cf_concurrency_limit_get (&x->service_state->limit);
   in.max_conns = sv ? sv->max_conns : 0;
-  /* Just after an outage no request is in time, so there is none to leave
-   * slots for. */
-  in.yields = !cf_outage_has_ended_recently (&x->lane->outage, in.now_ms)
-              && cf_waiter_has_to_yield (&x->waiter, in.now_ms,
-                                         x->lane->latency.pause_ms,
-                                         x->route->gap_aim_ms);
+  /* Just after an outage all requests are late, so there are none on time to
+   * leave slots for. */
+  in.yields
+      = !cf_outage_has_ended_recently (&x->service_state->outage, in.now_ms)
+        && cf_waiter_has_to_yield (&x->waiter, in.now_ms,
+                                   x->service_state->latency.pause_ms,
+                                   x->route->gap_aim_ms);
   if (x->route->stream)
     {
       in.stall_timeout_ms
-          = cf_stream_latency_stall_timeout_ms (&x->lane->latency);
+          = cf_stream_latency_stall_timeout_ms (&x->service_state->latency);
       in.ring_start = &x->gateway->ring_start;
     }
   return cf_balancer_pick (&x->gateway->targets, &in, t);
 }
 
-/* Whether its service has an outage that is so long that queueing it would
- * only delay its refusal. */
+/* Whether the outage of its service has lasted so long that queueing the
+ * request would only delay its refusal. */
 static gboolean
 is_wait_futile (const CfExchange *x)
 {
   return !x->may_have_run
-         && cf_outage_is_long (&x->lane->outage, cf_gateway_now (x->gateway));
+         && cf_outage_is_long (&x->service_state->outage,
+                               cf_gateway_now (x->gateway));
 }
 
 void
@@ -287,7 +294,8 @@
 cf_exchange_retry_or_end (CfExchange *x, const char *reason)
 {
   gboolean again = cf_exchange_may_retry (x);
-  gboolean in_budget = again && cf_retry_budget_take (&x->lane->budget);
+  gboolean in_budget
+      = again && cf_retry_budget_take (&x->service_state->budget);
 
   cf_log (LOG_NOTICE, CF_EV_RETRY,
           "id=%s reason=%s target=%s again=%s budget=%s ran=%s sends=%u "
@@ -312,27 +320,27 @@
 
 /* (nullable): the first queued request that may probe an outage. */
 static CfWaiter *
-first_probe_candidate (CfServiceState *l)
+first_probe_candidate (CfServiceState *s)
 {
   CfWaiter *w;
 
-  TAILQ_FOREACH (w, &l->queue.waiters, link)
+  TAILQ_FOREACH (w, &s->queue.waiters, link)
   if (may_probe (w->owner))
     return w;
   return NULL;
 }
 
-/* Sends the first request of the queue if a target has a free slot.  FALSE if
- * none was taken from the queue. */
+/* Sends the first request of the queue if a target has a free slot, or refuses
+ * it if it must not be sent.  FALSE if none was taken from the queue. */
 static gboolean
-dispatch_first (CfGateway *g, CfServiceState *l)
+dispatch_first (CfGateway *g, CfServiceState *s)
 {
-  CfWaitQueue *q = &l->queue;
+  CfWaitQueue *q = &s->queue;
   CfWaiter *w
-      = l->outage.since_ms
-            ? first_probe_candidate (l)
+      = s->outage.since_ms
+            ? first_probe_candidate (s)
             : cf_wait_queue_first (q, cf_gateway_now (g),
-                                   cf_concurrency_limit_get (&l->limit));
+                                   cf_concurrency_limit_get (&s->limit));
   CfExchange *x;
   CfTarget *t;
 
@@ -356,13 +364,13 @@
 cf_exchange_dispatch_queued (CfGateway *g)
 {
   GHashTableIter it;
-  gpointer lane;
+  gpointer service_state;
 
   if (g->exiting)
     return;
   g_hash_table_iter_init (&it, g->service_states);
-  while (g_hash_table_iter_next (&it, NULL, &lane))
-    while (dispatch_first (g, lane))
+  while (g_hash_table_iter_next (&it, NULL, &service_state))
+    while (dispatch_first (g, service_state))
       ;
 }
 
@@ -370,7 +378,7 @@
 void
 cf_exchange_on_queue_timeout (CfExchange *x)
 {
-  gboolean outage = x->lane->outage.since_ms != 0;
+  gboolean outage = x->service_state->outage.since_ms != 0;
   CfTarget *t;
 
   if (refuse_before_send (x))
@@ -378,7 +386,7 @@
   x->queue_timed_out = outage;
   if (outage && pick_target (x, &t) == CF_PICK_OK)
     {
-      cf_wait_queue_remove (&x->lane->queue, &x->waiter);
+      cf_wait_queue_remove (&x->service_state->queue, &x->waiter);
       send_to (x, t);
     }
   else if (x->may_have_run)
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -6,7 +6,7 @@
 /** Upper bound for the propagation of a removal to this gateway, and for the
  * transit of a request that was sent before the removal arrived. */
 #define PROPAGATION_MS 200
-/** Live targets have rewritten their entries two seconds after the store's
+/** Live targets have rewritten their entries within two seconds of the store's
  * return; the rest is for the propagation. */
 #define RETURN_GRACE_MS (2000 + PROPAGATION_MS)
 
@@ -40,7 +40,8 @@
   return MIN (m->until_ms, grace.until_ms);
 }
 
-/* Sets the timer to when the first missing entry is due. */
+/* Sets the timer for the first time at which the target of a missing entry is
+ * to be removed. */
 static void
 start_timer (CfGateway *g)
 {
@@ -59,9 +60,9 @@
   ev_timer_start (g->loop, &grace.timer);
 }
 
-/* Returns until when the target of an entry that was removed after the store's
- * return may get work.  Such an entry did not expire during the outage; its
- * target is draining. */
+/* Returns the time until which a target may get work if its entry was removed
+ * after the store's return.  Such an entry did not expire during the outage;
+ * its target is draining. */
 static gint64
 get_drain_end_ms (const CfGateway *g)
 {
@@ -134,7 +135,7 @@
 }
 
 static void
-on_fresh (CfGateway *g, gint64 as_of)
+on_confirmed (CfGateway *g, gint64 as_of)
 {
   g->targets_rev = as_of;
   g->targets_at_ms = cf_gateway_now (g);
@@ -159,7 +160,7 @@
   for (guint i = 0; i < missing_ids->len; i++)
     mark_missing (g, missing_ids->pdata[i], as_of, G_MAXINT64);
   g_ptr_array_free (missing_ids, TRUE);
-  on_fresh (g, as_of);
+  on_confirmed (g, as_of);
 }
 
 static void
@@ -186,7 +187,7 @@
 }
 
 static void
-on_contact (CfGateway *g, gboolean up)
+on_reachability_changed (CfGateway *g, gboolean up)
 {
   g->targets_store_up = up;
   if (!up || g_hash_table_size (g->targets.by_id) == 0)
@@ -197,7 +198,7 @@
 }
 
 static const CfStoreWatchCallbacks feed_calls
-    = { on_item, on_snapshot, on_fresh, on_contact };
+    = { on_item, on_snapshot, on_confirmed, on_reachability_changed };
 
 void
 cf_target_feed_start (CfStoreWatch *w, CfGateway *g)
--- a/t/t-planned-stop.c
+++ b/t/t-planned-stop.c
@@ -1,6 +1,6 @@
 /*
- * A gateway that stops must not cut off a stream that it accepted after
- * SIGTERM.
+ * Guards against a gateway that stops and cuts off a stream that it accepted
+ * after SIGTERM.  That came about as follows.
  *
  * Two gateways of a deployment are stopping and refuse most requests, so the
  * engine has less to do and its passes take 25 ms instead of 40 ms.  The third
@@ -11,9 +11,9 @@
  * sent, seven short of its end.  Another stream of that size, 0.1 s after it
  * was accepted, is refused.
  *
- * The cause: accepting a stream cannot be undone, but was decided by the pace
- * of a short lull, and only once.  A request that waited for a free slot, or
- * was retried, was not checked again.
+ * The cause: accepting a stream cannot be undone, but was decided by the pass
+ * times of a short lull, and only once.  A request that waited for a free slot,
+ * or was retried, was not checked again.
  */
 #include "harness.h"
 #include "platform-harness.h"
@@ -27,7 +27,8 @@
 #define RANK_1 (BASE + 3)
 #define N_RANKS 4
 /** Time from SIGTERM until a gateway accepts only requests that complete in
- * time, and some ms more. */
+ * time, and some ms more.  The tests keep a caller connected for that long,
+ * since a process that stops exits when its last caller has left. */
 #define STRICT_CHECK_MS 2400
 #define TOKENS_PER_EVENT 4
 /** Requests that one of three gateways may have in flight: a third of the 12
@@ -94,9 +95,6 @@
     close (fds[i]);
 }
 
-/* A process that stops exits when its last caller has left, so the tests keep
- * one connected until STRICT_CHECK_MS. */
-
 /* Runs four streams of @events events at gateway 1 to their ends. */
 static void
 run_streams (int events)
@@ -183,7 +181,7 @@
 END_TEST
 
 /* Until the platform has polled readiness twice, callers are still routed here.
- * A request that cannot complete at the current pace is not accepted then
+ * A request that cannot complete at the current pass times is not accepted then
  * either. */
 START_TEST (stream_accepted_under_load_is_not_cut_off)
 {
--- a/t/t-quarantine.c
+++ b/t/t-quarantine.c
@@ -251,7 +251,8 @@
 }
 END_TEST
 
-/* An attacker's many requests do not evict one that is quarantined. */
+/* Many suspected requests, as an attacker may send, do not evict one that is
+ * quarantined. */
 START_TEST (number_of_records_is_bounded)
 {
   CfQuarantine *q = cf_quarantine_new ();
@@ -279,7 +280,7 @@
 }
 END_TEST
 
-/* Peers would otherwise treat it as answered. */
+/* Peers would treat a request that is announced as cleared as answered. */
 START_TEST (evicted_request_is_not_announced_as_cleared)
 {
   CfQuarantine *q = cf_quarantine_new ();
@@ -404,7 +405,7 @@
 }
 END_TEST
 
-/* All of them have the same request, as with a popular one. */
+/* All targets have the same popular request when they crash. */
 START_TEST (targets_that_crash_together_do_not_quarantine_request)
 {
   g_autofree char *req = p_build_request (
