--- a/gateway/map-coordinator-parts.h
+++ b/gateway/map-coordinator-parts.h
@@ -42,9 +42,10 @@
 
 gboolean cf_map_version_is_barrier (gint64 version);
 
-/** cf_map_has_all_reports_since: whether every rank has reported after @since,
+/** cf_map_has_all_statuses_since: whether every rank has reported after @since,
  * in this epoch and while its group makes passes. */
-gboolean cf_map_has_all_reports_since (const CfMapCoordinator *c, gint64 since);
+gboolean cf_map_has_all_statuses_since (const CfMapCoordinator *c,
+                                        gint64 since);
 
 gboolean cf_map_has_armed_rank (const CfMapCoordinator *c);
 gboolean cf_map_has_held_pass (const CfMapCoordinator *c);
--- a/gateway/map-coordinator-plan.c
+++ b/gateway/map-coordinator-plan.c
@@ -22,7 +22,7 @@
 {
   if (CF_WITHOUT_MAP_CHANGES || now < c->idle_until_ms)
     return FALSE;
-  if (!cf_map_has_all_reports_since (c, 0)
+  if (!cf_map_has_all_statuses_since (c, 0)
       || !cf_expert_demand_is_settled (&c->demand))
     return FALSE;
   if (cf_map_is_in_use_known (c))
@@ -38,10 +38,10 @@
 
   g_clear_pointer (&c->next, cf_group_map_free);
   for (int r = 0; r < c->shape.ranks; r++)
-    c->pace[r] = MAX (c->ranks[r].status.pace, 1);
+    c->slowdown[r] = MAX (c->ranks[r].status.slowdown, 1);
   limits.min_gain = cf_map_required_gain (limits.min_gain, c->pass_ms,
                                           c->pass_aim_ms, c->demand.n_windows);
-  c->plan = cf_map_plan_new (c->in_use, c->demand.tokens, c->pace, &limits);
+  c->plan = cf_map_plan_new (c->in_use, c->demand.tokens, c->slowdown, &limits);
 }
 
 static void
@@ -105,7 +105,7 @@
   if (all_prepared)
     {
       c->passes_ahead = cf_map_coordinator_choose_passes_ahead (c);
-      c->step = 0;
+      c->pass_to_hold = 0;
       c->holder = (int)(c->version % c->shape.ranks);
       c->hold_start_ms = now;
       cf_map_enter_state (c, CF_MAP_HOLDING, "all-prepared", now);
--- a/gateway/map-coordinator-reports.c
+++ b/gateway/map-coordinator-reports.c
@@ -117,11 +117,11 @@
 }
 
 void
-cf_map_coordinator_add_demand (CfMapCoordinator *c, const gint64 *drawn,
+cf_map_coordinator_add_demand (CfMapCoordinator *c, const gint64 *increases,
                                guint n)
 {
   if (n == cf_map_count_experts (c))
-    cf_expert_demand_add (&c->demand, drawn);
+    cf_expert_demand_add (&c->demand, increases);
 }
 
 /* Writes the rank's rows of all sets; FALSE if they don't fit the shape. */
@@ -171,10 +171,10 @@
       cf_map_enter_state (c, CF_MAP_SETTLING, "prepare-refused", now);
       break;
     case CF_MAP_HOLDING:
-      if (rank != c->holder || c->ranks[rank].status.held == c->step)
+      if (rank != c->holder || c->ranks[rank].status.held == c->pass_to_hold)
         break;
       /* The pass has already begun: hold one further ahead. */
-      c->step = 0;
+      c->pass_to_hold = 0;
       c->passes_ahead = MIN (c->passes_ahead * 2, CF_MAP_MAX_PASSES_AHEAD);
       break;
     default:
--- a/gateway/map-coordinator-settle.c
+++ b/gateway/map-coordinator-settle.c
@@ -58,7 +58,7 @@
   int holder = 0;
   gint64 step;
 
-  if (!cf_map_has_all_reports_since (c, c->state_ms)
+  if (!cf_map_has_all_statuses_since (c, c->state_ms)
       || !is_guarding_all_ranks (c))
     return;
   held = cf_map_has_held_pass (c);
@@ -76,7 +76,7 @@
    * ranks armed for that pass could then begin it with different maps. */
   else if (c->version && step && !cf_map_version_is_barrier (c->version))
     {
-      c->step = step;
+      c->pass_to_hold = step;
       c->holder = holder;
       c->hold_start_ms = now;
       cf_map_enter_state (c, CF_MAP_ARMING, "earlier-leader-held", now);
@@ -121,7 +121,7 @@
   for (int r = 0; all_prepared && r < c->shape.ranks; r++)
     {
       CfRankView *v = &c->ranks[r];
-      CfRankOrder o = { .kind = CF_ORDER_GO, .step = v->status.held };
+      CfRankOrder o = { .kind = CF_ORDER_RELEASE, .step = v->status.held };
 
       if (v->status.held && cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
         cf_map_send_order (c, r, &o, now);
--- a/gateway/map-coordinator-switch.c
+++ b/gateway/map-coordinator-switch.c
@@ -53,7 +53,7 @@
   CfRankView *v = &c->ranks[c->holder];
   CfRankOrder o = { .kind = CF_ORDER_HOLD };
 
-  if (c->step && v->status.held == c->step)
+  if (c->pass_to_hold && v->status.held == c->pass_to_hold)
     {
       cf_map_enter_state (c, CF_MAP_ARMING, "held", now);
       return;
@@ -63,12 +63,12 @@
       cf_map_enter_state (c, CF_MAP_SETTLING, "hold-not-confirmed", now);
       return;
     }
-  if (c->step == 0)
+  if (c->pass_to_hold == 0)
     {
-      c->step = find_newest_pass (c) + c->passes_ahead;
+      c->pass_to_hold = find_newest_pass (c) + c->passes_ahead;
       v->pending_since_ms = 0;
     }
-  o.step = c->step;
+  o.step = c->pass_to_hold;
   if (cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
     cf_map_send_order (c, c->holder, &o, now);
 }
@@ -94,7 +94,7 @@
       if (v->status.armed == c->version || v->status.map == c->version)
         continue;
       all_armed = FALSE;
-      o.step = c->step;
+      o.step = c->pass_to_hold;
       if (cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
         cf_map_send_order (c, r, &o, now);
     }
@@ -111,11 +111,11 @@
 cf_map_run_releasing (CfMapCoordinator *c, gint64 now)
 {
   CfRankView *v = &c->ranks[c->holder];
-  CfRankOrder o = { .kind = CF_ORDER_GO, .step = c->step };
+  CfRankOrder o = { .kind = CF_ORDER_RELEASE, .step = c->pass_to_hold };
 
   /* A status that the agent read before the hold may arrive after the hold was
    * confirmed, so an order to release has to be sent first. */
-  if (v->status.held != c->step && v->pending_since_ms != 0)
+  if (v->status.held != c->pass_to_hold && v->pending_since_ms != 0)
     cf_map_enter_state (c, CF_MAP_SWITCHING, "released", now);
   else if (cf_map_may_send (v, now, CF_MAP_ORDER_RETRY_MS))
     cf_map_send_order (c, c->holder, &o, now);
@@ -152,12 +152,12 @@
       cf_map_enter_state (c, CF_MAP_IDLE, "changed", now);
       return;
     }
-  if (c->step && c->ranks[c->holder].status.held == c->step)
+  if (c->pass_to_hold && c->ranks[c->holder].status.held == c->pass_to_hold)
     {
       cf_map_enter_state (c, CF_MAP_RELEASING, "still-held", now);
       return;
     }
   if (cf_map_has_held_pass (c) || !cf_map_has_armed_rank (c))
-    if (cf_map_has_all_reports_since (c, c->state_ms))
+    if (cf_map_has_all_statuses_since (c, c->state_ms))
       cf_map_enter_state (c, CF_MAP_SETTLING, "not-as-armed", now);
 }
--- a/gateway/map-coordinator-view.c
+++ b/gateway/map-coordinator-view.c
@@ -53,7 +53,7 @@
 }
 
 gboolean
-cf_map_has_all_reports_since (const CfMapCoordinator *c, gint64 since)
+cf_map_has_all_statuses_since (const CfMapCoordinator *c, gint64 since)
 {
   for (int r = 0; r < c->shape.ranks; r++)
     {
--- a/gateway/map-coordinator.c
+++ b/gateway/map-coordinator.c
@@ -52,7 +52,7 @@
   for (int r = 0; r < shape->ranks; r++)
     c->ranks[r].lists_version = -1;
   cf_expert_demand_init (&c->demand, shape->ranks, cf_map_count_experts (c));
-  c->pace = g_new0 (double, shape->ranks);
+  c->slowdown = g_new0 (double, shape->ranks);
   c->in_use = cf_group_map_new (shape);
   c->arming_ms = INITIAL_ARMING_MS;
 }
@@ -62,7 +62,7 @@
 {
   g_free (c->ranks);
   cf_expert_demand_clear (&c->demand);
-  g_free (c->pace);
+  g_free (c->slowdown);
   cf_group_map_free (c->in_use);
   cf_group_map_free (c->next);
   cf_map_plan_free (c->plan);
--- a/gateway/map-coordinator.h
+++ b/gateway/map-coordinator.h
@@ -79,7 +79,7 @@
   gint64 idle_until_ms; /**< no plan is made before this time */
   CfRankView *ranks;
   CfExpertDemand demand;
-  double *pace; /**< by rank: the pace used for the last plan */
+  double *slowdown; /**< by rank: the slowdown used for the last plan */
   CfGroupMap *in_use;
   CfGroupMap *next;
   CfMapPlan *plan; /**< (nullable): unfinished plan, based on @in_use */
@@ -87,7 +87,8 @@
   gint64 version;             /**< version of @next */
   guint n_versions;           /**< versions used under the present token */
   guint salt;            /**< random; differs each time the lead is taken */
-  gint64 step;           /**< number of the held pass */
+  gint64 pass_to_hold;   /**< number of the pass that @holder is to hold, or
+                              holds; 0: none is chosen */
   int holder;            /**< rank that holds it */
   int passes_ahead;      /**< from the newest known pass to the one to hold */
   gint64 hold_start_ms;  /**< when the coordinator began to hold the pass */
@@ -151,11 +152,11 @@
 
 /**
  * cf_map_coordinator_add_demand:
- * @drawn: by set and expert: a rank's demand since its previous report
+ * @increases: by set and expert: a rank's demand since its previous report
  * @n: must be sets x experts, or the report is ignored
  */
-void cf_map_coordinator_add_demand (CfMapCoordinator *c, const gint64 *drawn,
-                                    guint n);
+void cf_map_coordinator_add_demand (CfMapCoordinator *c,
+                                    const gint64 *increases, guint n);
 
 /**
  * cf_map_coordinator_take_lists:
--- a/gateway/map-gain.c
+++ b/gateway/map-gain.c
@@ -36,14 +36,14 @@
 CfPlanLimits
 cf_map_choose_limits (double copy_ms, int sets)
 {
-  CfPlanLimits l = { .max_new = MAX_SET_COPIES,
-                     .max_rank_new = 1,
+  CfPlanLimits l = { .max_set_copies = MAX_SET_COPIES,
+                     .max_rank_copies = 1,
                      .min_gain = DEFAULT_MIN_GAIN,
                      .min_move_gain = HIGHEST_MOVE_GAIN };
 
   if (copy_ms <= 0)
     return l;
-  l.max_rank_new
+  l.max_rank_copies
       = (int)CLAMP (MAX_RANK_COPY_MS / copy_ms, 1, sets * MAX_SET_COPIES);
   l.min_move_gain
       = CLAMP (MOVE_GAIN_PER_MS * copy_ms, LOWEST_MOVE_GAIN, HIGHEST_MOVE_GAIN);
--- a/gateway/map-plan.c
+++ b/gateway/map-plan.c
@@ -14,10 +14,11 @@
   CfPlanLimits limits;
   int n_sets;
   CfSetPlan *sets;
-  CfMove *best;   /* by set */
-  double *relief; /* by set: load that its best move removes; 0: no move */
-  int *added;     /* by rank: experts that it copies, of all sets */
-  double *pace;   /* by rank; NULL: all at the usual pace */
+  CfMove *best; /* by set */
+  double
+      *removed_load; /* by set: load that its best move removes; 0: no move */
+  int *added;        /* by rank: experts that it copies, of all sets */
+  double *slowdown;  /* by rank; NULL: all at the usual slowdown */
   double skew_before;
   int n_searched; /* sets whose first move has been searched for */
   int n_moves;    /* moves tried after that */
@@ -36,7 +37,7 @@
 
 double
 cf_group_map_skew (const CfGroupMap *m, const double *tokens,
-                   const double *pace)
+                   const double *slowdown)
 {
   double sum = 0;
 
@@ -45,7 +46,7 @@
       CfSetPlan s;
 
       cf_set_plan_init (&s, m, (CfGroupMap *)m, set,
-                        tokens + (gsize)set * m->shape.experts, pace);
+                        tokens + (gsize)set * m->shape.experts, slowdown);
       sum += cf_set_plan_skew (&s);
       cf_set_plan_clear (&s);
     }
@@ -54,7 +55,7 @@
 
 CfMapPlan *
 cf_map_plan_new (const CfGroupMap *from, const double *tokens,
-                 const double *pace, const CfPlanLimits *limits)
+                 const double *slowdown, const CfPlanLimits *limits)
 {
   const CfGroupShape *sh = &from->shape;
   CfMapPlan *p = g_new0 (CfMapPlan, 1);
@@ -65,19 +66,20 @@
   p->n_sets = sh->sets;
   p->sets = g_new0 (CfSetPlan, sh->sets);
   p->best = g_new0 (CfMove, sh->sets);
-  p->relief = g_new0 (double, sh->sets);
+  p->removed_load = g_new0 (double, sh->sets);
   p->added = g_new0 (int, sh->ranks);
-  if (pace)
-    p->pace = g_memdup2 (pace, sizeof *pace * sh->ranks);
+  if (slowdown)
+    p->slowdown = g_memdup2 (slowdown, sizeof *slowdown * sh->ranks);
   for (int set = 0; set < sh->sets; set++)
     {
       CfSetPlan *s = &p->sets[set];
 
       cf_set_plan_init (s, from, p->m, set, tokens + (gsize)set * sh->experts,
-                        p->pace);
-      s->max_new = MIN (limits->max_new, sh->spare);
+                        p->slowdown);
+      s->max_set_copies = MIN (limits->max_set_copies, sh->spare);
       s->added = p->added;
-      s->max_rank_new = limits->max_rank_new ? limits->max_rank_new : G_MAXINT;
+      s->max_rank_copies
+          = limits->max_rank_copies ? limits->max_rank_copies : G_MAXINT;
     }
   p->skew_before = mean_skew (p->sets, p->n_sets);
   return p;
@@ -93,9 +95,9 @@
   cf_group_map_free (p->m);
   g_free (p->sets);
   g_free (p->best);
-  g_free (p->relief);
+  g_free (p->removed_load);
   g_free (p->added);
-  g_free (p->pace);
+  g_free (p->slowdown);
   g_free (p);
 }
 
@@ -105,19 +107,19 @@
   CfSetPlan *s = &p->sets[set];
 
   p->best[set] = cf_set_plan_find_best_move (s);
-  p->relief[set] = cf_set_plan_relief (s, &p->best[set]);
+  p->removed_load[set] = cf_set_plan_removed_load (s, &p->best[set]);
 }
 
-/* Returns the set whose best move removes the most load, @min_relief or more;
- * -1 if there is none. */
+/* Returns the set whose best move removes the most load, @min_removed_load or
+ * more; -1 if there is none. */
 static int
-find_best_set (const CfMapPlan *p, double min_relief)
+find_best_set (const CfMapPlan *p, double min_removed_load)
 {
   int best = -1;
 
   for (int set = 0; set < p->n_sets; set++)
-    if (p->relief[set] > 0 && p->relief[set] >= min_relief
-        && (best < 0 || p->relief[set] > p->relief[best]))
+    if (p->removed_load[set] > 0 && p->removed_load[set] >= min_removed_load
+        && (best < 0 || p->removed_load[set] > p->removed_load[best]))
       best = set;
   return best;
 }
@@ -198,9 +200,9 @@
 
 CfGroupMap *
 cf_group_map_plan (const CfGroupMap *from, const double *tokens,
-                   const double *pace, const CfPlanLimits *limits)
+                   const double *slowdown, const CfPlanLimits *limits)
 {
-  CfMapPlan *p = cf_map_plan_new (from, tokens, pace, limits);
+  CfMapPlan *p = cf_map_plan_new (from, tokens, slowdown, limits);
 
   while (!cf_map_plan_step (p, G_MAXINT))
     ;
--- a/gateway/map-plan.h
+++ b/gateway/map-plan.h
@@ -5,20 +5,19 @@
 /**
  * cf_group_map_skew:
  * @tokens: by set and expert: each expert's demand
- * @pace: (nullable): by rank: how many times its usual duration a rank's work
- *   takes
- * Returns: the slowest rank's load relative to an even load at the usual pace,
- *   as a mean over the sets; 1 is even.
+ * @slowdown: (nullable): by rank: how many times its usual duration a rank's
+ * work takes Returns: the slowest rank's load relative to an even load at the
+ * usual slowdown, as a mean over the sets; 1 is even.
  */
 double cf_group_map_skew (const CfGroupMap *m, const double *tokens,
-                          const double *pace);
+                          const double *slowdown);
 
 /** CfPlanLimits: how far one change may go, and what it must gain. */
 typedef struct
 {
-  int max_new;          /**< experts that a rank copies of a set; at most its
-                             spare */
-  int max_rank_new;     /**< the same, of all sets together; 0: any number */
+  int max_set_copies;   /**< experts that a rank copies of a set; at most its
+                      spare */
+  int max_rank_copies;  /**< the same, of all sets together; 0: any number */
   double min_gain;      /**< skew that a change must remove */
   double min_move_gain; /**< load that a copy must remove from the slowest rank,
                              as a fraction of an even load */
@@ -40,7 +39,7 @@
 /** cf_map_plan_new: begins a plan that changes @from, which must stay valid
  * until the plan is freed. */
 CfMapPlan *cf_map_plan_new (const CfGroupMap *from, const double *tokens,
-                            const double *pace, const CfPlanLimits *limits);
+                            const double *slowdown, const CfPlanLimits *limits);
 
 void cf_map_plan_free (CfMapPlan *p);
 
@@ -65,4 +64,5 @@
 /** cf_group_map_plan: (nullable): runs a whole plan at once, with the result of
  * cf_map_plan_finish(). */
 CfGroupMap *cf_group_map_plan (const CfGroupMap *from, const double *tokens,
-                               const double *pace, const CfPlanLimits *limits);
+                               const double *slowdown,
+                               const CfPlanLimits *limits);
--- a/gateway/order-watch.c
+++ b/gateway/order-watch.c
@@ -36,7 +36,7 @@
 }
 
 void
-cf_order_watch_note_report (CfOrderWatch *w)
+cf_order_watch_note_status (CfOrderWatch *w)
 {
   w->n_lost = 0;
 }
--- a/gateway/order-watch.h
+++ b/gateway/order-watch.h
@@ -30,8 +30,8 @@
  * %TRUE once for each order, which then counts as lost. */
 gboolean cf_order_watch_check_expiry (CfOrderWatch *w, gint64 now_ms);
 
-/** cf_order_watch_note_report: the agent reported its rank's status. */
-void cf_order_watch_note_report (CfOrderWatch *w);
+/** cf_order_watch_note_status: the agent reported its rank's status. */
+void cf_order_watch_note_status (CfOrderWatch *w);
 
 /** cf_order_watch_is_agent_bypassed: whether all orders go to the rank
  * directly. */
--- a/gateway/peer-msg-unpack.c
+++ b/gateway/peer-msg-unpack.c
@@ -126,7 +126,7 @@
   s->held = read_int (&array);
   s->running = read_int (&array);
   s->waiting = read_int (&array);
-  s->pace = (double)read_int (&array) / CF_PEER_THOUSANDTHS;
+  s->slowdown = (double)read_int (&array) / CF_PEER_THOUSANDTHS;
   s->incarnation = read_optional_int (&array);
   f->invalid |= array.invalid;
 }
@@ -246,7 +246,7 @@
       break;
     case CF_PEER_RANK_STATUS:
       read_status (f, &m->u.rank_status.status);
-      m->u.rank_status.fence_seen = read_int (f);
+      m->u.rank_status.highest_fence = read_int (f);
       m->u.rank_status.seeds_up = (guint)read_int (f);
       m->u.rank_status.leader_fence = read_int (f);
       /* Earlier versions send the counts since the rank's start here. */
@@ -279,7 +279,7 @@
     case CF_PEER_ORDER_ACK:
       m->u.order_ack.seq = read_int (f);
       m->u.order_ack.http_status = read_int (f);
-      m->u.order_ack.fence_seen = read_int (f);
+      m->u.order_ack.highest_fence = read_int (f);
       read_status (f, &m->u.order_ack.status);
       break;
     case CF_PEER_REQUEST_LISTS:
--- a/gateway/peer-msg.c
+++ b/gateway/peer-msg.c
@@ -47,7 +47,7 @@
   put_int (pk, s->held);
   put_int (pk, s->running);
   put_int (pk, s->waiting);
-  put_int (pk, (gint64)(s->pace * CF_PEER_THOUSANDTHS));
+  put_int (pk, (gint64)(s->slowdown * CF_PEER_THOUSANDTHS));
   put_int (pk, s->incarnation);
 }
 
@@ -147,7 +147,7 @@
     case CF_PEER_RANK_STATUS:
       put_header (&pk, m, 6);
       put_status (&pk, &m->u.rank_status.status);
-      put_int (&pk, m->u.rank_status.fence_seen);
+      put_int (&pk, m->u.rank_status.highest_fence);
       put_int (&pk, m->u.rank_status.seeds_up);
       put_int (&pk, m->u.rank_status.leader_fence);
       /* Empty: earlier versions send the counts since the rank's start here. */
@@ -183,7 +183,7 @@
       put_header (&pk, m, 4);
       put_int (&pk, m->u.order_ack.seq);
       put_int (&pk, m->u.order_ack.http_status);
-      put_int (&pk, m->u.order_ack.fence_seen);
+      put_int (&pk, m->u.order_ack.highest_fence);
       put_status (&pk, &m->u.order_ack.status);
       break;
     case CF_PEER_REQUEST_LISTS:
--- a/gateway/peer-msg.h
+++ b/gateway/peer-msg.h
@@ -49,10 +49,10 @@
     struct
     {
       CfRankStatus status;
-      gint64 fence_seen;   /**< highest fencing token the agent has accepted */
-      guint seeds_up;      /**< bit i: seed i was heard from recently */
-      gint64 leader_fence; /**< fencing token of the leader that the agent
-                                   hears from; 0: none */
+      gint64 highest_fence; /**< highest fencing token the agent has accepted */
+      guint seeds_up;       /**< bit i: seed i was heard from recently */
+      gint64 leader_fence;  /**< fencing token of the leader that the agent
+                                    hears from; 0: none */
       GArray *expert_counts; /**< (nullable): of gint64, by expert: how often it
                                 was chosen since the previous report; owned */
     } rank_status;
@@ -84,9 +84,9 @@
     struct
     {
       gint64 seq;
-      gint64 http_status; /**< the rank's; 0: no answer; or
-                               %CF_PEER_STATUS_UNKNOWN_BASE */
-      gint64 fence_seen;  /**< highest fencing token the agent has accepted */
+      gint64 http_status;   /**< the rank's; 0: no answer; or
+                                 %CF_PEER_STATUS_UNKNOWN_BASE */
+      gint64 highest_fence; /**< highest fencing token the agent has accepted */
       CfRankStatus status;
     } order_ack;
     struct
--- a/gateway/rank-agent-order.c
+++ b/gateway/rank-agent-order.c
@@ -44,7 +44,7 @@
   m.u.order_ack.seq = o->seq;
   m.u.order_ack.http_status = o->http_status;
   m.u.order_ack.status = o->agent->status;
-  m.u.order_ack.fence_seen = o->agent->fence_seen;
+  m.u.order_ack.highest_fence = o->agent->highest_fence;
   if (o->from->up)
     cf_peer_msg_send (o->from->link, &m);
   cf_log (LOG_INFO, CF_EV_RANK_ORDER,
@@ -77,7 +77,7 @@
       return s->armed == 0;
     case CF_ORDER_HOLD:
       return s->held != 0;
-    case CF_ORDER_GO:
+    case CF_ORDER_RELEASE:
       return s->held == 0;
     }
   return FALSE;
@@ -94,7 +94,7 @@
   if (o->http_status == 0 && known && is_in_effect (o))
     o->http_status = STATUS_DONE;
   if (o->http_status == 0 && o->attempts < ORDER_ATTEMPTS_MAX
-      && o->fence >= o->agent->fence_seen)
+      && o->fence >= o->agent->highest_fence)
     send_to_rank (o);
   else
     send_ack (o);
@@ -133,13 +133,13 @@
 {
   CfRankAgent *a = o->agent;
 
-  if (o->fence < a->fence_seen)
+  if (o->fence < a->highest_fence)
     {
       o->http_status = STATUS_FENCED;
       send_ack (o);
       return;
     }
-  a->fence_seen = o->fence;
+  a->highest_fence = o->fence;
   if (o->body)
     send_to_rank (o);
   else
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -25,7 +25,7 @@
 #define STANDBY_STATUS_MS 1000
 /** A gateway counts as down if no heartbeat came for this long, three times
  * their interval. */
-#define TICK_TIMEOUT_MS 1300L
+#define HEARTBEAT_TIMEOUT_MS 1300L
 /** Interval between reconnect attempts to seeds while another has a link... */
 #define RECONNECT_MS 500
 /** ...and while none has.  Until a gateway leads, the group keeps the map that
@@ -40,7 +40,8 @@
 static gboolean
 is_alive (const CfSeed *s, gint64 now)
 {
-  return s->up && s->tick_seen_ms && now - s->tick_seen_ms < TICK_TIMEOUT_MS;
+  return s->up && s->heartbeat_seen_ms
+         && now - s->heartbeat_seen_ms < HEARTBEAT_TIMEOUT_MS;
 }
 
 /* Returns a bit mask of the seeds that are alive. */
@@ -80,7 +81,7 @@
   CfPeerMsg m = { .kind = CF_PEER_RANK_STATUS };
 
   m.u.rank_status.status = a->status;
-  m.u.rank_status.fence_seen = a->fence_seen;
+  m.u.rank_status.highest_fence = a->highest_fence;
   m.u.rank_status.seeds_up = seeds_up (a, now);
   m.u.rank_status.leader_fence = lead ? lead->fence : 0;
   for (int i = 0; i < a->n_seeds; i++)
@@ -340,22 +341,22 @@
  * A new leader, and one that asks for a shorter interval, waits for the
  * status, so the rank is read at once. */
 static void
-handle_tick (CfSeed *s, gint64 fence, gint64 read_interval_ms)
+handle_heartbeat (CfSeed *s, gint64 fence, gint64 read_interval_ms)
 {
   CfRankAgent *a = s->agent;
   gboolean wants_faster = fence > 0 && read_interval_ms < s->read_interval_ms;
 
-  s->tick_seen_ms = cf_now_ms ();
+  s->heartbeat_seen_ms = cf_now_ms ();
   s->fence = fence;
   s->read_interval_ms = read_interval_ms;
-  if (fence <= a->fence_seen)
+  if (fence <= a->highest_fence)
     {
-      if (wants_faster && fence == a->fence_seen && !a->read_pending
+      if (wants_faster && fence == a->highest_fence && !a->read_pending
           && !a->copying_version)
         cf_rank_agent_schedule_read (a, 0);
       return;
     }
-  a->fence_seen = fence;
+  a->highest_fence = fence;
   /* The copy was ordered by an earlier leader, and the new one does not know
    * the rank's state, so it gets every status. */
   a->copying_version = 0;
@@ -379,7 +380,8 @@
     switch (m.kind)
       {
       case CF_PEER_HEARTBEAT:
-        handle_tick (s, m.u.heartbeat.fence, m.u.heartbeat.report_interval_ms);
+        handle_heartbeat (s, m.u.heartbeat.fence,
+                          m.u.heartbeat.report_interval_ms);
         break;
       case CF_PEER_CRASHES:
         handle_crashes (s, &m);
@@ -403,7 +405,7 @@
   msgpack_unpacked_destroy (&zone);
 }
 
-static const CfPeerLinkCallbacks link_calls = { on_up, on_frame, on_down };
+static const CfPeerLinkCallbacks link_callbacks = { on_up, on_frame, on_down };
 
 static gboolean
 is_isolated (const CfRankAgent *a)
@@ -429,18 +431,18 @@
   for (int i = 0; i < a->n_seeds; i++)
     {
       CfSeed *s = &a->seeds[i];
-      gint64 silent_ms = cf_now_ms () - s->tick_seen_ms;
+      gint64 silent_ms = cf_now_ms () - s->heartbeat_seen_ms;
 
       /* A silent link is replaced. */
-      if (s->up && s->tick_seen_ms && silent_ms > 2 * TICK_TIMEOUT_MS)
+      if (s->up && s->heartbeat_seen_ms && silent_ms > 2 * HEARTBEAT_TIMEOUT_MS)
         {
           cf_peer_link_close (s->link);
           on_down (s, s->link);
         }
       if (s->has_addr && !s->link)
         {
-          s->tick_seen_ms = 0;
-          s->link = cf_peer_link_connect (loop, &s->addr, &link_calls, s);
+          s->heartbeat_seen_ms = 0;
+          s->link = cf_peer_link_connect (loop, &s->addr, &link_callbacks, s);
         }
     }
   ev_timer_set (t, (double)interval / 1000, 0);
--- a/gateway/rank-agent.h
+++ b/gateway/rank-agent.h
@@ -18,12 +18,12 @@
   struct sockaddr_in addr;
   gboolean has_addr; /**< @addr could be parsed */
   CfPeerLink *link;
-  gboolean up;             /**< the link is connected */
-  gint64 tick_seen_ms;     /**< when its last heartbeat came */
-  gint64 fence;            /**< its token, by that tick; 0: not the leader */
-  gint64 read_interval_ms; /**< by that tick: how often the rank is to be read
-                                if this seed leads */
-  gint64 status_sent_ms;   /**< when a status was last sent to it */
+  gboolean up;              /**< the link is connected */
+  gint64 heartbeat_seen_ms; /**< when its last heartbeat came */
+  gint64 fence;             /**< its token, by that tick; 0: not the leader */
+  gint64 read_interval_ms;  /**< by that tick: how often the rank is to be read
+                                 if this seed leads */
+  gint64 status_sent_ms;    /**< when a status was last sent to it */
 } CfSeed;
 
 /**
@@ -40,7 +40,7 @@
   CfTarget *target; /**< the rank on this VM */
   CfSeed seeds[CF_SEEDS_MAX];
   int n_seeds;
-  gint64 fence_seen; /**< highest token of a leader */
+  gint64 highest_fence; /**< highest token of a leader */
   CfRankStatus status;
   CfRankStatus sent_status; /**< the one last sent to the leader */
   gboolean has_status;
--- a/gateway/rank-call.c
+++ b/gateway/rank-call.c
@@ -65,7 +65,8 @@
   finish (c, 0);
 }
 
-static const CfUpstreamCallbacks calls = { on_head, on_body, on_done, on_fail };
+static const CfUpstreamCallbacks callbacks
+    = { on_head, on_body, on_done, on_fail };
 
 void
 cf_rank_call (struct ev_loop *loop, CfTarget *t, GString *request,
@@ -79,7 +80,7 @@
   c->data = data;
   ev_timer_init (&c->timer, on_timeout, (double)timeout_ms / 1000, 0);
   c->timer.data = c;
-  c->upstream = cf_upstream_send (loop, t, request, NULL, FALSE, &calls, c);
+  c->upstream = cf_upstream_send (loop, t, request, NULL, FALSE, &callbacks, c);
   if (!c->upstream)
     {
       finish (c, 0);
--- a/gateway/rank-service-lead.c
+++ b/gateway/rank-service-lead.c
@@ -6,7 +6,7 @@
 
 /** How long this gateway does not take the lead after it met another leader's
  * token. */
-#define RETAKE_LEAD_MS 3000
+#define LEAD_RETRY_MS 3000
 /** An older status does not tell which gateways a rank can reach, so it does
  * not count when the ranks decide who leads. */
 #define STATUS_MAX_AGE_MS 2500
@@ -16,7 +16,7 @@
 
 /* Whether this leader has a recent status from most ranks. */
 static gboolean
-is_heard_by_majority (const CfLedGroup *g)
+has_majority (const CfLedGroup *g)
 {
   gint64 now = cf_gateway_now (g->service->gateway);
   int votes = 0;
@@ -34,7 +34,7 @@
  * the group.  Each group starts the order at a different seed, so that no
  * gateway leads all groups. */
 static guint
-preceding_seeds (const CfLedGroup *g)
+seeds_ahead (const CfLedGroup *g)
 {
   guint n
       = MIN (g_strv_length (g->service->gateway->set.seed_addrs), CF_SEEDS_MAX);
@@ -59,7 +59,7 @@
 may_take_lead (const CfLedGroup *g)
 {
   gint64 now = cf_gateway_now (g->service->gateway);
-  guint before = preceding_seeds (g);
+  guint before = seeds_ahead (g);
   int votes = 0;
 
   for (int r = 0; r < g->coordinator.shape.ranks; r++)
@@ -75,10 +75,10 @@
 /* Returns how many seeds come before this gateway in the succession of the
  * leader that holds a pass. */
 static int
-succession_place (const CfLedGroup *g)
+count_seeds_ahead (const CfLedGroup *g)
 {
   guint leader = (guint)(g->lease.fence % FENCE_STEP);
-  guint before = preceding_seeds (g) & ~(1U << leader);
+  guint before = seeds_ahead (g) & ~(1U << leader);
 
   return __builtin_popcount (before);
 }
@@ -87,9 +87,9 @@
  * take over, although agents still follow that leader: the group waits until
  * someone ends the hold. */
 static gboolean
-may_succeed (const CfLedGroup *g)
+may_take_over (const CfLedGroup *g)
 {
-  return cf_hold_lease_has_expired (&g->lease, succession_place (g),
+  return cf_hold_lease_has_expired (&g->lease, count_seeds_ahead (g),
                                     cf_gateway_now (g->service->gateway));
 }
 
@@ -103,7 +103,7 @@
   g_free (name);
   if (!g || m->u.hold_lease.fence <= 0)
     return;
-  g->fence_seen = MAX (g->fence_seen, m->u.hold_lease.fence);
+  g->highest_fence = MAX (g->highest_fence, m->u.hold_lease.fence);
   cf_hold_lease_renew (&g->lease, m->u.hold_lease.fence, m->u.hold_lease.held,
                        cf_gateway_now (s->gateway));
 }
@@ -138,9 +138,9 @@
 cf_led_group_decide_lead (CfLedGroup *g)
 {
   gint64 now = cf_gateway_now (g->service->gateway);
-  gboolean succeeds = g->coordinator.fence == 0 && may_succeed (g);
-  gboolean lead = g->coordinator.fence ? is_heard_by_majority (g)
-                                       : succeeds || may_take_lead (g);
+  gboolean succeeds = g->coordinator.fence == 0 && may_take_over (g);
+  gboolean lead
+      = g->coordinator.fence ? has_majority (g) : succeeds || may_take_lead (g);
 
   /* A gateway that is stopping leads only to end a hold if no other does. */
   lead = lead
@@ -149,14 +149,14 @@
   /* The leader that fenced this gateway off may be the right one; by the end of
    * this time, all ranks have reported which leader they follow. */
   if (g->coordinator.fenced_ms
-      && now - g->coordinator.fenced_ms < RETAKE_LEAD_MS)
+      && now - g->coordinator.fenced_ms < LEAD_RETRY_MS)
     lead = FALSE;
   if (lead && g->coordinator.fence == 0)
     {
       gint64 fence
-          = (g->fence_seen / FENCE_STEP + 1) * FENCE_STEP + g->service->seed;
+          = (g->highest_fence / FENCE_STEP + 1) * FENCE_STEP + g->service->seed;
 
-      g->fence_seen = fence;
+      g->highest_fence = fence;
       g->lease.held = FALSE;
       if (succeeds)
         cf_log (LOG_NOTICE, CF_EV_MAP_SETTLE,
--- a/gateway/rank-service-parts.h
+++ b/gateway/rank-service-parts.h
@@ -69,7 +69,7 @@
   CfRankToken *rank_tokens; /**< by rank */
   gint64 report_lag_ms;     /**< age of the reports that ranks give to other
                                  VMs than their own */
-  gint64 fence_seen;        /**< highest token of any leader */
+  gint64 highest_fence;     /**< highest token of any leader */
   gint64 policy_version;    /**< configuration version from which the
                                  coordinator's pass_aim_ms was read */
   gboolean leads;           /**< this gateway leads the group */
@@ -87,7 +87,7 @@
   CfGateway *gateway;
   int seed; /**< index of this gateway among the seeds; -1: it is none */
   ev_timer timer;
-  gint64 tick_sent_ms;
+  gint64 heartbeat_sent_ms;
   gint64 seq;                       /**< of the last order */
   GHashTable *groups;               /**< name -> #CfLedGroup */
   CfRankServiceNotify notify_seeds; /**< (nullable) */
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -16,7 +16,7 @@
  * served in between. */
 #define MORE_WORK_INTERVAL_S 0.002
 /** Interval of the heartbeats to agents. */
-#define AGENT_TICK_MS 400
+#define HEARTBEAT_MS 400
 /** Ranks of a group whose counters are read often.  A sample of this size
  * shows the demand as well as all ranks would, and saves leaders of large
  * groups the work. */
@@ -39,7 +39,7 @@
 }
 
 static void
-on_want_lists (void *data, int rank)
+on_request_lists (void *data, int rank)
 {
   CfLedGroup *g = data;
   CfPeerMsg m = { .kind = CF_PEER_REQUEST_LISTS };
@@ -49,7 +49,7 @@
 }
 
 static void
-on_state_change (void *data, CfMapState from, CfMapState to, const char *why)
+on_state_changed (void *data, CfMapState from, CfMapState to, const char *why)
 {
   CfLedGroup *g = data;
   const CfMapCoordinator *c = &g->coordinator;
@@ -63,13 +63,13 @@
           " fence=%" G_GINT64_FORMAT " copies=%d skew=%.2f planned=%.2f"
           " pass_ms=%" G_GINT64_FORMAT,
           g->name, cf_map_state_name (from), cf_map_state_name (to), why,
-          c->version, c->step, c->epoch, c->fence, c->n_copies, c->skew_before,
-          c->skew_after, c->pass_ms);
+          c->version, c->pass_to_hold, c->epoch, c->fence, c->n_copies,
+          c->skew_before, c->skew_after, c->pass_ms);
   cf_led_group_renew_lease (g);
 }
 
-static const CfMapCoordinatorCallbacks coordinator_calls
-    = { cf_led_group_on_order, on_want_lists, on_state_change };
+static const CfMapCoordinatorCallbacks coordinator_callbacks
+    = { cf_led_group_on_order, on_request_lists, on_state_changed };
 
 /* Groups */
 
@@ -121,8 +121,8 @@
   g = g_new0 (CfLedGroup, 1);
   g->service = a->service;
   g_strlcpy (g->name, st->group, sizeof g->name);
-  cf_map_coordinator_init (&g->coordinator, &shape, &limits, &coordinator_calls,
-                           g);
+  cf_map_coordinator_init (&g->coordinator, &shape, &limits,
+                           &coordinator_callbacks, g);
   g->agents = g_new0 (CfAgentLink *, shape.ranks);
   g->target_addrs = g_new0 (char *, shape.ranks);
   g->order_watches = g_new0 (CfOrderWatch, shape.ranks);
@@ -170,8 +170,8 @@
 probe_silent_ranks (CfLedGroup *g)
 {
   gint64 now = cf_gateway_now (g->service->gateway);
-  gboolean held
-      = g->coordinator.state == CF_MAP_SETTLING && g->coordinator.step != 0;
+  gboolean held = g->coordinator.state == CF_MAP_SETTLING
+                  && g->coordinator.pass_to_hold != 0;
 
   for (int r = 0; r < g->coordinator.shape.ranks; r++)
     held |= g->coordinator.ranks[r].status.held != 0;
@@ -179,7 +179,7 @@
     {
       /* A go for a hold that ended long ago changes nothing, but shows whether
        * the rank accepts this leader's token. */
-      CfRankOrder probe = { .kind = CF_ORDER_GO, .step = 1 };
+      CfRankOrder probe = { .kind = CF_ORDER_RELEASE, .step = 1 };
 
       /* Agents send the status to a standby only once a second. */
       if (now - MAX (g->coordinator.ranks[r].seen_ms, g->lead_since_ms)
@@ -232,7 +232,7 @@
 /* A gateway that is stopping sends no ticks, so that the next seed takes the
  * lead while this one completes its requests. */
 static void
-send_tick (CfAgentLink *a)
+send_heartbeat (CfAgentLink *a)
 {
   CfPeerMsg m = { .kind = CF_PEER_HEARTBEAT };
 
@@ -244,12 +244,12 @@
 }
 
 static void
-send_ticks (CfRankService *s)
+send_heartbeats (CfRankService *s)
 {
   CfAgentLink *a;
 
   TAILQ_FOREACH (a, &s->agents, entry)
-  send_tick (a);
+  send_heartbeat (a);
 }
 
 static gboolean
@@ -284,7 +284,7 @@
   gboolean is_busy = FALSE;
   gboolean has_more = FALSE;
   gint64 now = cf_gateway_now (s->gateway);
-  gboolean tick_due = now - s->tick_sent_ms >= AGENT_TICK_MS;
+  gboolean heartbeat_due = now - s->heartbeat_sent_ms >= HEARTBEAT_MS;
   GHashTableIter it;
   gpointer v;
 
@@ -295,7 +295,7 @@
 
       if (s->seed >= 0)
         cf_led_group_decide_lead (g);
-      tick_due |= update_announcements (g);
+      heartbeat_due |= update_announcements (g);
       expire_orders (g);
       if (g->leads)
         probe_silent_ranks (g);
@@ -309,10 +309,10 @@
                 : is_busy ? BUSY_INTERVAL_S
                           : IDLE_INTERVAL_S);
   ev_timer_again (loop, t);
-  if (tick_due)
+  if (heartbeat_due)
     {
-      s->tick_sent_ms = now;
-      send_ticks (s);
+      s->heartbeat_sent_ms = now;
+      send_heartbeats (s);
     }
   cf_gateway_enter_activity (s->gateway, before);
 }
@@ -336,15 +336,15 @@
 /* Updates the slowdown factor of a rank's target.  A slow rank delays its whole
  * group, so it is sent fewer requests. */
 static void
-update_pace (CfAgentLink *a, const CfRankStatus *st)
+update_slowdown (CfAgentLink *a, const CfRankStatus *st)
 {
   CfTarget *t = cf_rank_service_target (a->service, a->target_addr);
-  double pace = cf_rank_routing_pace (st, update_broken (a, st));
+  double slowdown = cf_rank_routing_slowdown (st, update_broken (a, st));
 
   if (!t || cf_target_is_older_incarnation (t, st->incarnation))
     return;
   t->slowdown_observed_ms = cf_gateway_now (a->service->gateway);
-  cf_gateway_update_slowdown (a->service->gateway, t, pace, "agent");
+  cf_gateway_update_slowdown (a->service->gateway, t, slowdown, "agent");
 }
 
 static void
@@ -357,22 +357,22 @@
   join_group (a, st);
   if (!a->group)
     return;
-  update_pace (a, st);
+  update_slowdown (a, st);
   update_pass_aim (a);
   a->status_seen_ms = now;
-  cf_order_watch_note_report (&a->group->order_watches[a->rank]);
+  cf_order_watch_note_status (&a->group->order_watches[a->rank]);
   a->seeds_up = m->u.rank_status.seeds_up;
   a->leader_fence = m->u.rank_status.leader_fence;
   /* A map version contains the token of the leader that made it, so it reveals
    * leaders whose orders the agent has forgotten. */
-  a->group->fence_seen
-      = MAX (a->group->fence_seen, m->u.rank_status.fence_seen);
-  a->group->fence_seen
-      = MAX (a->group->fence_seen, cf_map_version_fence (st->map));
-  a->group->fence_seen
-      = MAX (a->group->fence_seen, cf_map_version_fence (st->prepared));
+  a->group->highest_fence
+      = MAX (a->group->highest_fence, m->u.rank_status.highest_fence);
+  a->group->highest_fence
+      = MAX (a->group->highest_fence, cf_map_version_fence (st->map));
+  a->group->highest_fence
+      = MAX (a->group->highest_fence, cf_map_version_fence (st->prepared));
   cf_map_coordinator_take_status (&a->group->coordinator, st,
-                                  m->u.rank_status.fence_seen, now);
+                                  m->u.rank_status.highest_fence, now);
   if (expert_counts && expert_counts->len)
     cf_map_coordinator_add_demand (
         &a->group->coordinator, (const gint64 *)(gpointer)expert_counts->data,
@@ -393,7 +393,7 @@
   a->lacks_base = m->u.order_ack.http_status == CF_PEER_STATUS_UNKNOWN_BASE;
   if (m->u.order_ack.status.group[0])
     cf_map_coordinator_take_status (&g->coordinator, &m->u.order_ack.status,
-                                    m->u.order_ack.fence_seen, now);
+                                    m->u.order_ack.highest_fence, now);
   cf_map_coordinator_take_ack (
       &g->coordinator, a->rank,
       cf_platform_rank_ack_from_status ((int)m->u.order_ack.http_status), now);
@@ -464,7 +464,7 @@
   g_free (a);
 }
 
-static const CfPeerLinkCallbacks link_calls = { on_up, on_frame, on_down };
+static const CfPeerLinkCallbacks link_callbacks = { on_up, on_frame, on_down };
 
 void
 cf_rank_service_notify (CfRankService *s, const CfPeerMsg *m)
@@ -482,10 +482,10 @@
 
   a->service = s;
   a->link = l;
-  cf_peer_link_set_owner (l, &link_calls, a);
+  cf_peer_link_set_owner (l, &link_callbacks, a);
   TAILQ_INSERT_TAIL (&s->agents, a, entry);
   handle_msg (a, first);
-  send_tick (a);
+  send_heartbeat (a);
   /* Agents keep replicas in case all gateways are killed at once. */
   cf_peer_crashes_send_all (s->gateway->quarantine, l, TRUE,
                             s->gateway->now_ms);
--- a/gateway/rank.c
+++ b/gateway/rank.c
@@ -5,12 +5,13 @@
  * it runs passes again. */
 #define BROKEN_GRACE_MS 5000
 /** Slowdown factor of a rank whose group is unusable. */
-#define BROKEN_PACE 100
+#define BROKEN_SLOWDOWN 100
 
 double
-cf_rank_routing_pace (const CfRankStatus *s, gint64 broken_ms)
+cf_rank_routing_slowdown (const CfRankStatus *s, gint64 broken_ms)
 {
-  return broken_ms > BROKEN_GRACE_MS ? MAX (s->pace, BROKEN_PACE) : s->pace;
+  return broken_ms > BROKEN_GRACE_MS ? MAX (s->slowdown, BROKEN_SLOWDOWN)
+                                     : s->slowdown;
 }
 
 const char *
@@ -26,7 +27,7 @@
       return "disarm";
     case CF_ORDER_HOLD:
       return "hold";
-    case CF_ORDER_GO:
+    case CF_ORDER_RELEASE:
       return "go";
     }
   return "unknown";
@@ -52,5 +53,5 @@
 gboolean
 cf_rank_order_is_blocking (CfRankOrderKind k)
 {
-  return k == CF_ORDER_HOLD || k == CF_ORDER_GO;
+  return k == CF_ORDER_HOLD || k == CF_ORDER_RELEASE;
 }
--- a/gateway/rank.h
+++ b/gateway/rank.h
@@ -25,18 +25,18 @@
   gint64 held;        /**< pass that it will not begin until told to */
   gint64 running;     /**< requests */
   gint64 waiting;     /**< requests */
-  double pace;        /**< slowdown factor: 1 is the usual speed, 2 means that
-                           its work takes twice as long */
+  double slowdown;    /**< slowdown factor: 1 is the usual speed, 2 means that
+                       its work takes twice as long */
 } CfRankStatus;
 
 /**
- * cf_rank_routing_pace:
+ * cf_rank_routing_slowdown:
  * @broken_ms: how long its group has run no passes; 0: it runs them
  * Returns: the slowdown factor by which requests are routed to a rank.  A
  *   group that stays broken gets a very high one: its ranks refuse requests
  *   at once and would otherwise always look the least loaded.
  */
-double cf_rank_routing_pace (const CfRankStatus *s, gint64 broken_ms);
+double cf_rank_routing_slowdown (const CfRankStatus *s, gint64 broken_ms);
 
 /** CfRankOrderKind: the tag of a #CfRankOrder. */
 typedef enum
@@ -45,7 +45,7 @@
   CF_ORDER_ARM,     /**< switch to @version when pass @step begins */
   CF_ORDER_DISARM,  /**< cancel the switch to @version */
   CF_ORDER_HOLD,    /**< do not begin pass @step before a go order */
-  CF_ORDER_GO,      /**< end the hold of pass @step */
+  CF_ORDER_RELEASE, /**< end the hold of pass @step */
 } CfRankOrderKind;
 
 const char *cf_rank_order_name (CfRankOrderKind k);
--- a/gateway/set-plan.c
+++ b/gateway/set-plan.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 /** A rank whose slowdown factor is higher than this is slow. */
-#define SLOW_RANK_PACE 1.3
+#define SLOW_RANK_MIN_SLOWDOWN 1.3
 /** Limit on the ranks considered as receivers of an expert, those with the
  * least time first.  A busier rank is never the best receiver, and the time
  * of the search grows with their number. */
@@ -68,7 +68,7 @@
 
 void
 cf_set_plan_init (CfSetPlan *s, const CfGroupMap *from, CfGroupMap *m, int set,
-                  const double *demand, const double *pace)
+                  const double *demand, const double *slowdown)
 {
   const CfGroupShape *shape = &from->shape;
 
@@ -76,7 +76,7 @@
   s->from = from;
   s->m = m;
   s->set = set;
-  s->pace = pace;
+  s->slowdown = slowdown;
   s->tokens = g_new (double, shape->experts);
   s->copies = g_new (int, shape->experts);
   s->first_holder = g_new (int, shape->experts);
@@ -99,16 +99,16 @@
 }
 
 static double
-rank_pace (const CfSetPlan *s, int rank)
+rank_slowdown (const CfSetPlan *s, int rank)
 {
-  return s->pace ? s->pace[rank] : 1;
+  return s->slowdown ? s->slowdown[rank] : 1;
 }
 
 /* The time that a rank takes for its load. */
 static double
 rank_time (const CfSetPlan *s, int rank)
 {
-  return s->load[rank] * rank_pace (s, rank);
+  return s->load[rank] * rank_slowdown (s, rank);
 }
 
 static int
@@ -140,7 +140,7 @@
 static double
 cost_change (const CfSetPlan *s, int rank, double load_change)
 {
-  return time_cost ((s->load[rank] + load_change) * rank_pace (s, rank))
+  return time_cost ((s->load[rank] + load_change) * rank_slowdown (s, rank))
          - time_cost (rank_time (s, rank));
 }
 
@@ -254,8 +254,8 @@
   *at = (gint16)e;
   after = cf_group_map_count_rank_added (s->from, s->m, s->set, rank);
   *at = old;
-  return after <= s->max_new
-         && s->added[rank] - before + after <= s->max_rank_new;
+  return after <= s->max_set_copies
+         && s->added[rank] - before + after <= s->max_rank_copies;
 }
 
 /* Only slow ranks transfer or drop experts.  Between ranks of the same speed
@@ -264,7 +264,7 @@
 static gboolean
 is_slow (const CfSetPlan *s, int rank)
 {
-  return rank_pace (s, rank) > SLOW_RANK_PACE;
+  return rank_slowdown (s, rank) > SLOW_RANK_MIN_SLOWDOWN;
 }
 
 static void
@@ -330,9 +330,9 @@
 static gboolean
 may_copy_more (const CfSetPlan *s, int rank)
 {
-  return s->added[rank] < s->max_rank_new
+  return s->added[rank] < s->max_rank_copies
          && cf_group_map_count_rank_added (s->from, s->m, s->set, rank)
-                < s->max_new;
+                < s->max_set_copies;
 }
 
 static int
@@ -390,7 +390,7 @@
 }
 
 double
-cf_set_plan_relief (const CfSetPlan *s, const CfMove *mv)
+cf_set_plan_removed_load (const CfSetPlan *s, const CfMove *mv)
 {
   double top = rank_time (s, slowest_rank (s));
 
--- a/gateway/set-plan.h
+++ b/gateway/set-plan.h
@@ -32,7 +32,7 @@
 } CfMove;
 
 /** CfSetPlan: the state of the search for one set.  It owns the arrays that
- * cf_set_plan_init() allocates; @pace and @added belong to the caller. */
+ * cf_set_plan_init() allocates; @slowdown and @added belong to the caller. */
 typedef struct
 {
   const CfGroupMap *from; /**< the map in use */
@@ -45,21 +45,21 @@
   int *next_holder;    /**< by place: the next with the same expert, or -1 */
   double *load;        /**< by rank, before its slowdown factor */
   int *receivers;      /**< scratch: ranks that may receive an expert */
-  const double *pace;  /**< (nullable): by rank: its slowdown factor, 1 being
-                            the usual speed; %NULL: 1 for all */
-  int max_new;         /**< experts of this set that a rank may copy */
-  const int *added;    /**< by rank: experts of all sets that it copies */
-  int max_rank_new;    /**< experts of all sets that a rank may copy */
+  const double *slowdown; /**< (nullable): by rank: its slowdown factor, 1 being
+                           the usual speed; %NULL: 1 for all */
+  int max_set_copies;     /**< experts of this set that a rank may copy */
+  const int *added;       /**< by rank: experts of all sets that it copies */
+  int max_rank_copies;    /**< experts of all sets that a rank may copy */
 } CfSetPlan;
 
 /**
  * cf_set_plan_init:
- * Prepares the search; @max_new, @added and @max_rank_new are left for the
- * caller to fill.
+ * Prepares the search; @max_set_copies, @added and @max_rank_copies are left
+ * for the caller to fill.
  * @demand: by expert of the set, in any unit
  */
 void cf_set_plan_init (CfSetPlan *s, const CfGroupMap *from, CfGroupMap *m,
-                       int set, const double *demand, const double *pace);
+                       int set, const double *demand, const double *slowdown);
 void cf_set_plan_clear (CfSetPlan *s);
 
 /** cf_set_plan_skew: the time that the slowest rank takes for its load,
@@ -70,9 +70,9 @@
  * most, among those that take load off the slowest rank. */
 CfMove cf_set_plan_find_best_move (CfSetPlan *s);
 
-/** cf_set_plan_relief: estimates from the total cost, in even shares, how
+/** cf_set_plan_removed_load: estimates from the total cost, in even shares, how
  * much @mv takes off the slowest rank; 0 if there is no move. */
-double cf_set_plan_relief (const CfSetPlan *s, const CfMove *mv);
+double cf_set_plan_removed_load (const CfSetPlan *s, const CfMove *mv);
 
 /** cf_set_plan_may_apply: whether the copies that @mv needs are still within
  * the limits of the ranks. */
--- a/t/t-balancer.c
+++ b/t/t-balancer.c
@@ -126,19 +126,19 @@
  * lost. */
 START_TEST (ranks_of_broken_group_are_avoided)
 {
-  const CfRankStatus s = { .pace = 1 };
+  const CfRankStatus s = { .slowdown = 1 };
   CfTarget *t;
 
   get ("b")->in_flight = 1;
   get ("c")->in_flight = 1;
   /* A group whose rank is being replaced is complete again soon. */
-  get ("a")->slowdown = cf_rank_routing_pace (&s, 2000);
+  get ("a")->slowdown = cf_rank_routing_slowdown (&s, 2000);
   ck_assert_int_eq (pick (100, NULL, &t), CF_PICK_OK);
   ck_assert_ptr_eq (t, get ("a"));
-  get ("a")->slowdown = cf_rank_routing_pace (&s, 60000);
+  get ("a")->slowdown = cf_rank_routing_slowdown (&s, 60000);
   ck_assert_int_eq (pick (100, NULL, &t), CF_PICK_OK);
   ck_assert_ptr_ne (t, get ("a"));
-  get ("a")->slowdown = cf_rank_routing_pace (&s, 0);
+  get ("a")->slowdown = cf_rank_routing_slowdown (&s, 0);
   ck_assert_int_eq (pick (100, NULL, &t), CF_PICK_OK);
   ck_assert_ptr_eq (t, get ("a"));
 }
--- a/t/t-coordinator.c
+++ b/t/t-coordinator.c
@@ -146,7 +146,7 @@
         return 409;
       r->s.held = o->step;
       return 202;
-    case CF_ORDER_GO:
+    case CF_ORDER_RELEASE:
       if (r->s.held == o->step)
         r->s.held = 0;
       return 200;
@@ -278,9 +278,10 @@
                                .ranks = RANKS,
                                .places = PLACES,
                                .spare = 2 };
-  const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 0, .min_gain = 0.05, .min_move_gain = 0.02
-  };
+  const CfPlanLimits limits = { .max_set_copies = 1,
+                                .max_rank_copies = 0,
+                                .min_gain = 0.05,
+                                .min_move_gain = 0.02 };
 
   cf_map_coordinator_init (&l->c, &shape, &limits, &callbacks, l);
 }
@@ -392,7 +393,7 @@
 static void
 report_all (Leader *l)
 {
-  gint64 drawn[SETS * EXPERTS];
+  gint64 increases[SETS * EXPERTS];
 
   for (int i = 0; i < RANKS; i++)
     {
@@ -405,8 +406,8 @@
                                       w.ranks[i].agent_fence, w.now);
       /* The demand shifts every three seconds. */
       for (int e = 0; e < SETS * EXPERTS; e++)
-        drawn[e] = 100 * (1 + (e + w.now / 3000) % 5);
-      cf_map_coordinator_add_demand (&l->c, drawn, SETS * EXPERTS);
+        increases[e] = 100 * (1 + (e + w.now / 3000) % 5);
+      cf_map_coordinator_add_demand (&l->c, increases, SETS * EXPERTS);
     }
 }
 
@@ -680,7 +681,7 @@
     }
   c->state = CF_MAP_RELEASING;
   c->version = 40;
-  c->step = 7;
+  c->pass_to_hold = 7;
   c->holder = 2;
   cf_map_coordinator_take_held (c, 2, 1, 7);
   cf_map_coordinator_tick (c, 1210);
@@ -867,14 +868,15 @@
   const CfGroupShape shape = {
     .sets = 2, .experts = 384, .ranks = LARGE_RANKS, .places = 3, .spare = 2
   };
-  const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 1, .min_gain = 0.1, .min_move_gain = 0.05
-  };
+  const CfPlanLimits limits = { .max_set_copies = 1,
+                                .max_rank_copies = 1,
+                                .min_gain = 0.1,
+                                .min_move_gain = 0.05 };
   static const CfMapCoordinatorCallbacks quiet
       = { count_order, ignore_list_request, ignore_state_change };
   CfGroupMap *m = cf_group_map_round_robin (&shape);
   CfRankStatus st = { .group = "g", .size = LARGE_RANKS, .epoch = 1 };
-  gint64 drawn[2 * 384];
+  gint64 increases[2 * 384];
 
   st.open = TRUE;
   cf_map_coordinator_init (c, &shape, &limits, &quiet, NULL);
@@ -890,9 +892,9 @@
   for (int w = 0; w < 4; w++)
     {
       for (int e = 0; e < 2 * 384; e++)
-        drawn[e] = e % 384 < 30 ? 900 : 10;
+        increases[e] = e % 384 < 30 ? 900 : 10;
       for (int r = 0; r < LARGE_RANKS; r++)
-        cf_map_coordinator_add_demand (c, drawn, G_N_ELEMENTS (drawn));
+        cf_map_coordinator_add_demand (c, increases, G_N_ELEMENTS (increases));
       cf_map_coordinator_tick (c, *now += 100);
     }
 }
--- a/t/t-decode-fuzz.c
+++ b/t/t-decode-fuzz.c
@@ -180,7 +180,7 @@
 
       if (cf_platform_rank_parse_report (s->str, s->len, &r) == CF_OK)
         {
-          ck_assert (r.pace >= 1 && r.pace <= 1000);
+          ck_assert (r.slowdown >= 1 && r.slowdown <= 1000);
           ck_assert (r.rank >= 0 && (!r.group[0] || r.rank < r.size));
           ck_assert (r.size <= CF_RANKS_MAX && r.epoch >= 0 && r.held >= 0);
           ck_assert (r.map >= 0 && r.prepared >= 0 && r.armed >= 0);
--- a/t/t-group-map.c
+++ b/t/t-group-map.c
@@ -24,7 +24,7 @@
 }
 
 static void
-check_bounds (const CfGroupMap *from, const CfGroupMap *to, int max_new)
+check_bounds (const CfGroupMap *from, const CfGroupMap *to, int max_set_copies)
 {
   ck_assert (cf_group_map_is_complete (to));
   for (int s = 0; s < small_shape.sets; s++)
@@ -38,16 +38,17 @@
 
             added += e >= 0 && !cf_group_map_holds (from, s, r, e);
           }
-        ck_assert_int_le (added, max_new);
+        ck_assert_int_le (added, max_set_copies);
       }
 }
 
 /* The skew before the change is 3.05 at seed 1. */
 START_TEST (one_change_removes_most_skew)
 {
-  const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 0, .min_gain = 0.02, .min_move_gain = 0.01
-  };
+  const CfPlanLimits limits = { .max_set_copies = 1,
+                                .max_rank_copies = 0,
+                                .min_gain = 0.02,
+                                .min_move_gain = 0.01 };
 
   for (guint32 seed = 1; seed <= 50; seed++)
     {
@@ -70,12 +71,14 @@
  * stays nearly as low. */
 START_TEST (gain_limits_save_copies_at_little_skew)
 {
-  const CfPlanLimits all = {
-    .max_new = 1, .max_rank_new = 0, .min_gain = 0.02, .min_move_gain = 0.01
-  };
-  const CfPlanLimits strict = {
-    .max_new = 1, .max_rank_new = 0, .min_gain = 0.2, .min_move_gain = 0.12
-  };
+  const CfPlanLimits all = { .max_set_copies = 1,
+                             .max_rank_copies = 0,
+                             .min_gain = 0.02,
+                             .min_move_gain = 0.01 };
+  const CfPlanLimits strict = { .max_set_copies = 1,
+                                .max_rank_copies = 0,
+                                .min_gain = 0.2,
+                                .min_move_gain = 0.12 };
   int n_all = 0;
   int n_few = 0;
   double worst = 0;
@@ -104,13 +107,14 @@
  * group would wait for about five times the time of an even share. */
 START_TEST (slow_ranks_are_relieved)
 {
-  const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 0, .min_gain = 0.2, .min_move_gain = 0.12
-  };
-  double pace[16];
+  const CfPlanLimits limits = { .max_set_copies = 1,
+                                .max_rank_copies = 0,
+                                .min_gain = 0.2,
+                                .min_move_gain = 0.12 };
+  double slowdown[16];
 
   for (int r = 0; r < small_shape.ranks; r++)
-    pace[r] = r == 3 ? 5 : 1;
+    slowdown[r] = r == 3 ? 5 : 1;
   for (guint32 seed = 1; seed <= 50; seed++)
     {
       CfGroupMap *m = cf_group_map_round_robin (&small_shape);
@@ -118,7 +122,7 @@
 
       for (int i = 0; i < 4; i++)
         {
-          CfGroupMap *to = cf_group_map_plan (m, t, pace, &limits);
+          CfGroupMap *to = cf_group_map_plan (m, t, slowdown, &limits);
 
           if (!to)
             break;
@@ -126,7 +130,7 @@
           cf_group_map_free (m);
           m = to;
         }
-      ck_assert_double_lt (cf_group_map_skew (m, t, pace), 1.8);
+      ck_assert_double_lt (cf_group_map_skew (m, t, slowdown), 1.8);
       cf_group_map_free (m);
       g_free (t);
     }
@@ -160,9 +164,10 @@
  * 1.25 with the second. */
 START_TEST (small_changes_make_the_best_copies_first)
 {
-  const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 1, .min_gain = 0.02, .min_move_gain = 0.01
-  };
+  const CfPlanLimits limits = { .max_set_copies = 1,
+                                .max_rank_copies = 1,
+                                .min_gain = 0.02,
+                                .min_move_gain = 0.01 };
   double skew[3] = { 0 };
 
   for (guint32 seed = 1; seed <= 50; seed++)
@@ -191,9 +196,10 @@
 
 START_TEST (no_change_without_gain)
 {
-  const CfPlanLimits limits = {
-    .max_new = 2, .max_rank_new = 0, .min_gain = 0.05, .min_move_gain = 0.01
-  };
+  const CfPlanLimits limits = { .max_set_copies = 2,
+                                .max_rank_copies = 0,
+                                .min_gain = 0.05,
+                                .min_move_gain = 0.01 };
   CfGroupMap *from = cf_group_map_round_robin (&small_shape);
   double *t = g_new (double, small_shape.sets *small_shape.experts);
 
@@ -212,9 +218,10 @@
  * within the copy limit. */
 START_TEST (maps_stay_complete_over_many_changes)
 {
-  const CfPlanLimits limits = {
-    .max_new = 2, .max_rank_new = 0, .min_gain = 0.05, .min_move_gain = 0.02
-  };
+  const CfPlanLimits limits = { .max_set_copies = 2,
+                                .max_rank_copies = 0,
+                                .min_gain = 0.05,
+                                .min_move_gain = 0.02 };
   CfGroupMap *m = cf_group_map_round_robin (&small_shape);
 
   for (guint32 seed = 1; seed <= 200; seed++)
@@ -258,9 +265,10 @@
  */
 START_TEST (large_plans_are_made_in_short_steps)
 {
-  const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 1, .min_gain = 0.2, .min_move_gain = 0.12
-  };
+  const CfPlanLimits limits = { .max_set_copies = 1,
+                                .max_rank_copies = 1,
+                                .min_gain = 0.2,
+                                .min_move_gain = 0.12 };
   CfGroupMap *from = cf_group_map_round_robin (&large_shape);
   double total_ms = G_MAXDOUBLE;
   double step_ms = G_MAXDOUBLE;
@@ -327,9 +335,10 @@
  * Applied to the map that a group starts with, it gives the new map. */
 START_TEST (a_diff_rebuilds_the_map)
 {
-  const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 1, .min_gain = 0.2, .min_move_gain = 0.12
-  };
+  const CfPlanLimits limits = { .max_set_copies = 1,
+                                .max_rank_copies = 1,
+                                .min_gain = 0.2,
+                                .min_move_gain = 0.12 };
   CfGroupMap *from = cf_group_map_round_robin (&large_shape);
   double *t = random_demand (&large_shape, 2);
   CfGroupMap *to = cf_group_map_plan (from, t, NULL, &limits);
--- a/t/t-map-gain.c
+++ b/t/t-map-gain.c
@@ -54,11 +54,11 @@
   CfPlanLimits quick = cf_map_choose_limits (7.6, 10);
   CfPlanLimits few_sets = cf_map_choose_limits (1, 4);
 
-  ck_assert_int_eq (unknown.max_rank_new, 1);
-  ck_assert_int_eq (slow.max_rank_new, 1);
+  ck_assert_int_eq (unknown.max_rank_copies, 1);
+  ck_assert_int_eq (slow.max_rank_copies, 1);
   ck_assert_double_eq (slow.min_move_gain, unknown.min_move_gain);
-  ck_assert_int_eq (quick.max_rank_new, 7);
-  ck_assert_int_eq (few_sets.max_rank_new, 4);
+  ck_assert_int_eq (quick.max_rank_copies, 7);
+  ck_assert_int_eq (few_sets.max_rank_copies, 4);
   ck_assert_double_lt (quick.min_move_gain, slow.min_move_gain);
 }
 END_TEST
--- a/t/t-order-watch.c
+++ b/t/t-order-watch.c
@@ -30,7 +30,7 @@
   ck_assert (cf_order_watch_check_expiry (&w, 1131));
   ck_assert (!cf_order_watch_check_expiry (&w, 2000));
   ck_assert (cf_order_watch_is_agent_bypassed (&w));
-  cf_order_watch_note_report (&w);
+  cf_order_watch_note_status (&w);
   ck_assert (!cf_order_watch_is_agent_bypassed (&w));
 }
 END_TEST
@@ -40,7 +40,7 @@
   CfOrderWatch w = { 0 };
 
   ck_assert (cf_order_watch_is_sent_direct (&w, CF_ORDER_HOLD));
-  ck_assert (cf_order_watch_is_sent_direct (&w, CF_ORDER_GO));
+  ck_assert (cf_order_watch_is_sent_direct (&w, CF_ORDER_RELEASE));
   ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_PREPARE));
   ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_ARM));
   ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_DISARM));
