--- a/gateway/expert-counts.c
+++ b/gateway/expert-counts.c
@@ -22,11 +22,12 @@
          && now_ms - c->read_at_ms <= SAMPLE_MAX_AGE_MS;
 }
 
-/* %NULL if a counter decreased, that is, the rank reset its counters. */
+/* Returns the increase of each counter; %NULL if one decreased, that is, the
+ * rank reset its counters. */
 static GArray *
 subtract (const GArray *counts, const GArray *before)
 {
-  GArray *delta
+  GArray *increases
       = g_array_sized_new (FALSE, FALSE, sizeof (gint64), counts->len);
 
   for (guint i = 0; i < counts->len; i++)
@@ -36,26 +37,26 @@
 
       if (increase < 0)
         {
-          g_array_unref (delta);
+          g_array_unref (increases);
           return NULL;
         }
-      g_array_append_val (delta, increase);
+      g_array_append_val (increases, increase);
     }
-  return delta;
+  return increases;
 }
 
 GArray *
-cf_expert_counts_take_delta (CfExpertCounts *c, GArray *counts,
-                             gint64 incarnation, gint64 now_ms)
+cf_expert_counts_take_increases (CfExpertCounts *c, GArray *counts,
+                                 gint64 incarnation, gint64 now_ms)
 {
-  GArray *delta = NULL;
+  GArray *increases = NULL;
 
   if (is_comparable (c, counts, incarnation, now_ms))
-    delta = subtract (counts, c->last);
+    increases = subtract (counts, c->last);
   if (c->last)
     g_array_unref (c->last);
   c->last = counts;
   c->incarnation = incarnation;
   c->read_at_ms = now_ms;
-  return delta;
+  return increases;
 }
--- a/gateway/expert-demand.c
+++ b/gateway/expert-demand.c
@@ -2,8 +2,9 @@
 
 #include <math.h>
 
-/** The weight of a window halves in this time.  With less, maps follow the
- * choices of single requests; a shift of demand does not wait for it. */
+/** The weight of a window halves in this time.  With a shorter one, maps would
+ * follow the choices of single requests.  A shift of demand takes effect at
+ * once, whatever this time is. */
 #define DEMAND_HALF_LIFE_MS 250.0
 /** Minimum length of a window, the interval between two readings of a
  * sampled rank. */
@@ -11,8 +12,8 @@
 /** A window stays open until this many ranks, or half of the group if that is
  * fewer, have reported. */
 #define WINDOW_MIN_REPORTS 8
-/** A window in which more than this share of the demand moved to other
- * experts counts as a shift. */
+/** A window counts as a shift if more than this share of the demand moved to
+ * other experts since the windows before it. */
 #define SHIFT_MIN_SHARE 0.16
 
 void
@@ -99,7 +100,7 @@
 }
 
 gboolean
-cf_expert_demand_is_settled (const CfExpertDemand *d)
+cf_expert_demand_is_stable (const CfExpertDemand *d)
 {
   if (d->shifting)
     return FALSE;
--- a/gateway/expert-demand.h
+++ b/gateway/expert-demand.h
@@ -38,10 +38,10 @@
 void cf_expert_demand_tick (CfExpertDemand *d, gint64 now_ms);
 
 /**
- * cf_expert_demand_is_settled:
- * Whether a map may be planned: there is some demand, and no shift has been
- * counted only in part.  A shift falls within a window, which therefore shows
- * a mixture of old and new demand; a map planned for the mixture would be out
- * of date once in use, and a second change would follow each time.
+ * cf_expert_demand_is_stable:
+ * Whether a map may be planned: there is some demand, and the last window was
+ * not the one within which a shift fell.  Such a window shows a mixture of old
+ * and new demand; a map planned for the mixture would be out of date once in
+ * use, and a second change would follow each time.
  */
-gboolean cf_expert_demand_is_settled (const CfExpertDemand *d);
+gboolean cf_expert_demand_is_stable (const CfExpertDemand *d);
--- a/gateway/hold-lease.h
+++ b/gateway/hold-lease.h
@@ -6,12 +6,12 @@
  * CfHoldLease:
  * A standby's view of a leader that holds a pass of a group.  The whole group
  * waits while a pass is held, so the leader keeps renewing a short lease with
- * the gateways that may succeed it.  Once the lease expires, the next in line
- * takes over, before agents would report that the leader is gone.
+ * the gateways that may succeed it.  Once the lease expires, the first of them
+ * takes over, sooner than the agents would report that the leader is gone.
  */
 typedef struct
 {
-  gint64 fence;      /**< highest fencing token heard recently */
+  gint64 fence;      /**< highest fencing token of a recent lease */
   gboolean held;     /**< whether that leader holds a pass */
   gint64 renewed_ms; /**< when it last sent its lease */
 } CfHoldLease;
@@ -28,14 +28,14 @@
 void cf_hold_lease_renew (CfHoldLease *l, gint64 fence, gboolean held,
                           gint64 now_ms);
 
-/** cf_hold_lease_is_open: whether a leader may be holding a pass, as far as
+/** cf_hold_lease_is_active: whether a leader may be holding a pass, as far as
  * this standby knows. */
-gboolean cf_hold_lease_is_open (const CfHoldLease *l, gint64 now_ms);
+gboolean cf_hold_lease_is_active (const CfHoldLease *l, gint64 now_ms);
 
 /**
  * cf_hold_lease_has_expired:
- * @place: number of standbys before this one in line; each is given time to
- *   take over before the next one does
+ * @n_ahead: number of standbys that are to take over before this one; each is
+ *   given time to do so
  */
-gboolean cf_hold_lease_has_expired (const CfHoldLease *l, int place,
+gboolean cf_hold_lease_has_expired (const CfHoldLease *l, int n_ahead,
                                     gint64 now_ms);
--- a/gateway/map-coordinator-parts.h
+++ b/gateway/map-coordinator-parts.h
@@ -11,16 +11,16 @@
  * the ranks' reports.  All of them use map-coordinator-view.c.
  */
 
-/** An unanswered order is sent again after this time.  An answer takes about
- * 5 ms through the agent on the rank's VM, which retries the order for up to
- * 0.1 s. */
+/** An unanswered order is sent again after this time.  Through the agent on the
+ * rank's VM, an answer takes about 5 ms; if the rank does not answer, the agent
+ * itself retries the order for up to 0.1 s. */
 #define CF_MAP_ORDER_RETRY_MS 120
-/** Retry time of an order to prepare.  Copies take about a second; the order is
+/** The same for an order to prepare.  Copies take about a second; the order is
  * repeated only in case it was lost, and a rank that already has it says so. */
 #define CF_MAP_PREPARE_RETRY_MS 250
 /** Pause before the next plan after a change was given up. */
 #define CF_MAP_ABORT_PAUSE_MS 500
-/** Maximum distance from the newest known pass to the one to hold. */
+/** Maximum number of passes from the newest known one to the one to hold. */
 #define CF_MAP_MAX_PASSES_AHEAD 48
 
 /* The group as a whole */
@@ -42,8 +42,8 @@
 
 gboolean cf_map_version_is_barrier (gint64 version);
 
-/** cf_map_has_all_statuses_since: whether every rank has reported after @since,
- * in this epoch and while its group makes passes. */
+/** cf_map_has_all_statuses_since: whether every rank's status is as of a
+ * time after @since, of this epoch, and says that the group runs passes. */
 gboolean cf_map_has_all_statuses_since (const CfMapCoordinator *c,
                                         gint64 since);
 
@@ -67,10 +67,10 @@
 /** cf_map_request_lists: requests the expert lists that are not known. */
 void cf_map_request_lists (CfMapCoordinator *c, gint64 now);
 
-/* The work of each state at a tick */
+/* What a tick does in each state */
 
-/** cf_map_run_settling: once all ranks have reported, finds out which change
- * is pending. */
+/** cf_map_run_settling: once the status of every rank is known, finds out
+ * which change is pending. */
 void cf_map_run_settling (CfMapCoordinator *c, gint64 now);
 
 /** cf_map_run_invalidating: disarms every rank and has it prepare a barrier
--- a/gateway/map-coordinator-plan.c
+++ b/gateway/map-coordinator-plan.c
@@ -23,7 +23,7 @@
   if (CF_WITHOUT_MAP_CHANGES || now < c->idle_until_ms)
     return FALSE;
   if (!cf_map_has_all_statuses_since (c, 0)
-      || !cf_expert_demand_is_settled (&c->demand))
+      || !cf_expert_demand_is_stable (&c->demand))
     return FALSE;
   if (cf_map_is_in_use_known (c))
     return TRUE;
@@ -71,7 +71,7 @@
     }
   if (!may_plan (c, now))
     {
-      /* The demand has shifted, or a rank does not report. */
+      /* The demand has shifted, or a rank sends no status. */
       g_clear_pointer (&c->plan, cf_map_plan_free);
       return;
     }
--- a/gateway/map-coordinator-reports.c
+++ b/gateway/map-coordinator-reports.c
@@ -3,7 +3,7 @@
 /** A longer time between two passes means that the group was idle. */
 #define MAX_PASS_MS 1000
 
-/* The group formed anew: all pending changes are void. */
+/* The group re-formed: all pending changes are void. */
 static void
 start_epoch (CfMapCoordinator *c, gint64 epoch, gint64 now)
 {
@@ -16,16 +16,16 @@
   cf_map_enter_state (c, CF_MAP_SETTLING, "new-epoch", now);
 }
 
-/* Updates the duration of passes from the newest pass that ranks report. */
+/* Updates the duration of passes from the newest pass that a rank has begun. */
 static void
-update_pass_time (CfMapCoordinator *c, gint64 step, gint64 now)
+update_pass_time (CfMapCoordinator *c, gint64 pass, gint64 now)
 {
   gint64 ms;
 
-  if (step <= c->newest_pass)
+  if (pass <= c->newest_pass)
     return;
-  ms = (now - c->newest_pass_ms) / (step - c->newest_pass);
-  c->newest_pass = step;
+  ms = (now - c->newest_pass_ms) / (pass - c->newest_pass);
+  c->newest_pass = pass;
   c->newest_pass_ms = now;
   if (ms > MAX_PASS_MS)
     c->pass_ms = 0;
@@ -33,10 +33,10 @@
     c->pass_ms = c->pass_ms ? (c->pass_ms + ms) / 2 : ms;
 }
 
-/* Gives up the lead, as a rank is guarded by a higher token: this leader sends
- * no more orders. */
+/* Loses the lead, as a higher token guards a rank: this leader sends no more
+ * orders. */
 static void
-stop_leading (CfMapCoordinator *c, gint64 now)
+lose_lead (CfMapCoordinator *c, gint64 now)
 {
   c->fence = 0;
   c->fenced_ms = now;
@@ -51,10 +51,10 @@
          && s->epoch <= v->status.epoch;
 }
 
-/* The rank restarted: no order that it got before is in effect or known to it,
- * and its status names the token that guards it now.  The next reports will
- * show that its group formed anew; until then no pending change can
- * continue. */
+/* The rank restarted: it has forgotten all earlier orders, none of which is in
+ * effect any more, and its status names the token that guards it now.  Later
+ * statuses will show that its group re-formed; until then, no pending change
+ * can continue. */
 static void
 handle_restart (CfMapCoordinator *c, int rank, gint64 now)
 {
@@ -83,7 +83,7 @@
   v->status = *s;
   update_pass_time (c, s->step, now);
   if (c->fence && token > c->fence)
-    stop_leading (c, now);
+    lose_lead (c, now);
   v->token = token;
   v->seen_ms = as_of;
   if (!s->open && c->state != CF_MAP_SETTLING)
@@ -201,7 +201,7 @@
       handle_refusal (c, rank, now);
       break;
     case CF_RANK_ACK_FENCED:
-      stop_leading (c, now);
+      lose_lead (c, now);
       break;
     }
 }
--- a/gateway/map-coordinator-settle.c
+++ b/gateway/map-coordinator-settle.c
@@ -2,7 +2,7 @@
 
 /* Whether this leader's token, or a higher one, guards every rank. */
 static gboolean
-is_guarding_all_ranks (const CfMapCoordinator *c)
+guards_all_ranks (const CfMapCoordinator *c)
 {
   for (int r = 0; r < c->shape.ranks; r++)
     if (c->ranks[r].token < c->fence)
@@ -15,21 +15,21 @@
 static gint64
 find_only_hold (const CfMapCoordinator *c, int *holder)
 {
-  gint64 step = 0;
+  gint64 pass = 0;
 
   for (int r = 0; r < c->shape.ranks; r++)
     {
       gint64 held = c->ranks[r].status.held;
 
-      if (held && step && held != step)
+      if (held && pass && held != pass)
         return 0;
       if (held)
         {
-          step = held;
+          pass = held;
           *holder = r;
         }
     }
-  return step;
+  return pass;
 }
 
 /* Returns the version that every rank has armed, prepared or in use; 0 if the
@@ -56,13 +56,12 @@
 {
   gboolean held;
   int holder = 0;
-  gint64 step;
+  gint64 pass;
 
-  if (!cf_map_has_all_statuses_since (c, c->state_ms)
-      || !is_guarding_all_ranks (c))
+  if (!cf_map_has_all_statuses_since (c, c->state_ms) || !guards_all_ranks (c))
     return;
   held = cf_map_has_held_pass (c);
-  step = find_only_hold (c, &holder);
+  pass = find_only_hold (c, &holder);
   if (!held && !cf_map_has_armed_rank (c))
     {
       cf_map_enter_state (c, CF_MAP_IDLE, "nothing-pending", now);
@@ -72,11 +71,11 @@
   c->version = find_common_version (c);
   if (c->version && !held)
     cf_map_enter_state (c, CF_MAP_SWITCHING, "all-armed", now);
-  /* With a barrier version, the leader before may be about to end the hold;
+  /* With a barrier version, the previous leader may be about to end the hold;
    * ranks armed for that pass could then begin it with different maps. */
-  else if (c->version && step && !cf_map_version_is_barrier (c->version))
+  else if (c->version && pass && !cf_map_version_is_barrier (c->version))
     {
-      c->pass_to_hold = step;
+      c->pass_to_hold = pass;
       c->holder = holder;
       c->hold_start_ms = now;
       cf_map_enter_state (c, CF_MAP_ARMING, "earlier-leader-held", now);
--- a/gateway/map-coordinator-switch.c
+++ b/gateway/map-coordinator-switch.c
@@ -10,11 +10,11 @@
 static gint64
 find_newest_pass (const CfMapCoordinator *c)
 {
-  gint64 step = 0;
+  gint64 pass = 0;
 
   for (int r = 0; r < c->shape.ranks; r++)
-    step = MAX (step, c->ranks[r].status.step);
-  return step;
+    pass = MAX (pass, c->ranks[r].status.step);
+  return pass;
 }
 
 int
@@ -122,7 +122,7 @@
 }
 
 static gboolean
-has_all_switched (const CfMapCoordinator *c)
+have_all_switched (const CfMapCoordinator *c)
 {
   for (int r = 0; r < c->shape.ranks; r++)
     if (c->ranks[r].status.map != c->version)
@@ -144,7 +144,7 @@
 void
 cf_map_run_switching (CfMapCoordinator *c, gint64 now)
 {
-  if (has_all_switched (c))
+  if (have_all_switched (c))
     {
       adopt_next (c);
       c->n_changes++;
--- a/gateway/map-coordinator.c
+++ b/gateway/map-coordinator.c
@@ -4,13 +4,14 @@
 
 /** After a longer gap between ticks another gateway may have led meanwhile, so
  * the coordinator settles again.  No other gateway takes the lead before agents
- * have heard nothing from this one for 1,300 ms, of which 400 ms may have
+ * have received no heartbeat of this one for 1,300 ms, of which 400 ms may have
  * passed before the gap; a shorter gap is that of a process that was busy or
  * got little processor time. */
 #define MAX_TICK_GAP_MS 800
-/** Time to hold a pass and arm 16 ranks, until the real time is known.  It sets
- * how many passes ahead a pass is held: with too few, the group stops and its
- * callers wait; with too many, it runs longer with the worse map. */
+/** Assumed time to hold a pass and arm all ranks, as for 16 ranks, until it is
+ * known for the group.  It sets how many passes ahead a pass is held: with too
+ * few, the group stops and its callers wait; with too many, it runs longer with
+ * the worse map. */
 #define INITIAL_ARMING_MS 60
 
 const char *
--- a/gateway/map-coordinator.h
+++ b/gateway/map-coordinator.h
@@ -7,12 +7,14 @@
 /**
  * Changes a rank group's expert maps at one pass, on every rank or on none.
  *
- * The coordinator advances only on what the ranks report, never on what it
- * has sent: an order may be lost, carried out seconds late, or carried out
- * twice.  It keeps these rules, which docs/MAP-CHANGE.md explains:
+ * The coordinator advances only on the statuses of the ranks, never on what
+ * it has sent: an order may be lost, carried out seconds late, or carried out
+ * twice.  A fencing token guards a rank if orders with a lower token no longer
+ * reach it.  The coordinator keeps these rules, which docs/MAP-CHANGE.md
+ * explains:
  *
- *  - A leader acts on the ranks' reports only once its fencing token guards
- *    all of them, so that no earlier leader can change them meanwhile.
+ *  - A leader acts on the ranks' statuses only once its token guards all
+ *    ranks, so that no earlier leader can change them meanwhile.
  *  - A rank is armed only while a pass is known to be held, and after every
  *    rank is known to have prepared the version.
  *  - The hold is ended only once every rank is known to be armed.
@@ -73,13 +75,14 @@
   CfMapState state;
   gint64 state_ms;  /**< when @state was entered */
   gint64 fence;     /**< fencing token of this leader; 0: it does not lead */
-  gint64 fenced_ms; /**< when a higher token was last met; 0: never */
+  gint64 fenced_ms; /**< when it last lost the lead to a higher token; 0:
+                           never */
   gint64 epoch;
   gint64 last_tick_ms;
   gint64 idle_until_ms; /**< no plan is made before this time */
   CfRankView *ranks;
   CfExpertDemand demand;
-  double *slowdown; /**< by rank: the slowdown used for the last plan */
+  double *slowdown; /**< by rank: the slowdown factor used for the last plan */
   CfGroupMap *in_use;
   CfGroupMap *next;
   CfMapPlan *plan; /**< (nullable): unfinished plan, based on @in_use */
@@ -127,16 +130,17 @@
  * @token: the highest fencing token that guards the rank; orders with a lower
  *   one no longer reach it
  *
- * Takes in a rank's status that is as of now.  A status of an earlier epoch,
- * or of an earlier incarnation of the rank's target, is dropped.
+ * Takes in a rank's present status.  A status of an earlier epoch, or of an
+ * earlier incarnation of the rank's target, is dropped.
  */
 void cf_map_coordinator_take_status (CfMapCoordinator *c, const CfRankStatus *s,
                                      gint64 token, gint64 now_ms);
 
 /**
  * cf_map_coordinator_take_status_as_of:
- * The same for a status that is as of @as_of_ms, such as the report that a
- * rank gives to another VM.  Dropped if a newer status is known.
+ * The same for a status that is as of @as_of_ms, such as that of the delayed
+ * report that a rank gives to another VM than its own.  It is dropped if a
+ * newer status is known.
  */
 void cf_map_coordinator_take_status_as_of (CfMapCoordinator *c,
                                            const CfRankStatus *s, gint64 token,
@@ -145,15 +149,16 @@
 /**
  * cf_map_coordinator_take_held:
  * Takes in the rank's own confirmation that it holds a pass, or none.
- * @step: the held pass; 0: none
+ * @step: the held pass; 0: it holds none
  */
 void cf_map_coordinator_take_held (CfMapCoordinator *c, int rank, gint64 epoch,
                                    gint64 step);
 
 /**
  * cf_map_coordinator_add_demand:
- * @increases: by set and expert: a rank's demand since its previous report
- * @n: must be sets x experts, or the report is ignored
+ * @increases: by set and expert: how often it was chosen at a rank since the
+ *   counts that were added before for this rank
+ * @n: must be sets x experts, or @increases is ignored
  */
 void cf_map_coordinator_add_demand (CfMapCoordinator *c,
                                     const gint64 *increases, guint n);
@@ -172,8 +177,9 @@
 void cf_map_coordinator_take_ack (CfMapCoordinator *c, int rank, CfRankAck ack,
                                   gint64 now_ms);
 
-/** cf_map_coordinator_choose_passes_ahead: how many passes after the newest
- * known one to hold, so that all ranks are armed when that pass comes. */
+/** cf_map_coordinator_choose_passes_ahead: the number of passes from the
+ * newest known one to the one to hold, so that all ranks are armed when the
+ * group gets there. */
 int cf_map_coordinator_choose_passes_ahead (const CfMapCoordinator *c);
 
 /** cf_map_coordinator_has_pending_work: whether the last tick left work
--- a/gateway/map-gain.c
+++ b/gateway/map-gain.c
@@ -3,12 +3,12 @@
 #include "ablation.h"
 
 /** Passes shorter than this fraction of what callers accept are short, and a
- * change must then remove at least this much skew: there are fewer copies, and
- * as many streams stay in time. */
+ * change must then remove at least this much skew: this saves copies, and no
+ * more streams are late. */
 #define SHORT_PASS_FRACTION 0.5
 #define SHORT_PASS_MIN_GAIN 0.6
 /** Passes longer than this fraction of what callers accept are almost too long,
- * and a change then needs to remove no more than this much skew: a small gain
+ * and a change then needs to remove only this much skew: a small gain
  * may bring them back to what callers accept. */
 #define LONG_PASS_FRACTION 0.7
 #define LONG_PASS_MIN_GAIN 0.12
--- a/gateway/map-gain.h
+++ b/gateway/map-gain.h
@@ -17,7 +17,7 @@
  * @default_gain: the skew that a change must remove where nothing else is
  *   known
  * @pass_ms: recent duration of a pass; 0: unknown
- * @pass_aim_ms: longest pause between events that callers accept; 0: any
+ * @pass_aim_ms: longest pass that serves callers in time; 0: no limit
  * @windows: demand windows that the leader has counted
  * Returns: the skew that a change of expert maps must remove now.
  *
--- a/gateway/map-history.h
+++ b/gateway/map-history.h
@@ -9,7 +9,7 @@
 /**
  * CfMapHistory:
  * The whole maps that a rank's agent has received, so that a leader may send
- * the next one as a delta.  It keeps the map in use and the newest one; all
+ * the next one as a diff.  It keeps the map in use and the newest one; all
  * others are dropped.
  */
 typedef struct
--- a/gateway/map-plan.c
+++ b/gateway/map-plan.c
@@ -14,11 +14,10 @@
   CfPlanLimits limits;
   int n_sets;
   CfSetPlan *sets;
-  CfMove *best; /* by set */
-  double
-      *removed_load; /* by set: load that its best move removes; 0: no move */
-  int *added;        /* by rank: experts that it copies, of all sets */
-  double *slowdown;  /* by rank; NULL: all at the usual slowdown */
+  CfMove *best;         /* by set */
+  double *removed_load; /* by set: by its best move; 0: no move */
+  int *added;           /* by rank: experts that it copies, of all sets */
+  double *slowdown;     /* by rank; NULL: 1 for all */
   double skew_before;
   int n_searched; /* sets whose first move has been searched for */
   int n_moves;    /* moves tried after that */
--- a/gateway/map-plan.h
+++ b/gateway/map-plan.h
@@ -5,9 +5,10 @@
 /**
  * cf_group_map_skew:
  * @tokens: by set and expert: each expert's demand
- * @slowdown: (nullable): by rank: how many times its usual duration a rank's
- * work takes Returns: the slowest rank's load relative to an even load at the
- * usual slowdown, as a mean over the sets; 1 is even.
+ * @slowdown: (nullable): by rank: its slowdown factor, 1 being the usual speed;
+ *   %NULL: 1 for all
+ * Returns: the time that the slowest rank takes for its load, relative to that
+ *   of an even load at the usual speed, as a mean over the sets; 1 is even.
  */
 double cf_group_map_skew (const CfGroupMap *m, const double *tokens,
                           const double *slowdown);
@@ -15,9 +16,9 @@
 /** CfPlanLimits: how far one change may go, and what it must gain. */
 typedef struct
 {
-  int max_set_copies;   /**< experts that a rank copies of a set; at most its
-                      spare */
-  int max_rank_copies;  /**< the same, of all sets together; 0: any number */
+  int max_set_copies;   /**< experts of one set that a rank may copy; never more
+                             than the spare of the shape */
+  int max_rank_copies;  /**< the same, of all sets together; 0: no limit */
   double min_gain;      /**< skew that a change must remove */
   double min_move_gain; /**< load that a copy must remove from the slowest rank,
                              as a fraction of an even load */
@@ -28,8 +29,8 @@
  * A search for a map that evens out the load with a limited number of copies.
  * Popular experts of the slowest rank are copied or moved to lightly loaded
  * ranks, where they replace experts that other ranks hold as well, or are
- * swapped for less popular ones.  Copies that a slow rank need not hold are
- * dropped.
+ * swapped for less popular ones.  A rank with a high slowdown factor also drops
+ * experts that other ranks hold.
  *
  * The search runs in steps, so that the leader of a large group can serve its
  * callers in between.
--- a/gateway/rank-agent-order.c
+++ b/gateway/rank-agent-order.c
@@ -11,12 +11,12 @@
  * without an answer by then may be lost while the whole group waits, so it is
  * sent again; carrying out an order twice does no harm. */
 #define ORDER_TIMEOUT_MS 20
-/** Attempts for one order.  As the rank is close, all ranks are armed sooner
- * than with attempts of the leader if many orders are lost. */
+/** Attempts for one order.  If many orders are lost, retries from here, close
+ * to the rank, arm all ranks sooner than retries by the leader. */
 #define ORDER_ATTEMPTS_MAX 4
 #define REPORT_TIMEOUT_MS 50
-/** The agent itself rejected_records orders with an old fencing token, since
- * the rank may not check tokens. */
+/** Status with which the agent itself refuses orders with an old fencing token,
+ * since the rank may not check tokens. */
 #define STATUS_FENCED 412
 #define STATUS_DONE 200
 #define STATUS_CONFLICT 409
@@ -89,7 +89,7 @@
 on_report_after_order (void *data, int status, const GString *body)
 {
   OrderCall *o = data;
-  gboolean known = cf_rank_agent_handle_report (o->agent, status, body);
+  gboolean known = cf_rank_agent_take_report (o->agent, status, body);
 
   if (o->http_status == 0 && known && is_in_effect (o))
     o->http_status = STATUS_DONE;
@@ -105,9 +105,10 @@
 {
   OrderCall *o = data;
 
-  /* The order may conflict only because an earlier attempt was carried out. */
+  /* The conflict may only mean that an earlier attempt was carried out, so the
+   * rank's status decides. */
   o->http_status = status == STATUS_CONFLICT && o->attempts > 1 ? 0 : status;
-  /* Also without an answer, since the copy may have begun. */
+  /* Also without an answer: the copy may have begun. */
   if (o->kind == CF_ORDER_PREPARE)
     cf_rank_agent_track_copy (o->agent, o->version);
   cf_rank_call (
@@ -126,8 +127,8 @@
                 ORDER_TIMEOUT_MS, on_order_answer, o);
 }
 
-/* Sends @o to the rank.  Without doing so, acknowledges it if its token is too
- * old or it has no body. */
+/* Sends @o to the rank or, if its token is too old or it has no body,
+ * acknowledges it at once. */
 static void
 start_order (OrderCall *o)
 {
@@ -176,10 +177,9 @@
 }
 
 /* Returns the body of the order to prepare the map that @m describes as a
- * diff; NULL if this agent lacks the base map or the diff does not fit.
- */
+ * diff; NULL if this agent lacks the base map or the diff does not fit. */
 static char *
-prepare_body (CfRankAgent *a, const CfPeerMsg *m)
+build_prepare_body (CfRankAgent *a, const CfPeerMsg *m)
 {
   CfRankOrder order = { .kind = CF_ORDER_PREPARE };
   CfGroupShape shape = m->u.prepare.shape;
@@ -206,7 +206,7 @@
   OrderCall *o = new_order_call (s, CF_ORDER_PREPARE, m->u.prepare.seq,
                                  m->u.prepare.fence, m->u.prepare.version);
 
-  o->body = prepare_body (s->agent, m);
+  o->body = build_prepare_body (s->agent, m);
   o->n = o->body ? strlen (o->body) : 0;
   start_order (o);
 }
--- a/gateway/rank-agent-parts.h
+++ b/gateway/rank-agent-parts.h
@@ -12,13 +12,13 @@
  * in place of one already scheduled. */
 void cf_rank_agent_schedule_read (CfRankAgent *a, gint64 ms);
 
-/** cf_rank_agent_handle_report: takes over the answer to a request for the
- * rank's report; %FALSE if it holds no valid report. */
-gboolean cf_rank_agent_handle_report (CfRankAgent *a, int status,
-                                      const GString *body);
+/** cf_rank_agent_take_report: takes in the answer to a request for the
+ * rank's report; %FALSE if it is no valid report. */
+gboolean cf_rank_agent_take_report (CfRankAgent *a, int status,
+                                    const GString *body);
 
-/** cf_rank_agent_track_copy: reads the rank often, as it may be copying the
- * experts of @version. */
+/** cf_rank_agent_track_copy: reads the rank often from now on, as it may be
+ * copying the experts of @version. */
 void cf_rank_agent_track_copy (CfRankAgent *a, gint64 version);
 
 /** cf_rank_agent_handle_prepare: has the rank prepare the map that a leader's
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -9,8 +9,8 @@
 
 #include <string.h>
 
-/** Read interval while no gateway leads.  All of them get the status, so that
- * one soon takes the lead. */
+/** Read interval while no gateway leads.  All gateways then get the status, so
+ * that one soon takes the lead. */
 #define NO_LEADER_READ_MS 250
 /** Bounds of the read interval that a leader may ask for.  Each read costs
  * 0.2 ms of processor time, so the interval must not be too short. */
@@ -21,7 +21,7 @@
 #define COPYING_READ_MS 40
 /** The agent stops waiting for a copy that takes longer. */
 #define COPY_TIMEOUT_MS 5000
-/** How often gateways on standby get the status. */
+/** Interval at which gateways that do not lead get the status. */
 #define STANDBY_STATUS_MS 1000
 /** A gateway counts as down if no heartbeat came for this long, three times
  * their interval. */
@@ -44,7 +44,7 @@
          && now - s->heartbeat_seen_ms < HEARTBEAT_TIMEOUT_MS;
 }
 
-/* Returns a bit mask of the seeds that are alive. */
+/* Returns a bit mask of the seeds that are alive; bit i is seed i. */
 static guint
 seeds_up (const CfRankAgent *a, gint64 now)
 {
@@ -135,7 +135,7 @@
 }
 
 gboolean
-cf_rank_agent_handle_report (CfRankAgent *a, int status, const GString *body)
+cf_rank_agent_take_report (CfRankAgent *a, int status, const GString *body)
 {
   CfRankStatus s;
 
@@ -214,12 +214,12 @@
              != CF_OK)
     cf_log (LOG_WARNING, CF_EV_TARGET_FAIL, "target=%s error=\"%s\"",
             a->set.target_addr, cf_last_error ());
-  /* The rank restarted between the two calls; the next read gets both. */
+  /* If the rank restarted between the two calls, the next read repeats both. */
   if (counts && incarnation != a->status.incarnation)
     g_clear_pointer (&counts, g_array_unref);
   if (counts)
-    increases = cf_expert_counts_take_delta (&a->counts, counts, incarnation,
-                                             cf_now_ms ());
+    increases = cf_expert_counts_take_increases (&a->counts, counts,
+                                                 incarnation, cf_now_ms ());
   send_status (a, increases);
   if (increases)
     g_array_unref (increases);
@@ -232,7 +232,7 @@
   CfRankAgent *a = data;
   const CfSeed *lead;
 
-  if (!cf_rank_agent_handle_report (a, status, body) || !a->status.group[0])
+  if (!cf_rank_agent_take_report (a, status, body) || !a->status.group[0])
     {
       finish_read (a);
       return;
--- a/gateway/rank-agent.h
+++ b/gateway/rank-agent.h
@@ -19,11 +19,12 @@
   gboolean has_addr; /**< @addr could be parsed */
   CfPeerLink *link;
   gboolean up;              /**< the link is connected */
-  gint64 heartbeat_seen_ms; /**< when its last heartbeat came */
-  gint64 fence;             /**< its token, by that tick; 0: not the leader */
-  gint64 read_interval_ms;  /**< by that tick: how often the rank is to be read
-                                 if this seed leads */
-  gint64 status_sent_ms;    /**< when a status was last sent to it */
+  gint64 heartbeat_seen_ms; /**< when its last heartbeat came; 0: none on this
+                               link */
+  gint64 fence; /**< its token, by that heartbeat; 0: it does not lead */
+  gint64 read_interval_ms; /**< interval, by that heartbeat, at which the rank
+                                is to be read while this seed leads */
+  gint64 status_sent_ms;   /**< when a status was last sent to it */
 } CfSeed;
 
 /**
@@ -47,11 +48,12 @@
   CfMapHistory maps;        /**< of its group */
   CfQuarantine *quarantine; /**< replica for gateways that restart */
   CfExpertCounts counts;
-  gint64 copying_version;    /**< version the rank is copying; 0: none */
-  gint64 copying_since_ms;   /**< when that copy began */
-  gboolean read_pending;     /**< a read of report and counters is pending */
+  gint64 copying_version;  /**< version the rank is copying; 0: none */
+  gint64 copying_since_ms; /**< when that copy began */
+  gboolean read_pending;   /**< a read of report and counters is in progress */
   gboolean rank_unreachable; /**< the rank did not answer the last read */
-  guint isolated_reconnects; /**< rounds in a row while no seed had a link */
+  guint isolated_reconnects; /**< reconnect attempts in a row while no seed had
+                                a link */
   ev_timer read_timer;
 };
 
--- a/gateway/rank-service-lead.c
+++ b/gateway/rank-service-lead.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/** How long this gateway does not take the lead after it met another leader's
- * token. */
+/** Time for which this gateway does not take the lead after it lost it to
+ * another leader's token. */
 #define LEAD_RETRY_MS 3000
 /** An older status does not tell which gateways a rank can reach, so it does
  * not count when the ranks decide who leads. */
@@ -53,8 +53,8 @@
 }
 
 /* Whether most ranks follow no leader and can reach no seed that precedes this
- * gateway.  A seed that returns does not replace the current leader: in the
- * middle of a change that costs the group a second or more. */
+ * gateway.  A seed that returns does not replace the current leader, as this
+ * would cost the group a second or more in the middle of a change. */
 static gboolean
 may_take_lead (const CfLedGroup *g)
 {
@@ -72,8 +72,8 @@
   return votes * 2 > g->coordinator.shape.ranks;
 }
 
-/* Returns how many seeds come before this gateway in the succession of the
- * leader that holds a pass. */
+/* Returns how many seeds are to take over before this gateway from the leader
+ * that holds a pass. */
 static int
 count_seeds_ahead (const CfLedGroup *g)
 {
@@ -84,8 +84,8 @@
 }
 
 /* Whether the hold lease of another leader has expired so that this gateway may
- * take over, although agents still follow that leader: the group waits until
- * someone ends the hold. */
+ * take over.  It does not wait until the agents no longer follow that leader,
+ * since the group is stopped until a leader ends the hold. */
 static gboolean
 may_take_over (const CfLedGroup *g)
 {
@@ -138,13 +138,13 @@
 cf_led_group_decide_lead (CfLedGroup *g)
 {
   gint64 now = cf_gateway_now (g->service->gateway);
-  gboolean succeeds = g->coordinator.fence == 0 && may_take_over (g);
-  gboolean lead
-      = g->coordinator.fence ? has_majority (g) : succeeds || may_take_lead (g);
+  gboolean takes_over = g->coordinator.fence == 0 && may_take_over (g);
+  gboolean lead = g->coordinator.fence ? has_majority (g)
+                                       : takes_over || may_take_lead (g);
 
   /* A gateway that is stopping leads only to end a hold if no other does. */
   lead = lead
-         && (!g->service->gateway->stopping || succeeds
+         && (!g->service->gateway->stopping || takes_over
              || cf_map_coordinator_is_holding_pass (&g->coordinator));
   /* The leader that fenced this gateway off may be the right one; by the end of
    * this time, all ranks have reported which leader they follow. */
@@ -158,7 +158,7 @@
 
       g->highest_fence = fence;
       g->lease.held = FALSE;
-      if (succeeds)
+      if (takes_over)
         cf_log (LOG_NOTICE, CF_EV_MAP_SETTLE,
                 "group=%s outcome=lease-expired holder_fence=%" G_GINT64_FORMAT
                 " silent_ms=%" G_GINT64_FORMAT,
@@ -167,8 +167,8 @@
       cf_map_coordinator_start_leading (&g->coordinator, fence, g_random_int (),
                                         now);
     }
-  /* A lead is not given up in the middle of a change; it is better ended by the
-   * next leader's token. */
+  /* This gateway does not give up the lead in the middle of a change; the next
+   * leader's token ends it then. */
   else if (!lead && g->coordinator.fence && g->coordinator.state == CF_MAP_IDLE)
     g->coordinator.fence = 0;
   g->leads = g->coordinator.fence != 0;
--- a/gateway/rank-service-order.c
+++ b/gateway/rank-service-order.c
@@ -6,10 +6,11 @@
 
 #include <string.h>
 
-/** A rank that is called directly answers within some ms, or is down. */
+/** A rank that is called directly answers within a few ms, or is down. */
 #define DIRECT_TIMEOUT_MS 300
-/** The timeout of hold and go is short because the whole group waits.  They
- * are then sent again, which does no harm if they are carried out twice. */
+/** The timeout of orders to hold or release a pass is short because the whole
+ * group waits.  They are then sent again, which does no harm even if they are
+ * carried out twice. */
 #define HOLD_TIMEOUT_MS 25
 
 /** DirectCall: an order sent to a rank itself; freed when it is finished. */
--- a/gateway/rank-service-parts.h
+++ b/gateway/rank-service-parts.h
@@ -24,11 +24,12 @@
   char *target_addr;
   CfLedGroup *group; /**< %NULL until its first status */
   int rank;
-  guint seeds_up;      /**< seeds alive, as of its last status; bit i: seed i */
+  guint seeds_up;      /**< seeds that it can reach, by its last status; bit i:
+                           seed i */
   gint64 leader_fence; /**< token of the leader that the agent follows; 0:
                             none */
   gint64 status_seen_ms;
-  gboolean lacks_base;    /**< it does not know the map that is in use */
+  gboolean lacks_base;    /**< it lacks the base map of the diffs */
   gint64 broken_since_ms; /**< since when its group runs no passes; 0: it runs
                                them */
 } CfAgentLink;
@@ -65,7 +66,8 @@
   char **target_addrs;         /**< by rank: the last one known */
   CfOrderWatch *order_watches; /**< by rank */
   CfPrepareOrder prepare_order;
-  gint64 *direct_call_ms;   /**< by rank: when it was last probed directly */
+  gint64 *probed_ms;        /**< by rank: when it was last probed directly; 0:
+                                never */
   CfRankToken *rank_tokens; /**< by rank */
   gint64 report_lag_ms;     /**< age of the reports that ranks give to other
                                  VMs than their own */
@@ -74,11 +76,12 @@
                                  coordinator's pass_aim_ms was read */
   gboolean leads;           /**< this gateway leads the group */
   gint64 lead_since_ms;     /**< when it last took the lead */
-  gboolean lead_announced;  /**< agents were told that this gateway leads... */
+  gboolean lead_announced;  /**< a heartbeat has announced that this gateway
+                               leads... */
   gboolean settling_announced; /**< ...and that it settles */
   CfHoldLease lease;           /**< another leader's */
-  gboolean lease_announced;    /**< the other seeds were told that this gateway
-                                    holds a pass */
+  gboolean lease_announced; /**< a lease has announced to the other seeds that
+                                 this gateway holds a pass */
   gint64 lease_sent_ms;
 };
 
@@ -102,8 +105,9 @@
  * it, and gives it up if not. */
 void cf_led_group_decide_lead (CfLedGroup *g);
 
-/** cf_led_group_renew_lease: tells the other seeds that this gateway holds a
- * pass of @g, at intervals while it does, and once when the hold has ended. */
+/** cf_led_group_renew_lease: sends the other seeds a lease that says that this
+ * gateway holds a pass of @g, at intervals while it does, and once when the
+ * hold has ended. */
 void cf_led_group_renew_lease (CfLedGroup *g);
 
 /** cf_led_group_on_order: sends a coordinator's order to a rank, through its
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -17,9 +17,9 @@
 #define MORE_WORK_INTERVAL_S 0.002
 /** Interval of the heartbeats to agents. */
 #define HEARTBEAT_MS 400
-/** Ranks of a group whose counters are read often.  A sample of this size
- * shows the demand as well as all ranks would, and saves leaders of large
- * groups the work. */
+/** Number of ranks of a group whose counters are read often.  A sample of this
+ * size shows the demand as well as all ranks would, and saves leaders of large
+ * groups work. */
 #define SAMPLE_RANKS 32
 /** Read intervals of the sample, and of the other ranks.  A change of demand
  * is detected after two reads. */
@@ -84,8 +84,8 @@
   return sv && sv->engine.sets > 0 ? &sv->engine : NULL;
 }
 
-/* Reads the longest accepted pass from the routes, once per configuration
- * version. */
+/* Reads from the routes the longest pass that serves callers in time, once per
+ * configuration version. */
 static void
 update_pass_aim (CfAgentLink *a)
 {
@@ -126,7 +126,7 @@
   g->agents = g_new0 (CfAgentLink *, shape.ranks);
   g->target_addrs = g_new0 (char *, shape.ranks);
   g->order_watches = g_new0 (CfOrderWatch, shape.ranks);
-  g->direct_call_ms = g_new0 (gint64, shape.ranks);
+  g->probed_ms = g_new0 (gint64, shape.ranks);
   g->rank_tokens = g_new0 (CfRankToken, shape.ranks);
   g->report_lag_ms = (gint64)e->report_lag_ms;
   g_hash_table_insert (a->service->groups, g->name, g);
@@ -177,16 +177,17 @@
     held |= g->coordinator.ranks[r].status.held != 0;
   for (int r = 0; held && r < g->coordinator.shape.ranks; r++)
     {
-      /* A go for a hold that ended long ago changes nothing, but shows whether
-       * the rank accepts this leader's token. */
+      /* The release of a pass that began long ago changes nothing, but shows
+       * whether the rank accepts this leader's token. */
       CfRankOrder probe = { .kind = CF_ORDER_RELEASE, .step = 1 };
 
-      /* Agents send the status to a standby only once a second. */
+      /* Agents send the status to gateways that do not lead only once a
+       * second. */
       if (now - MAX (g->coordinator.ranks[r].seen_ms, g->lead_since_ms)
               < SILENT_RANK_MS
-          || now - g->direct_call_ms[r] < SILENT_RANK_MS)
+          || now - g->probed_ms[r] < SILENT_RANK_MS)
         continue;
-      g->direct_call_ms[r] = now;
+      g->probed_ms[r] = now;
       probe.epoch = g->coordinator.epoch;
       probe.fence = g->coordinator.fence;
       cf_led_group_send_direct (g, r, &probe, FALSE);
@@ -211,7 +212,7 @@
 
   if (!a->group)
     return OTHER_READ_MS;
-  /* Settling takes the status of every rank. */
+  /* A leader that settles needs the status of every rank. */
   if (a->group->leads && a->group->coordinator.state == CF_MAP_SETTLING)
     return SETTLE_READ_MS;
   stride
@@ -219,8 +220,8 @@
   return a->rank % stride == 0 ? SAMPLE_READ_MS : OTHER_READ_MS;
 }
 
-/* Whether this gateway has to send ticks even while it stops, as it may be the
- * only one left that can end a hold. */
+/* Whether this gateway has to send heartbeats even while it stops, as it may be
+ * the only one left that can end a hold. */
 static gboolean
 may_hold_pass (const CfLedGroup *g)
 {
@@ -229,8 +230,8 @@
              || cf_map_coordinator_is_holding_pass (&g->coordinator));
 }
 
-/* A gateway that is stopping sends no ticks, so that the next seed takes the
- * lead while this one completes its requests. */
+/* A gateway that is stopping sends no heartbeats, so that the next seed takes
+ * the lead while this one completes its requests. */
 static void
 send_heartbeat (CfAgentLink *a)
 {
@@ -255,7 +256,8 @@
 static gboolean
 is_changing (const CfLedGroup *g)
 {
-  return cf_hold_lease_is_open (&g->lease, cf_gateway_now (g->service->gateway))
+  return cf_hold_lease_is_active (&g->lease,
+                                  cf_gateway_now (g->service->gateway))
          || (g->leads && g->coordinator.state != CF_MAP_IDLE
              && g->coordinator.state != CF_MAP_SETTLING);
 }
@@ -322,7 +324,7 @@
 /* Returns for how long the rank's group has run no passes; 0 if it runs them.
  */
 static gint64
-update_broken (CfAgentLink *a, const CfRankStatus *st)
+update_broken_time (CfAgentLink *a, const CfRankStatus *st)
 {
   gint64 now = cf_gateway_now (a->service->gateway);
 
@@ -339,7 +341,7 @@
 update_slowdown (CfAgentLink *a, const CfRankStatus *st)
 {
   CfTarget *t = cf_rank_service_target (a->service, a->target_addr);
-  double slowdown = cf_rank_routing_slowdown (st, update_broken (a, st));
+  double slowdown = cf_rank_routing_slowdown (st, update_broken_time (a, st));
 
   if (!t || cf_target_is_older_incarnation (t, st->incarnation))
     return;
@@ -348,7 +350,7 @@
 }
 
 static void
-handle_status (CfAgentLink *a, const CfPeerMsg *m)
+take_status (CfAgentLink *a, const CfPeerMsg *m)
 {
   const CfRankStatus *st = &m->u.rank_status.status;
   const GArray *expert_counts = m->u.rank_status.expert_counts;
@@ -381,7 +383,7 @@
 }
 
 static void
-handle_ack (CfAgentLink *a, const CfPeerMsg *m)
+take_ack (CfAgentLink *a, const CfPeerMsg *m)
 {
   CfLedGroup *g = a->group;
   gint64 now = cf_gateway_now (a->service->gateway);
@@ -417,10 +419,10 @@
                                   m->u.agent_hello.target_addr.n);
       break;
     case CF_PEER_RANK_STATUS:
-      handle_status (a, m);
+      take_status (a, m);
       break;
     case CF_PEER_ORDER_ACK:
-      handle_ack (a, m);
+      take_ack (a, m);
       break;
     case CF_PEER_LISTS:
       if (a->group)
--- a/gateway/rank.h
+++ b/gateway/rank.h
@@ -8,8 +8,8 @@
 /** Limit on the ranks of a group; a report that claims more is invalid. */
 #define CF_RANKS_MAX 4096
 
-/** CfRankStatus: the state that a rank reports; a number is 0 if there is no
- * such pass or version. */
+/** CfRankStatus: the state of a rank, as parsed from the report that the rank
+ * serves; a number is 0 if there is no such pass or version. */
 typedef struct
 {
   char group[CF_GROUP_NAME_MAX]; /**< "" if it is in no group */
@@ -22,7 +22,7 @@
   gint64 map;         /**< version of the expert map in use */
   gint64 prepared;    /**< version of which all experts have been copied */
   gint64 armed;       /**< version to which it will switch */
-  gint64 held;        /**< pass that it will not begin until told to */
+  gint64 held;        /**< pass that it will not begin until released */
   gint64 running;     /**< requests */
   gint64 waiting;     /**< requests */
   double slowdown;    /**< slowdown factor: 1 is the usual speed, 2 means that
@@ -44,14 +44,14 @@
   CF_ORDER_PREPARE, /**< copy the experts that @map, version @version, needs */
   CF_ORDER_ARM,     /**< switch to @version when pass @step begins */
   CF_ORDER_DISARM,  /**< cancel the switch to @version */
-  CF_ORDER_HOLD,    /**< do not begin pass @step before a go order */
+  CF_ORDER_HOLD,    /**< do not begin pass @step before its release */
   CF_ORDER_RELEASE, /**< end the hold of pass @step */
 } CfRankOrderKind;
 
 const char *cf_rank_order_name (CfRankOrderKind k);
 
 /** cf_rank_order_is_blocking: whether the whole group may be waiting until
- * such an order is carried out, as with a hold and the go that ends it. */
+ * such an order is carried out, as with a hold and the release that ends it. */
 gboolean cf_rank_order_is_blocking (CfRankOrderKind k);
 
 /** CfRankOrder: an order to one rank. */
@@ -59,7 +59,7 @@
 {
   CfRankOrderKind kind;
   gint64 version;        /**< for prepare, arm and disarm */
-  gint64 step;           /**< for arm, hold and go */
+  gint64 step;           /**< for arm, hold and release */
   gint64 epoch;          /**< the rank refuses it in any other epoch */
   gint64 fence;          /**< fencing token of the leader that sends it */
   const CfGroupMap *map; /**< for prepare */
@@ -68,7 +68,7 @@
 /** CfRankAck: the outcome of an order that was sent. */
 typedef enum
 {
-  CF_RANK_ACK_DONE,    /**< carried out, or the rank was in that state */
+  CF_RANK_ACK_DONE,    /**< carried out, now or before */
   CF_RANK_ACK_REFUSED, /**< does not fit the rank's state; not carried out */
   CF_RANK_ACK_FENCED,  /**< a leader with a higher token has sent an order */
   CF_RANK_ACK_UNKNOWN, /**< no answer: it may or may not have been carried
--- a/gateway/set-plan.c
+++ b/gateway/set-plan.c
@@ -8,9 +8,9 @@
  * least time first.  A busier rank is never the best receiver, and the time
  * of the search grows with their number. */
 #define RECEIVERS_MAX 32
-/** The cost of a rank is its time raised to this power.  The slowest rank so
- * dominates the sum, and relieving one of several equally slow ranks still
- * lowers it.  time_cost() computes the same power. */
+/** The cost of a rank is its time raised to this power.  The slowest rank
+ * therefore dominates the sum, and relieving one of several equally slow ranks
+ * still lowers it.  time_cost() computes the same power. */
 #define COST_POWER 6
 
 /* The index of a place among those of all ranks. */
--- a/t/t-coordinator.c
+++ b/t/t-coordinator.c
@@ -399,7 +399,7 @@
     {
       if (chance (0.1))
         continue;
-      /* The agent learned the leader's token when the leader greeted it. */
+      /* The agent knows the leader's token from its heartbeats. */
       w.ranks[i].agent_fence = MAX (w.ranks[i].agent_fence, l->c.fence);
       w.highest_fence = MAX (w.highest_fence, w.ranks[i].agent_fence);
       cf_map_coordinator_take_status (&l->c, &w.ranks[i].s,
@@ -573,9 +573,10 @@
   clear_world ();
 }
 
-/* A leader that invalidates an earlier one's versions ends the hold last.  Its
- * successor found the barrier version prepared on all ranks and armed them for
- * the held pass meanwhile, so that a pass ran with two maps (seed 1263). */
+/* A leader that invalidates an earlier leader's versions ends the hold last.
+ * Before it did, its successor found the barrier version prepared on all ranks
+ * and armed them for the held pass, so that a pass ran with two maps (seed
+ * 1263). */
 START_TEST (a_barrier_version_is_never_armed)
 {
   CfRankStatus s = { .group = "g", .size = RANKS, .epoch = 1, .open = TRUE };
@@ -630,8 +631,8 @@
 }
 END_TEST
 
-/* A leader that acted on reports from before its token guarded the ranks let
- * two leaders arm two versions at once (seed 1119). */
+/* While a leader acted on statuses from before its token guarded the ranks, two
+ * leaders could arm two versions at once (seed 1119). */
 START_TEST (all_ranks_use_one_map_per_pass_without_fences)
 {
   run_seeds (1001, FALSE);
@@ -639,8 +640,8 @@
 }
 END_TEST
 
-/* A leader that meets a higher token gives up the lead, even while it has no
- * pending order that could be refused. */
+/* A leader loses the lead to a higher token even while it has no pending order
+ * that could be refused. */
 START_TEST (a_leader_that_meets_a_higher_token_steps_down)
 {
   CfRankStatus s = { .group = "g", .size = RANKS, .epoch = 1, .open = TRUE };
@@ -808,7 +809,7 @@
   c->ranks[2].lists_version = 0;
   cf_map_coordinator_tick (c, ++now);
   ck_assert_int_eq (c->state, CF_MAP_IDLE);
-  /* The rank restarts before its group is known to have formed anew. */
+  /* The rank restarts before its group is known to have re-formed. */
   report_start (c, 2, 200, 1, 0, ++now);
   ck_assert_int_eq (c->state, CF_MAP_SETTLING);
   ck_assert_int_eq (c->ranks[2].lists_version, -1);
@@ -930,8 +931,8 @@
 }
 END_TEST
 
-/* A busy leader continues its change.  After a gap that is long enough for
- * another one to have led, it settles again. */
+/* A leader that was busy for a moment continues its change.  After a gap long
+ * enough for another gateway to have led, it settles again. */
 START_TEST (only_a_long_gap_makes_a_leader_settle_again)
 {
   CfMapCoordinator c;
--- a/t/t-expert-counts.c
+++ b/t/t-expert-counts.c
@@ -1,4 +1,4 @@
-/* Differences between readings of a rank's expert counters. */
+/* Checks the increases between readings of a rank's expert counters. */
 #include "gateway/expert-counts.h"
 #include "harness.h"
 
@@ -30,34 +30,34 @@
 {
   CfExpertCounts c = { 0 };
 
-  ck_assert_ptr_null (
-      cf_expert_counts_take_delta (&c, counts (5, 6, 7), INCARNATION, 1000));
+  ck_assert_ptr_null (cf_expert_counts_take_increases (&c, counts (5, 6, 7),
+                                                       INCARNATION, 1000));
   check_increase (
-      cf_expert_counts_take_delta (&c, counts (5, 9, 8), INCARNATION, 1100), 0,
-      3, 1);
+      cf_expert_counts_take_increases (&c, counts (5, 9, 8), INCARNATION, 1100),
+      0, 3, 1);
   check_increase (
-      cf_expert_counts_take_delta (&c, counts (6, 9, 8), INCARNATION, 2100), 1,
-      0, 0);
+      cf_expert_counts_take_increases (&c, counts (6, 9, 8), INCARNATION, 2100),
+      1, 0, 0);
   cf_expert_counts_clear (&c);
 }
 END_TEST
 
-/* Higher counters than before give no difference if the rank restarted in
+/* Higher counters than before give no increase if the rank restarted in
  * between.  A counter that decreased was reset. */
 START_TEST (no_increase_after_a_counter_reset)
 {
   CfExpertCounts c = { 0 };
 
-  cf_expert_counts_take_delta (&c, counts (5, 6, 7), INCARNATION, 1000);
-  ck_assert_ptr_null (cf_expert_counts_take_delta (&c, counts (60, 60, 60),
-                                                   INCARNATION + 1, 1100));
-  check_increase (cf_expert_counts_take_delta (&c, counts (67, 60, 60),
-                                               INCARNATION + 1, 1200),
+  cf_expert_counts_take_increases (&c, counts (5, 6, 7), INCARNATION, 1000);
+  ck_assert_ptr_null (cf_expert_counts_take_increases (&c, counts (60, 60, 60),
+                                                       INCARNATION + 1, 1100));
+  check_increase (cf_expert_counts_take_increases (&c, counts (67, 60, 60),
+                                                   INCARNATION + 1, 1200),
                   7, 0, 0);
-  ck_assert_ptr_null (cf_expert_counts_take_delta (&c, counts (90, 2, 60),
-                                                   INCARNATION + 1, 1300));
-  check_increase (cf_expert_counts_take_delta (&c, counts (90, 3, 60),
-                                               INCARNATION + 1, 1400),
+  ck_assert_ptr_null (cf_expert_counts_take_increases (&c, counts (90, 2, 60),
+                                                       INCARNATION + 1, 1300));
+  check_increase (cf_expert_counts_take_increases (&c, counts (90, 3, 60),
+                                                   INCARNATION + 1, 1400),
                   0, 1, 0);
   cf_expert_counts_clear (&c);
 }
@@ -69,12 +69,12 @@
 {
   CfExpertCounts c = { 0 };
 
-  cf_expert_counts_take_delta (&c, counts (5, 6, 7), INCARNATION, 1000);
-  ck_assert_ptr_null (
-      cf_expert_counts_take_delta (&c, counts (9, 9, 9), INCARNATION, 9000));
-  check_increase (
-      cf_expert_counts_take_delta (&c, counts (9, 9, 10), INCARNATION, 9100), 0,
-      0, 1);
+  cf_expert_counts_take_increases (&c, counts (5, 6, 7), INCARNATION, 1000);
+  ck_assert_ptr_null (cf_expert_counts_take_increases (&c, counts (9, 9, 9),
+                                                       INCARNATION, 9000));
+  check_increase (cf_expert_counts_take_increases (&c, counts (9, 9, 10),
+                                                   INCARNATION, 9100),
+                  0, 0, 1);
   cf_expert_counts_clear (&c);
 }
 END_TEST
--- a/t/t-expert-demand.c
+++ b/t/t-expert-demand.c
@@ -1,4 +1,5 @@
-/* Demand for experts: noise is averaged, a shift takes effect at once. */
+/* Checks the demand for experts: noise is averaged, while a shift takes effect
+ * at once. */
 #include "gateway/expert-demand.h"
 #include "harness.h"
 
@@ -55,9 +56,9 @@
 
 START_TEST (no_demand_at_first)
 {
-  ck_assert (!cf_expert_demand_is_settled (&demand));
+  ck_assert (!cf_expert_demand_is_stable (&demand));
   run_window (0, 100, 100);
-  ck_assert (cf_expert_demand_is_settled (&demand));
+  ck_assert (cf_expert_demand_is_stable (&demand));
 }
 END_TEST
 
@@ -66,7 +67,7 @@
   for (int i = 0; i < 20; i++)
     {
       run_window (i % EXPERTS, 100, 40);
-      ck_assert (cf_expert_demand_is_settled (&demand));
+      ck_assert (cf_expert_demand_is_stable (&demand));
     }
   for (int e = 0; e < EXPERTS; e++)
     ck_assert_double_eq_tol (share_of (e), 1.0 / EXPERTS, 0.02);
@@ -83,13 +84,13 @@
   for (int r = 0; r < RANKS; r++)
     chosen[r][0] += 400;
   run_window (1, 50, 350);
-  ck_assert (!cf_expert_demand_is_settled (&demand));
+  ck_assert (!cf_expert_demand_is_stable (&demand));
   run_window (1, 100, 700);
-  ck_assert (cf_expert_demand_is_settled (&demand));
+  ck_assert (cf_expert_demand_is_stable (&demand));
   ck_assert_double_gt (share_of (1), 0.45);
   ck_assert_double_lt (share_of (0), 0.1);
   run_window (1, 100, 700);
-  ck_assert (cf_expert_demand_is_settled (&demand));
+  ck_assert (cf_expert_demand_is_stable (&demand));
 }
 END_TEST
 
@@ -102,7 +103,7 @@
   now += WINDOW_MS;
   cf_expert_demand_tick (&demand, now);
   ck_assert_double_lt (share_of (3), 0.2);
-  ck_assert (cf_expert_demand_is_settled (&demand));
+  ck_assert (cf_expert_demand_is_stable (&demand));
 }
 END_TEST
 
--- a/t/t-hold-lease.c
+++ b/t/t-hold-lease.c
@@ -1,4 +1,4 @@
-/* When a standby takes over from a silent leader that holds a pass. */
+/* Checks when a standby takes over from a silent leader that holds a pass. */
 #include "gateway/hold-lease.h"
 #include "harness.h"
 
@@ -11,7 +11,7 @@
   ck_assert (!cf_hold_lease_has_expired (&l, 0, 1000 + CF_HOLD_LEASE_RENEW_MS));
   ck_assert (!cf_hold_lease_has_expired (&l, 0, 1200));
   ck_assert (cf_hold_lease_has_expired (&l, 0, 1300));
-  /* The second in line waits for the first one to take over. */
+  /* The second standby waits for the first one to take over. */
   ck_assert (!cf_hold_lease_has_expired (&l, 1, 1300));
   ck_assert (cf_hold_lease_has_expired (&l, 1, 1600));
   cf_hold_lease_renew (&l, 16, TRUE, 1300);
@@ -53,10 +53,10 @@
   cf_hold_lease_renew (&l, 800, FALSE, 1000);
   cf_hold_lease_renew (&l, 8, TRUE, 60000);
   ck_assert (cf_hold_lease_has_expired (&l, 0, 60400));
-  ck_assert (cf_hold_lease_is_open (&l, 60400));
-  /* An old lease no longer tells whether a pass is held. */
+  ck_assert (cf_hold_lease_is_active (&l, 60400));
+  /* A lease this old no longer tells whether a pass is held. */
   ck_assert (!cf_hold_lease_has_expired (&l, 0, 600000));
-  ck_assert (!cf_hold_lease_is_open (&l, 600000));
+  ck_assert (!cf_hold_lease_is_active (&l, 600000));
 }
 END_TEST
 
--- a/t/t-map-gain.c
+++ b/t/t-map-gain.c
@@ -1,4 +1,5 @@
-/* The skew that a change of expert maps must remove, and its limits. */
+/* Checks the skew that a change of expert maps must remove, and the limits on
+ * its copies. */
 #include "gateway/map-gain.h"
 #include "harness.h"
 
--- a/t/t-map-history.c
+++ b/t/t-map-history.c
@@ -1,11 +1,11 @@
-/* The maps that a rank's agent keeps, and the next ones built from them. */
+/* Checks the maps that a rank's agent keeps, and those built from them. */
 #include "gateway/map-history.h"
 #include "harness.h"
 
 static const CfGroupShape shape
     = { .sets = 2, .experts = 8, .ranks = 4, .places = 3, .spare = 2 };
 
-/* Returns a delta of one row: rank 1 of set 0 holds @expert besides 1 and 5. */
+/* Returns a diff of one row: rank 1 of set 0 holds @expert besides 1 and 5. */
 static GArray *
 row_with (gint64 expert)
 {
--- a/t/t-order-watch.c
+++ b/t/t-order-watch.c
@@ -1,10 +1,10 @@
-/* When an agent has lost an order, and when orders bypass it. */
+/* Checks when an order counts as lost, and when orders bypass the agent. */
 #include "gateway/order-watch.h"
 #include "harness.h"
 
 /* The leader sends an order again before the first one times out.  While only
- * the newest was watched, none ever counted as lost, and an order to hold was
- * sent eleven times through an agent that was frozen. */
+ * the newest one was checked, none ever counted as lost, and an order to hold
+ * was sent eleven times through an agent that was frozen. */
 START_TEST (an_order_that_is_sent_again_counts_as_lost)
 {
   CfOrderWatch w = { 0 };
--- a/t/t-pass-record.c
+++ b/t/t-pass-record.c
@@ -1,4 +1,4 @@
-/* Grouping the events of streams into passes. */
+/* Checks how the events of streams are grouped into passes. */
 #include "gateway/pass-record.h"
 #include "harness.h"
 
--- a/t/t-rank-groups.c
+++ b/t/t-rank-groups.c
@@ -180,12 +180,12 @@
 }
 END_TEST
 
-/** A group large enough that some of its ranks are read a tenth as often as
- * others, and the number of streams that keep it busy. */
+/** Number of ranks of a group so large that some of them are read a tenth as
+ * often as others, and number of streams that keep it busy. */
 #define LARGE_RANKS 34
 #define LARGE_STREAMS 34
 
-/* Replaces the group of the fixture by such a group, whose demand shifts.  With
+/* Replaces the group of the fixture by a large one, whose demand shifts.  With
  * @lose_answers its ranks carry orders out without an answer. */
 static void
 start_large_group (int *fds, gboolean lose_answers)
@@ -204,7 +204,8 @@
 }
 
 /** Limit on the time from the end of a hold until the leader may plan the next
- * change: a pass, a read of it by the agents, and a margin. */
+ * change: the length of a pass, the time until all agents have read it, and a
+ * margin. */
 #define SWITCH_MAX_MS 400
 
 static int
@@ -217,8 +218,9 @@
 }
 
 /* Returns the median of the times between a line with @from and the next with
- * @to in @log, while the gateway leads.  Other load on the machine makes one of
- * these longer; the failures that these tests guard against, most of them. */
+ * @to in @log, while the gateway leads.  Other load on the machine makes single
+ * times longer, but the failures that these tests guard against make most of
+ * them longer. */
 static double
 median_ms (const char *log, const char *from, const char *to)
 {
@@ -249,8 +251,8 @@
 }
 
 /*
- * In a group of 192 ranks all had switched 0.1 s after the pass held for the
- * new map, but the leader planned nothing for up to another second.  Some
+ * In a group of 192 ranks, all had switched 0.1 s after the pass held for
+ * the new map, but the leader planned nothing for up to another second.  Some
  * orders to prepare (28 kB, on a VM with 0.15 cores) got no answer within the
  * 20 ms that the agent waits.  The rank's state showed that they were carried
  * out, so they counted as done, but the agent went on reading its rank once a
@@ -356,7 +358,7 @@
 }
 END_TEST
 
-/* Restarted agents lack the base map of the next diff.  They say so, get the
+/* Restarted agents lack the base map of the next diff.  They say so and get the
  * map as a diff against the initial one, and maps go on changing. */
 START_TEST (restarted_agents_get_complete_maps)
 {
