--- a/gateway/map-coordinator-reports.c
+++ b/gateway/map-coordinator-reports.c
@@ -85,7 +85,7 @@
   if (c->fence && token > c->fence)
     lose_lead (c, now);
   v->token = token;
-  v->seen_ms = as_of;
+  v->as_of_ms = as_of;
   if (!s->open && c->state != CF_MAP_SETTLING)
     cf_map_enter_state (c, CF_MAP_SETTLING, "group-broken", now);
 }
@@ -104,7 +104,7 @@
 {
   gboolean is_valid_rank = s->rank >= 0 && s->rank < c->shape.ranks;
 
-  if (is_valid_rank && as_of > c->ranks[s->rank].seen_ms)
+  if (is_valid_rank && as_of > c->ranks[s->rank].as_of_ms)
     take_status (c, s, token, as_of, now);
 }
 
--- a/gateway/map-coordinator-view.c
+++ b/gateway/map-coordinator-view.c
@@ -59,7 +59,8 @@
     {
       const CfRankView *v = &c->ranks[r];
 
-      if (v->seen_ms <= since || v->status.epoch != c->epoch || !v->status.open)
+      if (v->as_of_ms <= since || v->status.epoch != c->epoch
+          || !v->status.open)
         return FALSE;
     }
   return TRUE;
--- a/gateway/map-coordinator.h
+++ b/gateway/map-coordinator.h
@@ -48,7 +48,7 @@
 {
   CfRankStatus status;
   gint64 token;            /**< fencing token that guards it, as of @status */
-  gint64 seen_ms;          /**< time that @status is as of; 0: none yet */
+  gint64 as_of_ms;         /**< time that @status is as of; 0: none yet */
   gint64 pending_since_ms; /**< when the unanswered order or list request was
                                 sent; 0: none is unanswered */
   gint64 lists_version;    /**< version of its row in @in_use; -1: unknown */
--- a/gateway/rank-service-parts.h
+++ b/gateway/rank-service-parts.h
@@ -52,7 +52,8 @@
 typedef struct
 {
   gint64 fence; /**< 0: none is known */
-  gint64 epoch; /**< when it was accepted; a rank that restarts forgets it */
+  gint64
+      epoch; /**< in which it was accepted; a rank that restarts forgets it */
   gint64 since_ms;
 } CfRankToken;
 
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -183,7 +183,7 @@
 
       /* Agents send the status to gateways that do not lead only once a
        * second. */
-      if (now - MAX (g->coordinator.ranks[r].seen_ms, g->lead_since_ms)
+      if (now - MAX (g->coordinator.ranks[r].as_of_ms, g->lead_since_ms)
               < SILENT_RANK_MS
           || now - g->probed_ms[r] < SILENT_RANK_MS)
         continue;
--- a/gateway/set-plan.c
+++ b/gateway/set-plan.c
@@ -38,19 +38,19 @@
 compute_load (CfSetPlan *s)
 {
   const CfGroupShape *shape = &s->m->shape;
-  const gint16 *held = cf_group_map_row (s->m, s->set, 0);
+  const gint16 *experts = cf_group_map_row (s->m, s->set, 0);
 
   memset (s->copies, 0, sizeof *s->copies * shape->experts);
   memset (s->load, 0, sizeof *s->load * shape->ranks);
   for (int e = 0; e < shape->experts; e++)
     s->first_holder[e] = -1;
   for (int at = 0; at < shape->ranks * shape->places; at++)
-    if (held[at] >= 0 && held[at] < shape->experts)
-      add_holder (s, held[at], at);
+    if (experts[at] >= 0 && experts[at] < shape->experts)
+      add_holder (s, experts[at], at);
   for (int at = 0; at < shape->ranks * shape->places; at++)
-    if (held[at] >= 0 && held[at] < shape->experts)
+    if (experts[at] >= 0 && experts[at] < shape->experts)
       s->load[rank_of_place (s, at)]
-          += s->tokens[held[at]] / s->copies[held[at]];
+          += s->tokens[experts[at]] / s->copies[experts[at]];
 }
 
 /* Scales the demand of the set to even shares; FALSE if there is none. */
@@ -418,9 +418,9 @@
 void
 cf_set_plan_apply (CfSetPlan *s, const CfMove *mv)
 {
-  gint16 *held = cf_group_map_row (s->m, s->set, 0);
-  gint16 *to = held + place_index (s, mv->rank, mv->place);
-  gint16 *from = held + place_index (s, mv->from_rank, mv->from_place);
+  gint16 *experts = cf_group_map_row (s->m, s->set, 0);
+  gint16 *to = experts + place_index (s, mv->rank, mv->place);
+  gint16 *from = experts + place_index (s, mv->from_rank, mv->from_place);
   gint16 old = *to;
 
   if (mv->kind != CF_MOVE_DROP)
--- a/t/t-coordinator.c
+++ b/t/t-coordinator.c
@@ -35,8 +35,8 @@
   gint64 agent_fence;
   guint map_hash;  /* of the map in use */
   guint next_hash; /* of the version prepared or being copied */
-  gint16 held[SETS][PLACES];
-  gint16 next[SETS][PLACES];
+  gint16 experts[SETS][PLACES];
+  gint16 next_experts[SETS][PLACES];
 } Rank;
 
 typedef struct
@@ -122,8 +122,8 @@
       r->copied_ms = w.now + g_rand_int_range (w.rand, 5, 400);
       r->next_hash = hash_map (o->map);
       for (int s = 0; s < SETS; s++)
-        memcpy (r->next[s], cf_group_map_row (o->map, s, r->s.rank),
-                sizeof r->next[s]);
+        memcpy (r->next_experts[s], cf_group_map_row (o->map, s, r->s.rank),
+                sizeof r->next_experts[s]);
       return 202;
     case CF_ORDER_ARM:
       if (r->s.armed == o->version && r->armed_step == o->step)
@@ -218,8 +218,8 @@
   for (int s = 0; s < SETS; s++)
     {
       for (int p = 0; p < PLACES; p++)
-        if (r->held[s][p] >= 0)
-          rows[n++] = r->held[s][p];
+        if (r->experts[s][p] >= 0)
+          rows[n++] = r->experts[s][p];
       rows[n++] = -1;
     }
   cf_map_coordinator_take_lists (&l->c, rank, r->s.epoch, r->s.map, rows, n);
@@ -240,11 +240,11 @@
 static void
 set_initial_map (Rank *r)
 {
-  memset (r->held, -1, sizeof r->held);
+  memset (r->experts, -1, sizeof r->experts);
   for (int s = 0; s < SETS; s++)
     for (int e = 0; e < EXPERTS; e++)
       if (e % RANKS == r->s.rank)
-        r->held[s][e / RANKS] = (gint16)e;
+        r->experts[s][e / RANKS] = (gint16)e;
   r->map_hash = 0;
 }
 
@@ -327,7 +327,7 @@
         {
           r->s.map = r->s.armed;
           r->map_hash = r->next_hash;
-          memcpy (r->held, r->next, sizeof r->held);
+          memcpy (r->experts, r->next_experts, sizeof r->experts);
           r->s.armed = 0;
         }
     }
@@ -642,7 +642,7 @@
 
 /* A leader loses the lead to a higher token even while it has no pending order
  * that could be refused. */
-START_TEST (a_leader_that_meets_a_higher_token_steps_down)
+START_TEST (a_leader_that_meets_a_higher_token_loses_the_lead)
 {
   CfRankStatus s = { .group = "g", .size = RANKS, .epoch = 1, .open = TRUE };
   Leader *l = &w.leaders[0];
@@ -959,7 +959,7 @@
   tcase_set_timeout (t, 600);
   tcase_set_timeout (u, 600);
   tcase_add_test (t, all_ranks_use_one_map_per_pass);
-  tcase_add_test (t, a_leader_that_meets_a_higher_token_steps_down);
+  tcase_add_test (t, a_leader_that_meets_a_higher_token_loses_the_lead);
   tcase_add_test (t, a_barrier_version_is_never_armed);
   tcase_add_test (t, an_old_report_does_not_end_a_hold);
   tcase_add_test (t, the_hold_of_a_frozen_leader_ends_soon);
--- a/t/t-fleet.c
+++ b/t/t-fleet.c
@@ -96,10 +96,10 @@
             }
           else
             {
-              const CfTargetUpdate news
+              const CfTargetUpdate update
                   = { id, json, strlen (json), record_rev, record_rev, 0 };
 
-              cf_gateway_update_target (&g, &news, "store");
+              cf_gateway_update_target (&g, &update, "store");
               if (!present[t] || record_rev >= rev_of[t])
                 {
                   present[t] = TRUE;
--- a/t/t-group-map.c
+++ b/t/t-group-map.c
@@ -343,8 +343,8 @@
   double *t = random_demand (&large_shape, 2);
   CfGroupMap *to = cf_group_map_plan (from, t, NULL, &limits);
   GArray *rows = cf_group_map_diff (from, to);
-  CfGroupMap *made = cf_group_map_round_robin (&large_shape);
-  gint16 *row = cf_group_map_row (made, 4, 77);
+  CfGroupMap *rebuilt = cf_group_map_round_robin (&large_shape);
+  gint16 *row = cf_group_map_row (rebuilt, 4, 77);
   gint16 first = row[0];
   guint width = (guint)large_shape.places + 1;
 
@@ -352,15 +352,15 @@
                      (guint)cf_group_map_count_added (from, to) * width);
   row[0] = row[1];
   row[1] = first;
-  ck_assert (cf_group_map_apply_diff (made, rows));
+  ck_assert (cf_group_map_apply_diff (rebuilt, rows));
   g_array_unref (rows);
-  rows = cf_group_map_diff (to, made);
+  rows = cf_group_map_diff (to, rebuilt);
   ck_assert_uint_eq (rows->len, 0);
-  ck_assert_int_eq (cf_group_map_count_added (to, made), 0);
+  ck_assert_int_eq (cf_group_map_count_added (to, rebuilt), 0);
   g_array_unref (rows);
   cf_group_map_free (from);
   cf_group_map_free (to);
-  cf_group_map_free (made);
+  cf_group_map_free (rebuilt);
   g_free (t);
 }
 END_TEST
