--- a/gateway/map-coordinator-view.c
+++ b/gateway/map-coordinator-view.c
@@ -53,13 +53,14 @@
 }
 
 gboolean
-cf_map_has_all_reports_since (const CfMapCoordinator *c, gint64 since)
+cf_map_has_all_statuses_since (const CfMapCoordinator *c, gint64 since)
 {
   for (int r = 0; r < c->shape.ranks; r++)
     {
       const CfRankView *v = &c->ranks[r];
 
-      if (v->seen_ms <= since || v->status.epoch != c->epoch || !v->status.open)
+      if (v->as_of_ms <= since || v->status.epoch != c->epoch
+          || !v->status.open)
         return FALSE;
     }
   return TRUE;
--- a/gateway/map-gain.c
+++ b/gateway/map-gain.c
@@ -3,12 +3,12 @@
 #include "ablation.h"
 
 /** Passes shorter than this fraction of what callers accept are short, and a
- * change must then remove at least this much skew: there are fewer copies, and
- * as many streams stay in time. */
+ * change must then remove at least this much skew: this saves copies, and no
+ * more streams are late. */
 #define SHORT_PASS_FRACTION 0.5
 #define SHORT_PASS_MIN_GAIN 0.6
 /** Passes longer than this fraction of what callers accept are almost too long,
- * and a change then needs to remove no more than this much skew: a small gain
+ * and a change then needs to remove only this much skew: a small gain
  * may bring them back to what callers accept. */
 #define LONG_PASS_FRACTION 0.7
 #define LONG_PASS_MIN_GAIN 0.12
@@ -36,14 +36,14 @@
 CfPlanLimits
 cf_map_choose_limits (double copy_ms, int sets)
 {
-  CfPlanLimits l = { .max_new = MAX_SET_COPIES,
-                     .max_rank_new = 1,
+  CfPlanLimits l = { .max_set_copies = MAX_SET_COPIES,
+                     .max_rank_copies = 1,
                      .min_gain = DEFAULT_MIN_GAIN,
                      .min_move_gain = HIGHEST_MOVE_GAIN };
 
   if (copy_ms <= 0)
     return l;
-  l.max_rank_new
+  l.max_rank_copies
       = (int)CLAMP (MAX_RANK_COPY_MS / copy_ms, 1, sets * MAX_SET_COPIES);
   l.min_move_gain
       = CLAMP (MOVE_GAIN_PER_MS * copy_ms, LOWEST_MOVE_GAIN, HIGHEST_MOVE_GAIN);
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -9,8 +9,8 @@
 
 #include <string.h>
 
-/** Read interval while no gateway leads.  All of them get the status, so that
- * one soon takes the lead. */
+/** Read interval while no gateway leads.  All gateways then get the status, so
+ * that one soon takes the lead. */
 #define NO_LEADER_READ_MS 250
 /** Bounds of the read interval that a leader may ask for.  Each read costs
  * 0.2 ms of processor time, so the interval must not be too short. */
@@ -21,11 +21,11 @@
 #define COPYING_READ_MS 40
 /** The agent stops waiting for a copy that takes longer. */
 #define COPY_TIMEOUT_MS 5000
-/** How often gateways on standby get the status. */
+/** Interval at which gateways that do not lead get the status. */
 #define STANDBY_STATUS_MS 1000
 /** A gateway counts as down if no heartbeat came for this long, three times
  * their interval. */
-#define TICK_TIMEOUT_MS 1300L
+#define HEARTBEAT_TIMEOUT_MS 1300L
 /** Interval between reconnect attempts to seeds while another has a link... */
 #define RECONNECT_MS 500
 /** ...and while none has.  Until a gateway leads, the group keeps the map that
@@ -40,10 +40,11 @@
 static gboolean
 is_alive (const CfSeed *s, gint64 now)
 {
-  return s->up && s->tick_seen_ms && now - s->tick_seen_ms < TICK_TIMEOUT_MS;
+  return s->up && s->heartbeat_seen_ms
+         && now - s->heartbeat_seen_ms < HEARTBEAT_TIMEOUT_MS;
 }
 
-/* Returns a bit mask of the seeds that are alive. */
+/* Returns a bit mask of the seeds that are alive; bit i is seed i. */
 static guint
 seeds_up (const CfRankAgent *a, gint64 now)
 {
@@ -80,7 +81,7 @@
   CfPeerMsg m = { .kind = CF_PEER_RANK_STATUS };
 
   m.u.rank_status.status = a->status;
-  m.u.rank_status.fence_seen = a->fence_seen;
+  m.u.rank_status.highest_fence = a->highest_fence;
   m.u.rank_status.seeds_up = seeds_up (a, now);
   m.u.rank_status.leader_fence = lead ? lead->fence : 0;
   for (int i = 0; i < a->n_seeds; i++)
@@ -134,7 +135,7 @@
 }
 
 gboolean
-cf_rank_agent_handle_report (CfRankAgent *a, int status, const GString *body)
+cf_rank_agent_take_report (CfRankAgent *a, int status, const GString *body)
 {
   CfRankStatus s;
 
@@ -213,12 +214,12 @@
              != CF_OK)
     cf_log (LOG_WARNING, CF_EV_TARGET_FAIL, "target=%s error=\"%s\"",
             a->set.target_addr, cf_last_error ());
-  /* The rank restarted between the two calls; the next read gets both. */
+  /* If the rank restarted between the two calls, the next read repeats both. */
   if (counts && incarnation != a->status.incarnation)
     g_clear_pointer (&counts, g_array_unref);
   if (counts)
-    increases = cf_expert_counts_take_delta (&a->counts, counts, incarnation,
-                                             cf_now_ms ());
+    increases = cf_expert_counts_take_increases (&a->counts, counts,
+                                                 incarnation, cf_now_ms ());
   send_status (a, increases);
   if (increases)
     g_array_unref (increases);
@@ -231,7 +232,7 @@
   CfRankAgent *a = data;
   const CfSeed *lead;
 
-  if (!cf_rank_agent_handle_report (a, status, body) || !a->status.group[0])
+  if (!cf_rank_agent_take_report (a, status, body) || !a->status.group[0])
     {
       finish_read (a);
       return;
@@ -340,22 +341,22 @@
  * A new leader, and one that asks for a shorter interval, waits for the
  * status, so the rank is read at once. */
 static void
-handle_tick (CfSeed *s, gint64 fence, gint64 read_interval_ms)
+handle_heartbeat (CfSeed *s, gint64 fence, gint64 read_interval_ms)
 {
   CfRankAgent *a = s->agent;
   gboolean wants_faster = fence > 0 && read_interval_ms < s->read_interval_ms;
 
-  s->tick_seen_ms = cf_now_ms ();
+  s->heartbeat_seen_ms = cf_now_ms ();
   s->fence = fence;
   s->read_interval_ms = read_interval_ms;
-  if (fence <= a->fence_seen)
+  if (fence <= a->highest_fence)
     {
-      if (wants_faster && fence == a->fence_seen && !a->read_pending
+      if (wants_faster && fence == a->highest_fence && !a->read_pending
           && !a->copying_version)
         cf_rank_agent_schedule_read (a, 0);
       return;
     }
-  a->fence_seen = fence;
+  a->highest_fence = fence;
   /* The copy was ordered by an earlier leader, and the new one does not know
    * the rank's state, so it gets every status. */
   a->copying_version = 0;
@@ -379,7 +380,8 @@
     switch (m.kind)
       {
       case CF_PEER_HEARTBEAT:
-        handle_tick (s, m.u.heartbeat.fence, m.u.heartbeat.report_interval_ms);
+        handle_heartbeat (s, m.u.heartbeat.fence,
+                          m.u.heartbeat.report_interval_ms);
         break;
       case CF_PEER_CRASHES:
         handle_crashes (s, &m);
@@ -403,7 +405,7 @@
   msgpack_unpacked_destroy (&zone);
 }
 
-static const CfPeerLinkCallbacks link_calls = { on_up, on_frame, on_down };
+static const CfPeerLinkCallbacks link_callbacks = { on_up, on_frame, on_down };
 
 static gboolean
 is_isolated (const CfRankAgent *a)
@@ -429,18 +431,18 @@
   for (int i = 0; i < a->n_seeds; i++)
     {
       CfSeed *s = &a->seeds[i];
-      gint64 silent_ms = cf_now_ms () - s->tick_seen_ms;
+      gint64 silent_ms = cf_now_ms () - s->heartbeat_seen_ms;
 
       /* A silent link is replaced. */
-      if (s->up && s->tick_seen_ms && silent_ms > 2 * TICK_TIMEOUT_MS)
+      if (s->up && s->heartbeat_seen_ms && silent_ms > 2 * HEARTBEAT_TIMEOUT_MS)
         {
           cf_peer_link_close (s->link);
           on_down (s, s->link);
         }
       if (s->has_addr && !s->link)
         {
-          s->tick_seen_ms = 0;
-          s->link = cf_peer_link_connect (loop, &s->addr, &link_calls, s);
+          s->heartbeat_seen_ms = 0;
+          s->link = cf_peer_link_connect (loop, &s->addr, &link_callbacks, s);
         }
     }
   ev_timer_set (t, (double)interval / 1000, 0);
--- a/gateway/rank-service-lead.c
+++ b/gateway/rank-service-lead.c
@@ -4,9 +4,9 @@
 
 #include <string.h>
 
-/** How long this gateway does not take the lead after it met another leader's
- * token. */
-#define RETAKE_LEAD_MS 3000
+/** Time for which this gateway does not take the lead after it lost it to
+ * another leader's token. */
+#define LEAD_RETRY_MS 3000
 /** An older status does not tell which gateways a rank can reach, so it does
  * not count when the ranks decide who leads. */
 #define STATUS_MAX_AGE_MS 2500
@@ -16,7 +16,7 @@
 
 /* Whether this leader has a recent status from most ranks. */
 static gboolean
-is_heard_by_majority (const CfLedGroup *g)
+has_majority (const CfLedGroup *g)
 {
   gint64 now = cf_gateway_now (g->service->gateway);
   int votes = 0;
@@ -34,7 +34,7 @@
  * the group.  Each group starts the order at a different seed, so that no
  * gateway leads all groups. */
 static guint
-preceding_seeds (const CfLedGroup *g)
+seeds_ahead (const CfLedGroup *g)
 {
   guint n
       = MIN (g_strv_length (g->service->gateway->set.seed_addrs), CF_SEEDS_MAX);
@@ -53,13 +53,13 @@
 }
 
 /* Whether most ranks follow no leader and can reach no seed that precedes this
- * gateway.  A seed that returns does not replace the current leader: in the
- * middle of a change that costs the group a second or more. */
+ * gateway.  A seed that returns does not replace the current leader, as this
+ * would cost the group a second or more in the middle of a change. */
 static gboolean
 may_take_lead (const CfLedGroup *g)
 {
   gint64 now = cf_gateway_now (g->service->gateway);
-  guint before = preceding_seeds (g);
+  guint before = seeds_ahead (g);
   int votes = 0;
 
   for (int r = 0; r < g->coordinator.shape.ranks; r++)
@@ -72,24 +72,24 @@
   return votes * 2 > g->coordinator.shape.ranks;
 }
 
-/* Returns how many seeds come before this gateway in the succession of the
- * leader that holds a pass. */
+/* Returns how many seeds are to take over before this gateway from the leader
+ * that holds a pass. */
 static int
-succession_place (const CfLedGroup *g)
+count_seeds_ahead (const CfLedGroup *g)
 {
   guint leader = (guint)(g->lease.fence % FENCE_STEP);
-  guint before = preceding_seeds (g) & ~(1U << leader);
+  guint before = seeds_ahead (g) & ~(1U << leader);
 
   return __builtin_popcount (before);
 }
 
 /* Whether the hold lease of another leader has expired so that this gateway may
- * take over, although agents still follow that leader: the group waits until
- * someone ends the hold. */
+ * take over.  It does not wait until the agents no longer follow that leader,
+ * since the group is stopped until a leader ends the hold. */
 static gboolean
-may_succeed (const CfLedGroup *g)
+may_take_over (const CfLedGroup *g)
 {
-  return cf_hold_lease_has_expired (&g->lease, succession_place (g),
+  return cf_hold_lease_has_expired (&g->lease, count_seeds_ahead (g),
                                     cf_gateway_now (g->service->gateway));
 }
 
@@ -103,7 +103,7 @@
   g_free (name);
   if (!g || m->u.hold_lease.fence <= 0)
     return;
-  g->fence_seen = MAX (g->fence_seen, m->u.hold_lease.fence);
+  g->highest_fence = MAX (g->highest_fence, m->u.hold_lease.fence);
   cf_hold_lease_renew (&g->lease, m->u.hold_lease.fence, m->u.hold_lease.held,
                        cf_gateway_now (s->gateway));
 }
@@ -138,27 +138,27 @@
 cf_led_group_decide_lead (CfLedGroup *g)
 {
   gint64 now = cf_gateway_now (g->service->gateway);
-  gboolean succeeds = g->coordinator.fence == 0 && may_succeed (g);
-  gboolean lead = g->coordinator.fence ? is_heard_by_majority (g)
-                                       : succeeds || may_take_lead (g);
+  gboolean takes_over = g->coordinator.fence == 0 && may_take_over (g);
+  gboolean lead = g->coordinator.fence ? has_majority (g)
+                                       : takes_over || may_take_lead (g);
 
   /* A gateway that is stopping leads only to end a hold if no other does. */
   lead = lead
-         && (!g->service->gateway->stopping || succeeds
+         && (!g->service->gateway->stopping || takes_over
              || cf_map_coordinator_is_holding_pass (&g->coordinator));
   /* The leader that fenced this gateway off may be the right one; by the end of
    * this time, all ranks have reported which leader they follow. */
   if (g->coordinator.fenced_ms
-      && now - g->coordinator.fenced_ms < RETAKE_LEAD_MS)
+      && now - g->coordinator.fenced_ms < LEAD_RETRY_MS)
     lead = FALSE;
   if (lead && g->coordinator.fence == 0)
     {
       gint64 fence
-          = (g->fence_seen / FENCE_STEP + 1) * FENCE_STEP + g->service->seed;
+          = (g->highest_fence / FENCE_STEP + 1) * FENCE_STEP + g->service->seed;
 
-      g->fence_seen = fence;
+      g->highest_fence = fence;
       g->lease.held = FALSE;
-      if (succeeds)
+      if (takes_over)
         cf_log (LOG_NOTICE, CF_EV_MAP_SETTLE,
                 "group=%s outcome=lease-expired holder_fence=%" G_GINT64_FORMAT
                 " silent_ms=%" G_GINT64_FORMAT,
@@ -167,8 +167,8 @@
       cf_map_coordinator_start_leading (&g->coordinator, fence, g_random_int (),
                                         now);
     }
-  /* A lead is not given up in the middle of a change; it is better ended by the
-   * next leader's token. */
+  /* This gateway does not give up the lead in the middle of a change; the next
+   * leader's token ends it then. */
   else if (!lead && g->coordinator.fence && g->coordinator.state == CF_MAP_IDLE)
     g->coordinator.fence = 0;
   g->leads = g->coordinator.fence != 0;
--- a/t/t-coordinator.c
+++ b/t/t-coordinator.c
@@ -35,8 +35,8 @@
   gint64 agent_fence;
   guint map_hash;  /* of the map in use */
   guint next_hash; /* of the version prepared or being copied */
-  gint16 held[SETS][PLACES];
-  gint16 next[SETS][PLACES];
+  gint16 experts[SETS][PLACES];
+  gint16 next_experts[SETS][PLACES];
 } Rank;
 
 typedef struct
@@ -122,8 +122,8 @@
       r->copied_ms = w.now + g_rand_int_range (w.rand, 5, 400);
       r->next_hash = hash_map (o->map);
       for (int s = 0; s < SETS; s++)
-        memcpy (r->next[s], cf_group_map_row (o->map, s, r->s.rank),
-                sizeof r->next[s]);
+        memcpy (r->next_experts[s], cf_group_map_row (o->map, s, r->s.rank),
+                sizeof r->next_experts[s]);
       return 202;
     case CF_ORDER_ARM:
       if (r->s.armed == o->version && r->armed_step == o->step)
@@ -146,7 +146,7 @@
         return 409;
       r->s.held = o->step;
       return 202;
-    case CF_ORDER_GO:
+    case CF_ORDER_RELEASE:
       if (r->s.held == o->step)
         r->s.held = 0;
       return 200;
@@ -218,8 +218,8 @@
   for (int s = 0; s < SETS; s++)
     {
       for (int p = 0; p < PLACES; p++)
-        if (r->held[s][p] >= 0)
-          rows[n++] = r->held[s][p];
+        if (r->experts[s][p] >= 0)
+          rows[n++] = r->experts[s][p];
       rows[n++] = -1;
     }
   cf_map_coordinator_take_lists (&l->c, rank, r->s.epoch, r->s.map, rows, n);
@@ -240,11 +240,11 @@
 static void
 set_initial_map (Rank *r)
 {
-  memset (r->held, -1, sizeof r->held);
+  memset (r->experts, -1, sizeof r->experts);
   for (int s = 0; s < SETS; s++)
     for (int e = 0; e < EXPERTS; e++)
       if (e % RANKS == r->s.rank)
-        r->held[s][e / RANKS] = (gint16)e;
+        r->experts[s][e / RANKS] = (gint16)e;
   r->map_hash = 0;
 }
 
@@ -278,9 +278,10 @@
                                .ranks = RANKS,
                                .places = PLACES,
                                .spare = 2 };
-  const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 0, .min_gain = 0.05, .min_move_gain = 0.02
-  };
+  const CfPlanLimits limits = { .max_set_copies = 1,
+                                .max_rank_copies = 0,
+                                .min_gain = 0.05,
+                                .min_move_gain = 0.02 };
 
   cf_map_coordinator_init (&l->c, &shape, &limits, &callbacks, l);
 }
@@ -326,7 +327,7 @@
         {
           r->s.map = r->s.armed;
           r->map_hash = r->next_hash;
-          memcpy (r->held, r->next, sizeof r->held);
+          memcpy (r->experts, r->next_experts, sizeof r->experts);
           r->s.armed = 0;
         }
     }
@@ -392,21 +393,21 @@
 static void
 report_all (Leader *l)
 {
-  gint64 drawn[SETS * EXPERTS];
+  gint64 increases[SETS * EXPERTS];
 
   for (int i = 0; i < RANKS; i++)
     {
       if (chance (0.1))
         continue;
-      /* The agent learned the leader's token when the leader greeted it. */
+      /* The agent knows the leader's token from its heartbeats. */
       w.ranks[i].agent_fence = MAX (w.ranks[i].agent_fence, l->c.fence);
       w.highest_fence = MAX (w.highest_fence, w.ranks[i].agent_fence);
       cf_map_coordinator_take_status (&l->c, &w.ranks[i].s,
                                       w.ranks[i].agent_fence, w.now);
       /* The demand shifts every three seconds. */
       for (int e = 0; e < SETS * EXPERTS; e++)
-        drawn[e] = 100 * (1 + (e + w.now / 3000) % 5);
-      cf_map_coordinator_add_demand (&l->c, drawn, SETS * EXPERTS);
+        increases[e] = 100 * (1 + (e + w.now / 3000) % 5);
+      cf_map_coordinator_add_demand (&l->c, increases, SETS * EXPERTS);
     }
 }
 
@@ -572,9 +573,10 @@
   clear_world ();
 }
 
-/* A leader that invalidates an earlier one's versions ends the hold last.  Its
- * successor found the barrier version prepared on all ranks and armed them for
- * the held pass meanwhile, so that a pass ran with two maps (seed 1263). */
+/* A leader that invalidates an earlier leader's versions ends the hold last.
+ * Before it did, its successor found the barrier version prepared on all ranks
+ * and armed them for the held pass, so that a pass ran with two maps (seed
+ * 1263). */
 START_TEST (a_barrier_version_is_never_armed)
 {
   CfRankStatus s = { .group = "g", .size = RANKS, .epoch = 1, .open = TRUE };
@@ -629,8 +631,8 @@
 }
 END_TEST
 
-/* A leader that acted on reports from before its token guarded the ranks let
- * two leaders arm two versions at once (seed 1119). */
+/* While a leader acted on statuses from before its token guarded the ranks, two
+ * leaders could arm two versions at once (seed 1119). */
 START_TEST (all_ranks_use_one_map_per_pass_without_fences)
 {
   run_seeds (1001, FALSE);
@@ -638,9 +640,9 @@
 }
 END_TEST
 
-/* A leader that meets a higher token gives up the lead, even while it has no
- * pending order that could be refused. */
-START_TEST (a_leader_that_meets_a_higher_token_steps_down)
+/* A leader loses the lead to a higher token even while it has no pending order
+ * that could be refused. */
+START_TEST (a_leader_that_meets_a_higher_token_loses_the_lead)
 {
   CfRankStatus s = { .group = "g", .size = RANKS, .epoch = 1, .open = TRUE };
   Leader *l = &w.leaders[0];
@@ -680,7 +682,7 @@
     }
   c->state = CF_MAP_RELEASING;
   c->version = 40;
-  c->step = 7;
+  c->pass_to_hold = 7;
   c->holder = 2;
   cf_map_coordinator_take_held (c, 2, 1, 7);
   cf_map_coordinator_tick (c, 1210);
@@ -807,7 +809,7 @@
   c->ranks[2].lists_version = 0;
   cf_map_coordinator_tick (c, ++now);
   ck_assert_int_eq (c->state, CF_MAP_IDLE);
-  /* The rank restarts before its group is known to have formed anew. */
+  /* The rank restarts before its group is known to have re-formed. */
   report_start (c, 2, 200, 1, 0, ++now);
   ck_assert_int_eq (c->state, CF_MAP_SETTLING);
   ck_assert_int_eq (c->ranks[2].lists_version, -1);
@@ -867,14 +869,15 @@
   const CfGroupShape shape = {
     .sets = 2, .experts = 384, .ranks = LARGE_RANKS, .places = 3, .spare = 2
   };
-  const CfPlanLimits limits = {
-    .max_new = 1, .max_rank_new = 1, .min_gain = 0.1, .min_move_gain = 0.05
-  };
+  const CfPlanLimits limits = { .max_set_copies = 1,
+                                .max_rank_copies = 1,
+                                .min_gain = 0.1,
+                                .min_move_gain = 0.05 };
   static const CfMapCoordinatorCallbacks quiet
       = { count_order, ignore_list_request, ignore_state_change };
   CfGroupMap *m = cf_group_map_round_robin (&shape);
   CfRankStatus st = { .group = "g", .size = LARGE_RANKS, .epoch = 1 };
-  gint64 drawn[2 * 384];
+  gint64 increases[2 * 384];
 
   st.open = TRUE;
   cf_map_coordinator_init (c, &shape, &limits, &quiet, NULL);
@@ -890,9 +893,9 @@
   for (int w = 0; w < 4; w++)
     {
       for (int e = 0; e < 2 * 384; e++)
-        drawn[e] = e % 384 < 30 ? 900 : 10;
+        increases[e] = e % 384 < 30 ? 900 : 10;
       for (int r = 0; r < LARGE_RANKS; r++)
-        cf_map_coordinator_add_demand (c, drawn, G_N_ELEMENTS (drawn));
+        cf_map_coordinator_add_demand (c, increases, G_N_ELEMENTS (increases));
       cf_map_coordinator_tick (c, *now += 100);
     }
 }
@@ -928,8 +931,8 @@
 }
 END_TEST
 
-/* A busy leader continues its change.  After a gap that is long enough for
- * another one to have led, it settles again. */
+/* A leader that was busy for a moment continues its change.  After a gap long
+ * enough for another gateway to have led, it settles again. */
 START_TEST (only_a_long_gap_makes_a_leader_settle_again)
 {
   CfMapCoordinator c;
@@ -956,7 +959,7 @@
   tcase_set_timeout (t, 600);
   tcase_set_timeout (u, 600);
   tcase_add_test (t, all_ranks_use_one_map_per_pass);
-  tcase_add_test (t, a_leader_that_meets_a_higher_token_steps_down);
+  tcase_add_test (t, a_leader_that_meets_a_higher_token_loses_the_lead);
   tcase_add_test (t, a_barrier_version_is_never_armed);
   tcase_add_test (t, an_old_report_does_not_end_a_hold);
   tcase_add_test (t, the_hold_of_a_frozen_leader_ends_soon);
--- a/t/t-order-watch.c
+++ b/t/t-order-watch.c
@@ -1,10 +1,10 @@
-/* When an agent has lost an order, and when orders bypass it. */
+/* Checks when an order counts as lost, and when orders bypass the agent. */
 #include "gateway/order-watch.h"
 #include "harness.h"
 
 /* The leader sends an order again before the first one times out.  While only
- * the newest was watched, none ever counted as lost, and an order to hold was
- * sent eleven times through an agent that was frozen. */
+ * the newest one was checked, none ever counted as lost, and an order to hold
+ * was sent eleven times through an agent that was frozen. */
 START_TEST (an_order_that_is_sent_again_counts_as_lost)
 {
   CfOrderWatch w = { 0 };
@@ -30,7 +30,7 @@
   ck_assert (cf_order_watch_check_expiry (&w, 1131));
   ck_assert (!cf_order_watch_check_expiry (&w, 2000));
   ck_assert (cf_order_watch_is_agent_bypassed (&w));
-  cf_order_watch_note_report (&w);
+  cf_order_watch_note_status (&w);
   ck_assert (!cf_order_watch_is_agent_bypassed (&w));
 }
 END_TEST
@@ -40,7 +40,7 @@
   CfOrderWatch w = { 0 };
 
   ck_assert (cf_order_watch_is_sent_direct (&w, CF_ORDER_HOLD));
-  ck_assert (cf_order_watch_is_sent_direct (&w, CF_ORDER_GO));
+  ck_assert (cf_order_watch_is_sent_direct (&w, CF_ORDER_RELEASE));
   ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_PREPARE));
   ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_ARM));
   ck_assert (!cf_order_watch_is_sent_direct (&w, CF_ORDER_DISARM));
--- a/t/t-platform.c
+++ b/t/t-platform.c
@@ -1,5 +1,5 @@
 /* The adapter: parses the platform's data into the project's types, and
- * rejected_records invalid data. */
+ * rejects invalid data. */
 #include "harness.h"
 #include "platform/platform-headers.h"
 #include "platform/platform-policy.h"
