--- a/comfrey-bench.c
+++ b/comfrey-bench.c
@@ -1,14 +1,14 @@
 /*
- * The placement bench: plays a seeded workload whose expert popularity
- * drifts over groups of lock-step ranks, once for each placement policy,
- * and prints what each cost and gained side by side.
+ * A benchmark of the placement policies: simulates groups of lock-step
+ * ranks under a seeded workload with drifting expert popularity, once for
+ * each policy, and prints a table of the policies' costs and gains.
  *
- * It drives the fake engine's own ranks (fake-ranks.c), and changes their
- * maps by the agents' protocol (map-change.c), but in the time of the
- * modelled steps, so a run says the same on every machine.  A group's step
- * takes base + per-token x the tokens of its most loaded rank, as in
- * comfrey-fake-engine; experts are copied through one weight store that
- * all groups share.
+ * It uses the simulated ranks of comfrey-fake-engine (fake-ranks.c) and
+ * changes their maps with the agents' protocol (map-change.c), but on the
+ * simulated clock of the passes, so that a run gives the same result on
+ * every machine.  A group's pass takes a base time plus a time per token of
+ * its most loaded rank, as in comfrey-fake-engine.  Experts are copied from
+ * one weight store that all groups share.
  */
 #include "daemon.h"
 #include "fake-ranks.h"
@@ -26,31 +26,31 @@
 #define SLOTS_PER_RANK 12
 #define EXPERTS_PER_TOKEN 4
 #define TOKENS_PER_REQUEST 96
-#define OFFERED 0.9 /* of what evenly loaded groups could answer */
-#define STEP_BASE_US 3000.0
-#define STEP_PER_TOKEN_US 32.0
-#define COPY_SLOWDOWN 1.15  /* steps while experts are copied */
-#define SWITCH_HOLD_US 2000 /* the hold at the agreed step */
+#define OFFERED_LOAD 0.9 /* share of the capacity of evenly loaded groups */
+#define PASS_BASE_US 3000.0
+#define PASS_US_PER_TOKEN 32.0
+#define COPY_SLOWDOWN 1.15  /* factor for passes during a copy */
+#define SWITCH_HOLD_US 2000 /* a change holds the pass this long */
 #define EXPERT_MB 24.0
 #define STORE_MB_PER_S 2000.0
-#define REPORT_US 500000.0 /* between load reports, and their lag */
-#define REPORT_LOST 0.1    /* share of reports that never come */
-#define REPORT_WEIGHT 0.5
-#define PLAN_US 2000000.0
-#define ZIPF 0.8
+#define REPORT_INTERVAL_US 500000.0 /* also the lag of a report */
+#define REPORT_LOSS_RATE 0.1
+#define REPORT_EWMA_WEIGHT 0.5
+#define PLAN_INTERVAL_US 2000000.0
+#define ZIPF_EXPONENT 0.8
 
-/* How popularity drifts over the run. */
+/* How expert popularity changes over a run. */
 typedef enum
 {
-  DRIFT_SURGES, /* another set of experts is hot, twice, within seconds */
-  DRIFT_SEASON, /* the hot set wanders steadily */
+  DRIFT_SURGES, /* twice, another set of experts becomes hot in a short time */
+  DRIFT_STEADY, /* the set of hot experts moves steadily */
 } Drift;
 
 typedef struct
 {
   const char *name;
   Drift drift;
-  CfPlacement bounded; /* the deployment's own weights */
+  CfPlacement bounded; /* the deployment's weights for this policy */
 } Deployment;
 
 static const Deployment deployments[] = {
@@ -60,40 +60,41 @@
       { .bounded
         = { .skew_weight = 1.0, .move_weight = 0.004, .max_moves = 16 } } } },
   { "beritba",
-    DRIFT_SEASON,
+    DRIFT_STEADY,
     { CF_PLACE_BOUNDED,
       { .bounded
         = { .skew_weight = 1.0, .move_weight = 0.01, .max_moves = 16 } } } },
 };
 
-/* What lives for one group of ranks through a run. */
+/* One group of ranks during a run. */
 typedef struct
 {
   int ranks;
   FakeRanks fake;
-  pthread_mutex_t lock; /* the fake ranks want one; there is one thread */
-  gint64 turn;          /* of map changes */
-  CfExpertMap *next;    /* being copied */
-  CfPopularity seen;
-  double counts[EXPERTS];                    /* tokens drawn since the start */
-  double reported[EXPERTS];                  /* the report on its way */
-  double now, report_at, plan_at, copied_at; /* us */
-  int *left; /* tokens each running request still wants */
+  pthread_mutex_t lock;     /* required by @fake; there is only one thread */
+  gint64 change_round;      /* number of the last map change */
+  CfExpertMap *pending_map; /* its experts are being copied; or NULL */
+  CfPopularity popularity;
+  double counts[EXPERTS];      /* tokens of each expert since the start */
+  double last_report[EXPERTS]; /* counts of the report not yet delivered */
+  double now_us;               /* the group's simulated clock */
+  double report_due_us, plan_due_us, copy_ready_us;
+  int *tokens_left; /* tokens that each running request still needs */
   int running, waiting;
-  gboolean report_sent;
+  gboolean has_report; /* @last_report is set */
 } Group;
 
-/* What one run adds up to. */
+/* The sums over one run. */
 typedef struct
 {
-  GArray *skew; /* per step: slowest rank / mean */
-  GArray *step; /* per step, ms */
-  gint64 moved, changes, copy_steps, answered;
-  gint64 mixed; /* steps in which two ranks used different maps */
+  GArray *skews;   /* per pass: slowest rank / mean */
+  GArray *pass_ms; /* time of each pass */
+  gint64 moves, changes, copy_passes, answered;
+  gint64 mixed_passes; /* passes in which two ranks used different maps */
 } Totals;
 
 static int
-by_value (gconstpointer a, gconstpointer b)
+compare_doubles (gconstpointer a, gconstpointer b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -109,20 +110,22 @@
 }
 
 static double
-popularity (int expert, double shift)
+zipf_popularity (int expert, double shift)
 {
   double rank = fmod (expert - shift + 2 * EXPERTS, EXPERTS);
 
-  return 1.0 / pow (rank + 1, ZIPF);
+  return 1.0 / pow (rank + 1, ZIPF_EXPONENT);
 }
 
-/* The popularity of every expert at @now of a run of @length us.  Hot
- * experts lie far apart in the numbering, so map 1 does not favour any. */
+/* Stores the popularity of every expert at @now_us of a run of @length_us in
+ * @share.  Experts of similar popularity have distant numbers, so that the
+ * map version 1 does not favour any. */
 static void
-drifted (Drift drift, double now, double length, double *share)
+drifted_popularity (Drift drift, double now_us, double length_us, double *share)
 {
-  static const double hot[] = { 0, 87, 13 }; /* the sets of the surges */
-  double phase = now / length;
+  /* The hottest expert of each phase of DRIFT_SURGES, before spreading. */
+  static const double hottest[] = { 0, 87, 13 };
+  double phase = now_us / length_us;
   int surge = (int)(phase * 3);
   double from = 0;
   double to = 0;
@@ -131,12 +134,12 @@
   switch (drift)
     {
     case DRIFT_SURGES:
-      from = hot[MAX (surge - 1, 0)];
-      to = hot[surge];
+      from = hottest[MAX (surge - 1, 0)];
+      to = hottest[surge];
       /* The new set takes over within the first tenth of its phase. */
       mix = MIN (fmod (phase, 1.0 / 3) * 30, 1.0);
       break;
-    case DRIFT_SEASON:
+    case DRIFT_STEADY:
       from = floor (phase * 32);
       to = from + 1;
       mix = phase * 32 - from;
@@ -146,8 +149,8 @@
     {
       int spread = e * 37 % EXPERTS;
 
-      share[e] = (1 - mix) * popularity (spread, from)
-                 + mix * popularity (spread, to);
+      share[e] = (1 - mix) * zipf_popularity (spread, from)
+                 + mix * zipf_popularity (spread, to);
     }
 }
 
@@ -160,11 +163,11 @@
   pthread_mutex_init (&g->lock, NULL);
   fake_ranks_init (&g->fake, &g->lock, EXPERTS, ranks,
                    places + MAX (places / 4, 1), 0);
-  cf_popularity_init (&g->seen, EXPERTS);
-  g->left = g_new0 (int, SLOTS_PER_RANK *ranks);
-  /* Groups do not all report and plan at the same moment. */
-  g->report_at = REPORT_US * index / GROUPS;
-  g->plan_at = PLAN_US * (1 + (double)index / GROUPS);
+  cf_popularity_init (&g->popularity, EXPERTS);
+  g->tokens_left = g_new0 (int, SLOTS_PER_RANK *ranks);
+  /* Spreads the reports and plans of the groups over the interval. */
+  g->report_due_us = REPORT_INTERVAL_US * index / GROUPS;
+  g->plan_due_us = PLAN_INTERVAL_US * (1 + (double)index / GROUPS);
 }
 
 static void
@@ -172,46 +175,48 @@
 {
   fake_ranks_clear (&g->fake);
   pthread_mutex_destroy (&g->lock);
-  cf_expert_map_free (g->next);
-  cf_popularity_clear (&g->seen);
-  g_free (g->left);
+  cf_expert_map_free (g->pending_map);
+  cf_popularity_clear (&g->popularity);
+  g_free (g->tokens_left);
 }
 
-/* Load reports: taken, and one interval later received, or lost. */
+/* Takes a load report once per interval.  A report is delivered one interval
+ * later, or lost. */
 static void
-report (Group *g, gsl_rng *rng)
+deliver_report (Group *g, gsl_rng *rng)
 {
-  if (g->now < g->report_at)
+  if (g->now_us < g->report_due_us)
     return;
-  g->report_at += REPORT_US;
-  if (g->report_sent && gsl_rng_uniform (rng) >= REPORT_LOST)
-    cf_popularity_report (&g->seen, g->reported, REPORT_WEIGHT);
-  memcpy (g->reported, g->counts, sizeof g->counts);
-  g->report_sent = TRUE;
+  g->report_due_us += REPORT_INTERVAL_US;
+  if (g->has_report && gsl_rng_uniform (rng) >= REPORT_LOSS_RATE)
+    cf_popularity_report (&g->popularity, g->last_report, REPORT_EWMA_WEIGHT);
+  memcpy (g->last_report, g->counts, sizeof g->counts);
+  g->has_report = TRUE;
 }
 
 static CfRankAck
-on_order (void *data, int rank, const CfRankOp *op)
+send_order (void *data, int rank, const CfRankOp *op)
 {
   Group *g = data;
   json_t *o = cf_rank_op_json (op);
-  const char *why = fake_ranks_obey (&g->fake, rank, o);
+  const char *refusal = fake_ranks_apply_order (&g->fake, rank, o);
 
   json_decref (o);
-  return why ? CF_ACK_REFUSED : CF_ACK_DONE;
+  return refusal ? CF_ACK_REFUSED : CF_ACK_DONE;
 }
 
 static CfRankAck
-on_report (void *data, int rank, CfRankReport *out)
+read_report (void *data, int rank, CfRankReport *out)
 {
   Group *g = data;
 
-  fake_ranks_read (&g->fake, rank, out);
+  fake_ranks_read_report (&g->fake, rank, out);
   return CF_ACK_DONE;
 }
 
+/* The simulated ranks answer every order, so no retry is needed. */
 static gboolean
-on_pause (void *data, int ms)
+pause_coordinator (void *data, int ms)
 {
   (void)data;
   (void)ms;
@@ -219,76 +224,79 @@
 }
 
 static gint64
-on_now (void *data)
+now_ms (void *data)
 {
   const Group *g = data;
 
-  return (gint64)(g->now / 1000);
+  return (gint64)(g->now_us / 1000);
 }
 
-/* The copies are whole: changes the map a few steps from now. */
+/* Switches to the pending map, whose copies are complete, a few passes
+ * ahead. */
 static void
-change_map (Group *g, Totals *t)
+switch_map (Group *g, Totals *t)
 {
   const CfMapLimits limits
       = { .prepare_ms = 0, .settle_ms = 0, .lead_steps = 8 };
   CfRankOps ops = { .data = g,
                     .ranks = g->ranks,
-                    .order = on_order,
-                    .report = on_report,
-                    .pause = on_pause,
-                    .now = on_now };
-
-  t->changes += cf_map_change (&ops, ++g->turn, fake_ranks_map (&g->fake),
-                               g->next, &limits)
-                == CF_MAP_CHANGED;
-  g_clear_pointer (&g->next, cf_expert_map_free);
-  g->now += SWITCH_HOLD_US;
+                    .order = send_order,
+                    .report = read_report,
+                    .pause = pause_coordinator,
+                    .now = now_ms };
+
+  t->changes
+      += cf_map_change (&ops, ++g->change_round, fake_ranks_map (&g->fake),
+                        g->pending_map, &limits)
+         == CF_MAP_CHANGED;
+  g_clear_pointer (&g->pending_map, cf_expert_map_free);
+  g->now_us += SWITCH_HOLD_US;
 }
 
 static void
-plan (Group *g, const CfPlacement *policy, double *store_free, Totals *t)
+plan_map (Group *g, const CfPlacement *policy, double *store_free_us, Totals *t)
 {
   CfPlacementPlan p;
 
-  if (g->next && g->now >= g->copied_at)
-    change_map (g, t);
-  if (g->next || g->now < g->plan_at)
+  if (g->pending_map && g->now_us >= g->copy_ready_us)
+    switch_map (g, t);
+  if (g->pending_map || g->now_us < g->plan_due_us)
     return;
-  g->plan_at = g->now + PLAN_US;
-  p = cf_placement_plan (policy, fake_ranks_map (&g->fake), g->seen.tokens);
+  g->plan_due_us = g->now_us + PLAN_INTERVAL_US;
+  p = cf_placement_plan (policy, fake_ranks_map (&g->fake),
+                         g->popularity.tokens);
   if (p.map == NULL)
     return;
-  g->next = p.map;
-  t->moved += p.moves;
-  *store_free
-      = MAX (*store_free, g->now) + p.moves * EXPERT_MB / STORE_MB_PER_S * 1e6;
-  g->copied_at = *store_free;
+  g->pending_map = p.map;
+  t->moves += p.moves;
+  *store_free_us = MAX (*store_free_us, g->now_us)
+                   + p.moves * EXPERT_MB / STORE_MB_PER_S * 1e6;
+  g->copy_ready_us = *store_free_us;
 }
 
 static void
-step (Group *g, const double *share, gsl_rng *rng, Totals *t)
+run_pass (Group *g, const double *share, gsl_rng *rng, Totals *t)
 {
   int slots = SLOTS_PER_RANK * g->ranks;
   unsigned int drawn[EXPERTS];
   double tokens[EXPERTS];
   g_autofree double *load = g_new (double, g->ranks);
   double rate
-      = OFFERED * slots
+      = OFFERED_LOAD * slots
         / (TOKENS_PER_REQUEST
-           * (STEP_BASE_US
-              + STEP_PER_TOKEN_US * SLOTS_PER_RANK * EXPERTS_PER_TOKEN));
+           * (PASS_BASE_US
+              + PASS_US_PER_TOKEN * SLOTS_PER_RANK * EXPERTS_PER_TOKEN));
   const CfExpertMap *map;
   gint64 stall_ms;
   double skew;
   double us;
 
   pthread_mutex_lock (&g->lock);
-  map = fake_ranks_begin_step (&g->fake, &stall_ms);
+  map = fake_ranks_begin_pass (&g->fake, &stall_ms);
   pthread_mutex_unlock (&g->lock);
   while (g->running < slots && g->waiting > 0)
     {
-      g->left[g->running++] = TOKENS_PER_REQUEST;
+      g->tokens_left[g->running++] = TOKENS_PER_REQUEST;
       g->waiting--;
     }
   gsl_ran_multinomial (rng, EXPERTS,
@@ -299,65 +307,65 @@
       tokens[e] = drawn[e];
       g->counts[e] += drawn[e];
     }
-  us = STEP_BASE_US
-       + STEP_PER_TOKEN_US * cf_expert_map_load (map, tokens, load);
-  if (g->next)
+  us = PASS_BASE_US
+       + PASS_US_PER_TOKEN * cf_expert_map_load (map, tokens, load);
+  if (g->pending_map)
     {
       us *= COPY_SLOWDOWN;
-      t->copy_steps++;
+      t->copy_passes++;
     }
   if (g->running > 0)
     {
       skew = cf_placement_skew (map, tokens);
-      g_array_append_val (t->skew, skew);
+      g_array_append_val (t->skews, skew);
       us /= 1000;
-      g_array_append_val (t->step, us);
+      g_array_append_val (t->pass_ms, us);
       us *= 1000;
     }
   for (int i = 0; i < g->running;)
     {
-      if (--g->left[i] > 0)
+      if (--g->tokens_left[i] > 0)
         {
           i++;
           continue;
         }
-      g->left[i] = g->left[--g->running];
+      g->tokens_left[i] = g->tokens_left[--g->running];
       t->answered++;
     }
-  g->now += us;
+  g->now_us += us;
   g->waiting += (int)gsl_ran_poisson (rng, rate * us);
 }
 
 static void
-run (const Deployment *d, const CfPlacement *policy, double length,
-     unsigned long seed, Totals *t)
+run_policy (const Deployment *d, const CfPlacement *policy, double length_us,
+            unsigned long seed, Totals *t)
 {
-  static const int sizes[] = { 8, 16, 32, 64, 128 };
+  static const int group_sizes[] = { 8, 16, 32, 64, 128 };
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_mt19937);
   g_autofree Group *groups = g_new0 (Group, GROUPS);
   double share[EXPERTS];
-  double store_free = 0;
+  double store_free_us = 0;
 
   gsl_rng_set (rng, seed);
   for (int i = 0; i < GROUPS; i++)
-    group_init (&groups[i], sizes[i % G_N_ELEMENTS (sizes)], i);
+    group_init (&groups[i], group_sizes[i % G_N_ELEMENTS (group_sizes)], i);
   for (;;)
     {
       Group *g = &groups[0];
 
       for (int i = 1; i < GROUPS; i++)
-        if (groups[i].now < g->now)
+        if (groups[i].now_us < g->now_us)
           g = &groups[i];
-      if (g->now >= length)
+      if (g->now_us >= length_us)
         break;
-      drifted (d->drift, g->now, length, share);
-      report (g, rng);
-      plan (g, policy, &store_free, t);
-      step (g, share, rng, t);
+      drifted_popularity (d->drift, g->now_us, length_us, share);
+      deliver_report (g, rng);
+      plan_map (g, policy, &store_free_us, t);
+      run_pass (g, share, rng, t);
     }
   for (int i = 0; i < GROUPS; i++)
     {
-      t->mixed += groups[i].fake.mixed;
+      t->mixed_passes += groups[i].fake.mixed_passes;
       group_clear (&groups[i]);
     }
   gsl_rng_free (rng);
@@ -366,25 +374,26 @@
 static void
 print_row (const Deployment *d, const CfPlacement *policy, Totals *t, FILE *csv)
 {
-  g_array_sort (t->skew, by_value);
-  g_array_sort (t->step, by_value);
+  g_array_sort (t->skews, compare_doubles);
+  g_array_sort (t->pass_ms, compare_doubles);
   printf ("%-8s %-8s %8.2f %8.2f %8.2f %8.2f %8" G_GINT64_FORMAT
           " %9.1f %8" G_GINT64_FORMAT " %10" G_GINT64_FORMAT
           " %9" G_GINT64_FORMAT "\n",
-          d->name, cf_placement_name (policy->kind), percentile (t->skew, 50),
-          percentile (t->skew, 99), percentile (t->step, 50),
-          percentile (t->step, 99), t->moved,
-          (double)t->moved * EXPERT_MB / 1e3, t->changes, t->copy_steps,
+          d->name, cf_placement_name (policy->kind), percentile (t->skews, 50),
+          percentile (t->skews, 99), percentile (t->pass_ms, 50),
+          percentile (t->pass_ms, 99), t->moves,
+          (double)t->moves * EXPERT_MB / 1e3, t->changes, t->copy_passes,
           t->answered);
   if (csv)
-    fprintf (
-        csv,
-        "%s,%s,%.4f,%.4f,%.4f,%.4f,%" G_GINT64_FORMAT ",%.1f,%" G_GINT64_FORMAT
-        ",%" G_GINT64_FORMAT ",%" G_GINT64_FORMAT "\n",
-        d->name, cf_placement_name (policy->kind), percentile (t->skew, 50),
-        percentile (t->skew, 99), percentile (t->step, 50),
-        percentile (t->step, 99), t->moved, (double)t->moved * EXPERT_MB / 1e3,
-        t->changes, t->copy_steps, t->answered);
+    fprintf (csv,
+             "%s,%s,%.4f,%.4f,%.4f,%.4f,%" G_GINT64_FORMAT
+             ",%.1f,%" G_GINT64_FORMAT ",%" G_GINT64_FORMAT ",%" G_GINT64_FORMAT
+             "\n",
+             d->name, cf_placement_name (policy->kind),
+             percentile (t->skews, 50), percentile (t->skews, 99),
+             percentile (t->pass_ms, 50), percentile (t->pass_ms, 99), t->moves,
+             (double)t->moves * EXPERT_MB / 1e3, t->changes, t->copy_passes,
+             t->answered);
 }
 
 int
@@ -397,23 +406,23 @@
   g_autofree char *csv_path = NULL;
   GOptionEntry opts[] = {
     { "seconds", 0, 0, G_OPTION_ARG_INT, &seconds,
-      "Modelled time of a run, in seconds", "N" },
+      "Simulated time of a run, in seconds", "N" },
     { "seed", 0, 0, G_OPTION_ARG_INT, &seed, "Seed of the workload", "N" },
     { "move-weight", 0, 0, G_OPTION_ARG_DOUBLE, &move_weight,
-      "Try this cost of copying one expert for both sites", "X" },
+      "Override the cost of copying one expert for both sites", "X" },
     { "max-moves", 0, 0, G_OPTION_ARG_INT, &max_moves,
-      "Try this many experts copied at most in one change", "N" },
+      "Override the maximum number of experts copied in one change", "N" },
     { "csv", 0, 0, G_OPTION_ARG_FILENAME, &csv_path,
-      "Write the table as CSV too", "FILE" },
+      "Also write the table as CSV", "FILE" },
     { NULL },
   };
   int rc;
-  gint64 mixed = 0;
+  gint64 mixed_passes = 0;
   FILE *csv = NULL;
 
   rc = cf_daemon_options (
       &argc, &argv, "comfrey-bench",
-      "Plays drifting expert popularity over 16 groups of 8 to 128 "
+      "Simulates drifting expert popularity in 16 groups of 8 to 128 "
       "ranks,\nonce for each placement policy, and prints a table.",
       opts);
   if (rc >= 0)
@@ -447,21 +456,22 @@
         policies[2].u.bounded.max_moves = max_moves;
       for (guint p = 0; p < G_N_ELEMENTS (policies); p++)
         {
-          Totals t = { .skew = g_array_new (FALSE, FALSE, sizeof (double)),
-                       .step = g_array_new (FALSE, FALSE, sizeof (double)) };
+          Totals t = { .skews = g_array_new (FALSE, FALSE, sizeof (double)),
+                       .pass_ms = g_array_new (FALSE, FALSE, sizeof (double)) };
 
-          run (d, &policies[p], seconds * 1e6, (unsigned long)seed, &t);
+          run_policy (d, &policies[p], seconds * 1e6, (unsigned long)seed, &t);
           print_row (d, &policies[p], &t, csv);
-          mixed += t.mixed;
-          g_array_unref (t.skew);
-          g_array_unref (t.step);
+          mixed_passes += t.mixed_passes;
+          g_array_unref (t.skews);
+          g_array_unref (t.pass_ms);
         }
     }
   if (csv)
     fclose (csv);
-  if (mixed > 0)
+  if (mixed_passes > 0)
     fprintf (stderr,
-             "comfrey-bench: %" G_GINT64_FORMAT " steps with two maps\n",
-             mixed);
-  return mixed > 0;
+             "comfrey-bench: %" G_GINT64_FORMAT
+             " passes in which two ranks used different maps\n",
+             mixed_passes);
+  return mixed_passes > 0;
 }
--- a/comfrey-fake-engine.c
+++ b/comfrey-fake-engine.c
@@ -160,7 +160,7 @@
       pthread_mutex_lock (&eng.lock);
       while (eng.batch == NULL && eng.waiting == NULL)
         pthread_cond_wait (&eng.work, &eng.lock);
-      map = fake_ranks_begin_step (&eng.ranks, &stall_ms);
+      map = fake_ranks_begin_pass (&eng.ranks, &stall_ms);
       admit_waiting ();
       memset (tokens, 0, sizeof *tokens * eng.experts);
       for (Gen *g = eng.batch; g; g = g->next)
@@ -171,8 +171,8 @@
           eng.counts[e]++;
         }
       max = cf_expert_map_load (map, tokens, load);
-      eng.ranks.slowest += max;
-      eng.ranks.mean += (double)eng.running / (double)eng.n_ranks;
+      eng.ranks.slowest_tokens += max;
+      eng.ranks.mean_tokens += (double)eng.running / (double)eng.n_ranks;
       pthread_mutex_unlock (&eng.lock);
 
       usleep (eng.base_us + (gint64)((double)eng.per_token_us * max)
@@ -260,7 +260,7 @@
     }
   if (g.rid)
     g_hash_table_remove (eng.by_rid, g.rid);
-  map_version = fake_ranks_version (&eng.ranks);
+  map_version = fake_ranks_map_version (&eng.ranks);
   pthread_mutex_unlock (&eng.lock);
 
   if (g.cancelled)
@@ -339,7 +339,7 @@
   refresh_report ();
   for (gint64 e = 0; e < eng.experts; e++)
     json_array_append_new (counts, json_integer ((json_int_t)eng.reported[e]));
-  o = json_pack ("{s:I, s:o}", "step", (json_int_t)eng.ranks.step, "counts",
+  o = json_pack ("{s:I, s:o}", "step", (json_int_t)eng.ranks.pass, "counts",
                  counts);
   pthread_mutex_unlock (&eng.lock);
   rep->body = json_dumps (o, JSON_COMPACT);
@@ -375,7 +375,7 @@
 static void
 on_http (void *data, const CfHttpRequest *req, CfHttpReply *rep)
 {
-  if (fake_ranks_http (&eng.ranks, req, unfinished (), rep))
+  if (fake_ranks_handle_http (&eng.ranks, req, unfinished (), rep))
     return;
   if (g_str_equal (req->path, "/v1/generate"))
     generate (req, rep);
@@ -395,8 +395,8 @@
       refresh_report ();
       rep->body = g_strdup_printf ("{\"running\":%d,\"steps\":%" G_GINT64_FORMAT
                                    ",\"map_version\":%" G_GINT64_FORMAT "}",
-                                   eng.reported_running, eng.ranks.step,
-                                   fake_ranks_version (&eng.ranks));
+                                   eng.reported_running, eng.ranks.pass,
+                                   fake_ranks_map_version (&eng.ranks));
       pthread_mutex_unlock (&eng.lock);
     }
   else
@@ -439,7 +439,7 @@
                    (int)eng.places, eng.copy_ms);
   eng.ranks.check_fence = eng.check_fence;
   if (!g_str_equal (eng.weights_url, "off"))
-    fake_ranks_copy_from (&eng.ranks, eng.weights_url, eng.expert_mb);
+    fake_ranks_set_weight_store (&eng.ranks, eng.weights_url, eng.expert_mb);
   eng.counts = g_new0 (double, eng.experts);
   eng.reported = g_new0 (double, eng.experts);
   eng.rand = g_rand_new_with_seed ((guint32)eng.seed);
