--- a/comfrey-fake-config.c
+++ b/comfrey-fake-config.c
@@ -1,7 +1,7 @@
 /*
- * A stand-in for the platform's read-and-watch configuration service.  It
- * serves versioned records and long-poll watches, accepts no writes from
- * the system, and can be set down or stale through its test hooks.
+ * A stand-in for the platform's read-only configuration service.  It serves
+ * versioned records and long-poll watches.  Tests publish new versions and
+ * make it unavailable or stale through its /test paths.
  */
 #include "daemon.h"
 #include "http-server.h"
@@ -21,14 +21,14 @@
 static struct
 {
   char *listen;
-  char *records; /* the file that holds version 1 */
-} set;
+  char *records; /* file with the records of version 1 */
+} settings;
 
 static const CfSetting fields[] = {
-  { CF_SETTING_STRING, "config", "listen", offsetof (typeof (set), listen), 0,
-    0 },
-  { CF_SETTING_STRING, "config", "records", offsetof (typeof (set), records), 0,
-    0 },
+  { CF_SETTING_STRING, "config", "listen", offsetof (typeof (settings), listen),
+    0, 0 },
+  { CF_SETTING_STRING, "config", "records",
+    offsetof (typeof (settings), records), 0, 0 },
 };
 
 typedef enum
@@ -43,48 +43,48 @@
   pthread_mutex_t lock;
   pthread_cond_t changed;
   gint64 version;
-  json_t *records;      /* the newest version's array */
-  GPtrArray *history;   /* every version's records, version 1 first */
-  gint64 stale_version; /* what MODE_STALE serves */
+  json_t *records;      /* array of the newest version */
+  GPtrArray *history;   /* records of every version, version 1 first */
+  gint64 stale_version; /* the version that MODE_STALE serves */
   Mode mode;
-  guint outages; /* how often it was set down */
+  guint outage_count; /* times that MODE_DOWN was set */
   gint64 reads;
-} svc;
+} service;
 
 static json_t *
-lines_to_array (const char *text, const char *origin, char **error)
+parse_records (const char *text, const char *origin, char **error)
 {
   g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
-  CfConfig *check = NULL;
-  json_t *a = json_array ();
+  CfConfig *parsed = NULL;
+  json_t *records = json_array ();
 
-  /* Refuse what no reader could accept, as the real service's owners do. */
-  if (cf_config_parse_lines (text, origin, 1, &check) != CF_OK)
+  /* Like the real service, reject records that no reader could accept. */
+  if (cf_config_parse_lines (text, origin, 1, &parsed) != CF_OK)
     {
       *error = g_strdup (cf_last_error ());
-      json_decref (a);
+      json_decref (records);
       return NULL;
     }
-  cf_config_unref (check);
+  cf_config_unref (parsed);
   for (int i = 0; lines[i]; i++)
     {
-      const char *l = g_strstrip (lines[i]);
+      const char *line = g_strstrip (lines[i]);
 
-      if (*l && *l != '#')
-        json_array_append_new (a, json_loads (l, 0, NULL));
+      if (*line && *line != '#')
+        json_array_append_new (records, json_loads (line, 0, NULL));
     }
-  return a;
+  return records;
 }
 
 static void
 publish (json_t *records)
 {
-  svc.version++;
-  svc.records = records;
-  g_ptr_array_add (svc.history, records);
-  pthread_cond_broadcast (&svc.changed);
+  service.version++;
+  service.records = records;
+  g_ptr_array_add (service.history, records);
+  pthread_cond_broadcast (&service.changed);
   cf_log (LOG_NOTICE, CF_EV_CONFIG_ACCEPT,
-          "version=%" G_GINT64_FORMAT " records=%zu", svc.version,
+          "version=%" G_GINT64_FORMAT " records=%zu", service.version,
           json_array_size (records));
 }
 
@@ -92,16 +92,16 @@
 serve_records (CfHttpReply *rep, gint64 after, gint64 wait_ms)
 {
   struct timespec ts;
-  long long until = cf_now_ms () + wait_ms;
-  guint outages;
+  long long deadline_ms = cf_now_ms () + wait_ms;
+  guint outage_count;
   Mode mode;
   json_t *o;
 
-  pthread_mutex_lock (&svc.lock);
-  svc.reads++;
-  outages = svc.outages;
-  while (svc.mode == MODE_UP && svc.outages == outages && svc.version <= after
-         && cf_now_ms () < until)
+  pthread_mutex_lock (&service.lock);
+  service.reads++;
+  outage_count = service.outage_count;
+  while (service.mode == MODE_UP && service.outage_count == outage_count
+         && service.version <= after && cf_now_ms () < deadline_ms)
     {
       clock_gettime (CLOCK_REALTIME, &ts);
       ts.tv_nsec += 50L * 1000000;
@@ -110,31 +110,31 @@
           ts.tv_sec++;
           ts.tv_nsec -= 1000000000;
         }
-      pthread_cond_timedwait (&svc.changed, &svc.lock, &ts);
+      pthread_cond_timedwait (&service.changed, &service.lock, &ts);
     }
-  /* An outage cuts every watch that waits, also one that was over before
-   * this thread had its turn. */
-  mode = svc.outages == outages ? svc.mode : MODE_DOWN;
+  /* An outage ends every waiting watch, even if it was over before this thread
+   * woke up. */
+  mode = service.outage_count == outage_count ? service.mode : MODE_DOWN;
   switch (mode)
     {
     case MODE_DOWN:
-      cf_http_reply_error (rep, 503, "down", "the service is down (test)");
+      cf_http_reply_error (rep, 503, "down", "the service is down for a test");
       break;
     case MODE_STALE:
-      o = json_pack ("{s:I, s:O}", "version", (json_int_t)svc.stale_version,
-                     "records",
-                     g_ptr_array_index (svc.history, svc.stale_version - 1));
+      o = json_pack (
+          "{s:I, s:O}", "version", (json_int_t)service.stale_version, "records",
+          g_ptr_array_index (service.history, service.stale_version - 1));
       rep->body = json_dumps (o, JSON_COMPACT);
       json_decref (o);
       break;
     case MODE_UP:
-      o = json_pack ("{s:I, s:O}", "version", (json_int_t)svc.version,
-                     "records", svc.records);
+      o = json_pack ("{s:I, s:O}", "version", (json_int_t)service.version,
+                     "records", service.records);
       rep->body = json_dumps (o, JSON_COMPACT);
       json_decref (o);
       break;
     }
-  pthread_mutex_unlock (&svc.lock);
+  pthread_mutex_unlock (&service.lock);
 }
 
 static gint64
@@ -145,32 +145,35 @@
   return v ? g_ascii_strtoll (v, NULL, 10) : def;
 }
 
-/* ?mode=up|down|stale; stale serves ?version=N (default: the newest)
- * from then on, as a lagging replica of the real service would. */
+/* Handles /test/mode?mode=up|down|stale.  Mode stale serves version=N (default:
+ * the newest) until the mode changes, like a lagging replica of the real
+ * service. */
 static void
 set_mode (const CfHttpRequest *req, CfHttpReply *rep)
 {
-  const char *m = cf_http_query (req, "mode");
-  const char *v = cf_http_query (req, "version");
+  const char *mode = cf_http_query (req, "mode");
+  const char *version = cf_http_query (req, "version");
 
-  if (m == NULL)
+  if (mode == NULL)
     {
-      cf_http_reply_error (rep, 400, "bad-request", "give mode=up|down|stale");
+      cf_http_reply_error (rep, 400, "bad-request",
+                           "mode must be up, down or stale");
       return;
     }
-  pthread_mutex_lock (&svc.lock);
-  if (g_str_equal (m, "stale"))
+  pthread_mutex_lock (&service.lock);
+  if (g_str_equal (mode, "stale"))
     {
-      svc.stale_version = v ? g_ascii_strtoll (v, NULL, 10) : svc.version;
-      svc.stale_version = CLAMP (svc.stale_version, 1, svc.version);
+      service.stale_version
+          = version ? g_ascii_strtoll (version, NULL, 10) : service.version;
+      service.stale_version = CLAMP (service.stale_version, 1, service.version);
     }
-  svc.outages += g_str_equal (m, "down");
-  svc.mode = g_str_equal (m, "down")    ? MODE_DOWN
-             : g_str_equal (m, "stale") ? MODE_STALE
-                                        : MODE_UP;
-  pthread_cond_broadcast (&svc.changed);
-  pthread_mutex_unlock (&svc.lock);
-  rep->body = g_strdup_printf ("{\"mode\":\"%s\"}", m);
+  service.outage_count += g_str_equal (mode, "down");
+  service.mode = g_str_equal (mode, "down")    ? MODE_DOWN
+                 : g_str_equal (mode, "stale") ? MODE_STALE
+                                               : MODE_UP;
+  pthread_cond_broadcast (&service.changed);
+  pthread_mutex_unlock (&service.lock);
+  rep->body = g_strdup_printf ("{\"mode\":\"%s\"}", mode);
 }
 
 static void
@@ -187,22 +190,23 @@
   else if (g_str_equal (req->path, "/test/publish")
            && g_str_equal (req->method, "POST"))
     {
-      records = lines_to_array (req->body, "published", &error);
+      records = parse_records (req->body, "published", &error);
       if (records == NULL)
         {
           cf_http_reply_error (rep, 400, "bad-records", error);
           return;
         }
-      pthread_mutex_lock (&svc.lock);
+      pthread_mutex_lock (&service.lock);
       publish (records);
-      rep->body
-          = g_strdup_printf ("{\"version\":%" G_GINT64_FORMAT "}", svc.version);
-      pthread_mutex_unlock (&svc.lock);
+      rep->body = g_strdup_printf ("{\"version\":%" G_GINT64_FORMAT "}",
+                                   service.version);
+      pthread_mutex_unlock (&service.lock);
     }
   else if (g_str_equal (req->path, "/test/mode"))
     set_mode (req, rep);
   else if (g_str_equal (req->path, "/test/reads"))
-    rep->body = g_strdup_printf ("{\"reads\":%" G_GINT64_FORMAT "}", svc.reads);
+    rep->body
+        = g_strdup_printf ("{\"reads\":%" G_GINT64_FORMAT "}", service.reads);
   else
     cf_http_reply_error (rep, 404, "not-found",
                          "use /v1/records or /v1/watch?after=N");
@@ -219,20 +223,20 @@
   int rc;
 
   rc = cf_daemon_init (&argc, &argv, "comfrey-fake-config",
-                       "A stand-in for the read-and-watch configuration "
-                       "service, for tests and the demo.",
+                       "A stand-in for the platform's configuration service, "
+                       "for tests and the demo.",
                        defaults, &args, &s);
   if (rc >= 0)
     return rc;
-  if (cf_settings_read (&s, fields, G_N_ELEMENTS (fields), &set) != CF_OK)
+  if (cf_settings_read (&s, fields, G_N_ELEMENTS (fields), &settings) != CF_OK)
     return cf_daemon_settings_failed ();
-  if (!g_file_get_contents (set.records, &text, NULL, NULL))
+  if (!g_file_get_contents (settings.records, &text, NULL, NULL))
     {
       cf_fail (CF_ERR_SETTINGS, "point [config] records at a JSONL file",
-               "cannot read %s", set.records);
+               "cannot read %s", settings.records);
       return cf_daemon_settings_failed ();
     }
-  records = lines_to_array (text, set.records, &error);
+  records = parse_records (text, settings.records, &error);
   if (records == NULL)
     {
       cf_log (LOG_ERR, CF_EV_CONFIG_BAD, "error=\"%s\"", error);
@@ -240,9 +244,10 @@
     }
   if (cf_daemon_checked (&args, &s))
     return 0;
-  pthread_mutex_init (&svc.lock, NULL);
-  pthread_cond_init (&svc.changed, NULL);
-  svc.history = g_ptr_array_new_with_free_func ((GDestroyNotify)json_decref);
+  pthread_mutex_init (&service.lock, NULL);
+  pthread_cond_init (&service.changed, NULL);
+  service.history
+      = g_ptr_array_new_with_free_func ((GDestroyNotify)json_decref);
   publish (records);
-  return cf_daemon_serve_http (set.listen, on_http, NULL);
+  return cf_daemon_serve_http (settings.listen, on_http, NULL);
 }
--- a/comfrey-fake-engine.c
+++ b/comfrey-fake-engine.c
@@ -1,9 +1,9 @@
 /*
- * A stand-in for a model engine group: ranks that step in lock-step on an
- * expert map (fake-ranks.c).  Each step every running request makes one
- * token, routed to an expert by a skewed popularity; the step lasts as long
- * as the most loaded rank needs.  It is met over HTTP, as a real engine
- * would be.
+ * A stand-in for a model engine group: ranks that run lock-step passes on an
+ * expert map (fake-ranks.c).  In each pass every running request generates
+ * one token, which is routed to an expert at random, weighted by a skewed
+ * popularity.  A pass takes as long as the most loaded rank needs.  Like a
+ * real engine, it serves HTTP.
  */
 #include "daemon.h"
 #include "fake-ranks.h"
@@ -32,47 +32,48 @@
                                "load_lag_ms = 500\n"
                                "check_fence = true\n"
                                "seed = 1\n";
-/* What lives for one generation request. */
-typedef struct Gen
+
+/* One generation request. */
+typedef struct Generation
 {
-  struct Gen *next; /* intrusive: waiting queue or batch */
+  struct Generation *next; /* in the waiting queue or the batch */
   guint64 seq;
-  char *rid; /* the caller's X-Request-Id, for cancel */
+  char *request_id; /* the caller's X-Request-Id, for /v1/cancel */
   char *prompt;
   gint64 priority;
-  int want;
-  int made;
+  int max_tokens;
+  int tokens; /* generated so far */
   gboolean done;
   gboolean cancelled;
-} Gen;
+} Generation;
 
 typedef struct
 {
   pthread_mutex_t lock;
-  pthread_cond_t done;
-  pthread_cond_t work;
-  Gen *waiting;
-  Gen *batch;
-  GHashTable *by_rid; /* rid -> Gen, while waiting or running */
-  GHashTable *seen;   /* prompts ever taken, for tests' oracles */
+  pthread_cond_t pass_done;
+  pthread_cond_t work_added;
+  Generation *waiting;
+  Generation *batch;
+  GHashTable *by_request_id; /* request ID -> Generation, waiting or running */
+  GHashTable *seen_prompts;  /* every prompt received, for tests */
   int running;
   guint64 seq;
   FakeRanks ranks;
-  double *popularity; /* cumulative */
-  gint64 shift;       /* which expert is the most popular */
+  double *cumulative_popularity;
+  gint64 hottest_expert;
   GRand *rand;
-  gint64 fence;
-  gint64 batch_max, base_us, per_token_us, lag_ms, n_ranks, experts, places,
-      copy_ms;
+  gint64 highest_fence;
+  gint64 batch_max, pass_base_us, pass_us_per_token, load_lag_ms, n_ranks,
+      experts, places, copy_ms;
   gboolean check_fence;
   char *listen;
-  char *weights_url; /* of the weight store, or "off" */
+  char *weights_url; /* URL of the weight store, or "off" */
   gint64 expert_mb;
   gint64 seed;
-  int reported_running; /* load as the lagging report shows it */
-  double *counts;       /* tokens each expert drew since the start */
-  double *reported;     /* the same, as the lagging report shows it */
-  long long reported_at;
+  int reported_running;  /* @running as of the last report */
+  double *expert_tokens; /* tokens routed to each expert since the start */
+  double *reported_expert_tokens; /* @expert_tokens as of the last report */
+  long long reported_at_ms;
 } Engine;
 
 static const CfSetting fields[] = {
@@ -87,11 +88,11 @@
     100000 },
   { CF_SETTING_INT, "engine", "batch_max", offsetof (Engine, batch_max), 1,
     4096 },
-  { CF_SETTING_INT, "engine", "step_base_us", offsetof (Engine, base_us), 0,
-    1000000 },
+  { CF_SETTING_INT, "engine", "step_base_us", offsetof (Engine, pass_base_us),
+    0, 1000000 },
   { CF_SETTING_INT, "engine", "step_per_token_us",
-    offsetof (Engine, per_token_us), 0, 100000 },
-  { CF_SETTING_INT, "engine", "load_lag_ms", offsetof (Engine, lag_ms), 0,
+    offsetof (Engine, pass_us_per_token), 0, 100000 },
+  { CF_SETTING_INT, "engine", "load_lag_ms", offsetof (Engine, load_lag_ms), 0,
     60000 },
   { CF_SETTING_BOOL, "engine", "check_fence", offsetof (Engine, check_fence), 0,
     0 },
@@ -105,7 +106,7 @@
 {
   while (eng.waiting && eng.running < eng.batch_max)
     {
-      Gen *g = eng.waiting;
+      Generation *g = eng.waiting;
 
       eng.waiting = g->next;
       g->next = eng.batch;
@@ -125,28 +126,29 @@
     {
       int mid = (lo + hi) / 2;
 
-      if (eng.popularity[mid] < u)
+      if (eng.cumulative_popularity[mid] < u)
         lo = mid + 1;
       else
         hi = mid;
     }
-  return (lo + (int)eng.shift) % (int)eng.experts;
+  return (lo + (int)eng.hottest_expert) % (int)eng.experts;
 }
 
-/* The load report moves on every lag_ms only, also while no step is begun;
- * call with the lock held. */
+/* Updates the load report if it is older than load_lag_ms, also when no pass
+ * begins.  The caller holds the lock. */
 static void
 refresh_report (void)
 {
-  if (cf_now_ms () - eng.reported_at < eng.lag_ms)
+  if (cf_now_ms () - eng.reported_at_ms < eng.load_lag_ms)
     return;
   eng.reported_running = eng.running;
-  memcpy (eng.reported, eng.counts, sizeof *eng.counts * eng.experts);
-  eng.reported_at = cf_now_ms ();
+  memcpy (eng.reported_expert_tokens, eng.expert_tokens,
+          sizeof *eng.expert_tokens * eng.experts);
+  eng.reported_at_ms = cf_now_ms ();
 }
 
 static void *
-step_thread (void *unused)
+run_passes (void *unused)
 {
   g_autofree double *tokens = g_new0 (double, eng.experts);
   g_autofree double *load = g_new0 (double, eng.n_ranks);
@@ -155,37 +157,38 @@
     {
       const CfExpertMap *map;
       gint64 stall_ms;
-      double max;
+      double slowest;
 
       pthread_mutex_lock (&eng.lock);
       while (eng.batch == NULL && eng.waiting == NULL)
-        pthread_cond_wait (&eng.work, &eng.lock);
+        pthread_cond_wait (&eng.work_added, &eng.lock);
       map = fake_ranks_begin_pass (&eng.ranks, &stall_ms);
       admit_waiting ();
       memset (tokens, 0, sizeof *tokens * eng.experts);
-      for (Gen *g = eng.batch; g; g = g->next)
+      for (Generation *g = eng.batch; g; g = g->next)
         {
           int e = pick_expert ();
 
           tokens[e]++;
-          eng.counts[e]++;
+          eng.expert_tokens[e]++;
         }
-      max = cf_expert_map_load (map, tokens, load);
-      eng.ranks.slowest_tokens += max;
+      slowest = cf_expert_map_load (map, tokens, load);
+      eng.ranks.slowest_tokens += slowest;
       eng.ranks.mean_tokens += (double)eng.running / (double)eng.n_ranks;
       pthread_mutex_unlock (&eng.lock);
 
-      usleep (eng.base_us + (gint64)((double)eng.per_token_us * max)
+      usleep (eng.pass_base_us
+              + (gint64)((double)eng.pass_us_per_token * slowest)
               + stall_ms * 1000);
 
       pthread_mutex_lock (&eng.lock);
-      for (Gen **p = &eng.batch; *p;)
+      for (Generation **p = &eng.batch; *p;)
         {
-          Gen *g = *p;
+          Generation *g = *p;
 
           if (!g->cancelled)
-            g->made++;
-          if (g->made >= g->want || g->cancelled)
+            g->tokens++;
+          if (g->tokens >= g->max_tokens || g->cancelled)
             {
               *p = g->next;
               g->done = TRUE;
@@ -195,17 +198,17 @@
           p = &g->next;
         }
       refresh_report ();
-      pthread_cond_broadcast (&eng.done);
+      pthread_cond_broadcast (&eng.pass_done);
       pthread_mutex_unlock (&eng.lock);
     }
   return NULL;
 }
 
-/* Higher priority first; equal priorities keep their order of arrival. */
+/* Orders by priority, highest first, and then by arrival. */
 static void
-enqueue (Gen *g)
+enqueue (Generation *g)
 {
-  Gen **p = &eng.waiting;
+  Generation **p = &eng.waiting;
 
   while (*p && (*p)->priority >= g->priority)
     p = &(*p)->next;
@@ -214,19 +217,20 @@
 }
 
 static void
-generate (const CfHttpRequest *req, CfHttpReply *rep)
+handle_generate (const CfHttpRequest *req, CfHttpReply *rep)
 {
   json_t *o = json_loads (req->body, 0, NULL);
   const char *prompt = json_string_value (json_object_get (o, "prompt"));
-  json_t *mt = json_object_get (o, "max_tokens");
+  json_t *max_tokens = json_object_get (o, "max_tokens");
   const char *prio = cf_http_header (req, "X-Comfrey-Priority");
-  const char *rid = cf_http_header (req, "X-Request-Id");
-  const char *left = cf_http_header (req, "X-Comfrey-Deadline-Ms");
-  long long deadline
-      = left ? cf_now_ms () + g_ascii_strtoll (left, NULL, 10) : G_MAXINT64;
+  const char *request_id = cf_http_header (req, "X-Request-Id");
+  const char *remaining = cf_http_header (req, "X-Comfrey-Deadline-Ms");
+  long long deadline_ms
+      = remaining ? cf_now_ms () + g_ascii_strtoll (remaining, NULL, 10)
+                  : G_MAXINT64;
   struct timespec ts;
   gint64 map_version;
-  Gen g = { 0 };
+  Generation g = { 0 };
   json_t *r;
 
   if (prompt == NULL)
@@ -237,52 +241,54 @@
       return;
     }
   g.prompt = g_strdup (prompt);
-  g.want = json_is_integer (mt) ? CLAMP (json_integer_value (mt), 1, 4096) : 8;
+  g.max_tokens = json_is_integer (max_tokens)
+                     ? CLAMP (json_integer_value (max_tokens), 1, 4096)
+                     : 8;
   g.priority = prio ? g_ascii_strtoll (prio, NULL, 10) : 0;
   json_decref (o);
 
   pthread_mutex_lock (&eng.lock);
   g.seq = ++eng.seq;
-  g_hash_table_add (eng.seen, g_strdup (g.prompt));
-  g.rid = rid ? g_strdup (rid) : NULL;
-  if (g.rid)
-    g_hash_table_insert (eng.by_rid, g.rid, &g);
+  g_hash_table_add (eng.seen_prompts, g_strdup (g.prompt));
+  g.request_id = request_id ? g_strdup (request_id) : NULL;
+  if (g.request_id)
+    g_hash_table_insert (eng.by_request_id, g.request_id, &g);
   enqueue (&g);
-  pthread_cond_signal (&eng.work);
+  pthread_cond_signal (&eng.work_added);
   while (!g.done)
     {
-      /* Past its deadline nobody waits for it: stop at the next step. */
-      if (cf_now_ms () >= deadline)
+      /* After the deadline the caller has gone: stop at the next pass. */
+      if (cf_now_ms () >= deadline_ms)
         g.cancelled = TRUE;
       clock_gettime (CLOCK_REALTIME, &ts);
       ts.tv_sec += 1;
-      pthread_cond_timedwait (&eng.done, &eng.lock, &ts);
+      pthread_cond_timedwait (&eng.pass_done, &eng.lock, &ts);
     }
-  if (g.rid)
-    g_hash_table_remove (eng.by_rid, g.rid);
+  if (g.request_id)
+    g_hash_table_remove (eng.by_request_id, g.request_id);
   map_version = fake_ranks_map_version (&eng.ranks);
   pthread_mutex_unlock (&eng.lock);
 
   if (g.cancelled)
-    r = json_pack ("{s:s, s:i}", "error", "cancelled", "tokens", g.made);
+    r = json_pack ("{s:s, s:i}", "error", "cancelled", "tokens", g.tokens);
   else
-    r = json_pack ("{s:s, s:i, s:I}", "text", g.prompt, "tokens", g.made,
+    r = json_pack ("{s:s, s:i, s:I}", "text", g.prompt, "tokens", g.tokens,
                    "map_version", (json_int_t)map_version);
   rep->code = g.cancelled ? 499 : 200;
   rep->body = json_dumps (r, JSON_COMPACT);
   json_decref (r);
   g_free (g.prompt);
-  g_free (g.rid);
+  g_free (g.request_id);
 }
 
 static void
-cancel (const CfHttpRequest *req, CfHttpReply *rep)
+handle_cancel (const CfHttpRequest *req, CfHttpReply *rep)
 {
-  const char *rid = cf_http_query (req, "request");
-  Gen *g;
+  const char *request_id = cf_http_query (req, "request");
+  Generation *g;
 
   pthread_mutex_lock (&eng.lock);
-  g = rid ? g_hash_table_lookup (eng.by_rid, rid) : NULL;
+  g = request_id ? g_hash_table_lookup (eng.by_request_id, request_id) : NULL;
   if (g)
     g->cancelled = TRUE;
   pthread_mutex_unlock (&eng.lock);
@@ -290,7 +296,7 @@
 }
 
 static void
-order (const CfHttpRequest *req, CfHttpReply *rep)
+handle_order (const CfHttpRequest *req, CfHttpReply *rep)
 {
   json_t *o = json_loads (req->body, 0, NULL);
   json_t *f = json_object_get (o, "fence");
@@ -298,30 +304,31 @@
   gboolean stale;
 
   pthread_mutex_lock (&eng.lock);
-  stale = eng.check_fence && fence < eng.fence;
+  stale = eng.check_fence && fence < eng.highest_fence;
   if (!stale)
-    eng.fence = MAX (eng.fence, fence);
+    eng.highest_fence = MAX (eng.highest_fence, fence);
   pthread_mutex_unlock (&eng.lock);
   json_decref (o);
   if (stale)
-    cf_http_reply_error (rep, 409, "stale-fence",
-                         "the order's fencing token is older than one seen");
+    cf_http_reply_error (
+        rep, 409, "stale-fence",
+        "the order's fencing token is lower than one already seen");
   else
     rep->body = g_strdup_printf (
         "{\"accepted\":true,\"fence\":%" G_GINT64_FORMAT "}", fence);
 }
 
-/* Every prompt the engine ever took, so that a test can check that a
- * request answered "not run" never reached it. */
+/* Returns every prompt received, so that a test can check that a request
+ * reported as not run never reached the engine. */
 static void
-seen (CfHttpReply *rep)
+list_seen_prompts (CfHttpReply *rep)
 {
   json_t *a = json_array ();
   GHashTableIter it;
   gpointer k;
 
   pthread_mutex_lock (&eng.lock);
-  g_hash_table_iter_init (&it, eng.seen);
+  g_hash_table_iter_init (&it, eng.seen_prompts);
   while (g_hash_table_iter_next (&it, &k, NULL))
     json_array_append_new (a, json_string (k));
   pthread_mutex_unlock (&eng.lock);
@@ -330,7 +337,7 @@
 }
 
 static void
-picked (CfHttpReply *rep)
+get_expert_counts (CfHttpReply *rep)
 {
   json_t *o;
   json_t *counts = json_array ();
@@ -338,7 +345,8 @@
   pthread_mutex_lock (&eng.lock);
   refresh_report ();
   for (gint64 e = 0; e < eng.experts; e++)
-    json_array_append_new (counts, json_integer ((json_int_t)eng.reported[e]));
+    json_array_append_new (
+        counts, json_integer ((json_int_t)eng.reported_expert_tokens[e]));
   o = json_pack ("{s:I, s:o}", "step", (json_int_t)eng.ranks.pass, "counts",
                  counts);
   pthread_mutex_unlock (&eng.lock);
@@ -347,27 +355,28 @@
 }
 
 static int
-unfinished (void)
+count_unfinished (void)
 {
   int n;
 
   pthread_mutex_lock (&eng.lock);
   n = eng.running;
-  for (Gen *g = eng.waiting; g; g = g->next)
+  for (Generation *g = eng.waiting; g; g = g->next)
     n++;
   pthread_mutex_unlock (&eng.lock);
   return n;
 }
 
-/* /test/drift?shift=N: other experts are in demand from now on. */
+/* Handles /test/drift?shift=N: makes expert N the most popular one. */
 static void
-drift (const CfHttpRequest *req, CfHttpReply *rep)
+shift_popularity (const CfHttpRequest *req, CfHttpReply *rep)
 {
   const char *shift = cf_http_query (req, "shift");
 
   pthread_mutex_lock (&eng.lock);
-  eng.shift = shift ? g_ascii_strtoll (shift, NULL, 10) % eng.experts : 0;
-  eng.shift = MAX (eng.shift, 0);
+  eng.hottest_expert
+      = shift ? g_ascii_strtoll (shift, NULL, 10) % eng.experts : 0;
+  eng.hottest_expert = MAX (eng.hottest_expert, 0);
   pthread_mutex_unlock (&eng.lock);
   rep->body = g_strdup ("{\"ok\":true}");
 }
@@ -375,20 +384,20 @@
 static void
 on_http (void *data, const CfHttpRequest *req, CfHttpReply *rep)
 {
-  if (fake_ranks_handle_http (&eng.ranks, req, unfinished (), rep))
+  if (fake_ranks_handle_http (&eng.ranks, req, count_unfinished (), rep))
     return;
   if (g_str_equal (req->path, "/v1/generate"))
-    generate (req, rep);
+    handle_generate (req, rep);
   else if (g_str_equal (req->path, "/v1/cancel"))
-    cancel (req, rep);
+    handle_cancel (req, rep);
   else if (g_str_equal (req->path, "/v1/order"))
-    order (req, rep);
+    handle_order (req, rep);
   else if (g_str_equal (req->path, "/test/seen"))
-    seen (rep);
+    list_seen_prompts (rep);
   else if (g_str_equal (req->path, "/test/drift"))
-    drift (req, rep);
+    shift_popularity (req, rep);
   else if (g_str_equal (req->path, "/v1/picked"))
-    picked (rep);
+    get_expert_counts (rep);
   else if (g_str_equal (req->path, "/v1/load"))
     {
       pthread_mutex_lock (&eng.lock);
@@ -406,16 +415,16 @@
 }
 
 static void
-set_popularity (double skew)
+set_popularity (double exponent)
 {
   double sum = 0;
 
-  eng.popularity = g_new (double, eng.experts);
+  eng.cumulative_popularity = g_new (double, eng.experts);
   for (int e = 0; e < eng.experts; e++)
-    sum += 1.0 / pow (e + 1, skew);
+    sum += 1.0 / pow (e + 1, exponent);
   for (int e = 0; e < eng.experts; e++)
-    eng.popularity[e]
-        = (e ? eng.popularity[e - 1] : 0) + 1.0 / pow (e + 1, skew) / sum;
+    eng.cumulative_popularity[e] = (e ? eng.cumulative_popularity[e - 1] : 0)
+                                   + 1.0 / pow (e + 1, exponent) / sum;
 }
 
 int
@@ -426,25 +435,26 @@
 
   rc = cf_daemon_begin (&argc, &argv, "comfrey-fake-engine",
                         "A stand-in for a model engine group of lock-step "
-                        "ranks on an expert map, for tests and the demo.",
+                        "ranks with an expert map, for tests and the demo.",
                         defaults, fields, G_N_ELEMENTS (fields), &eng);
   if (rc >= 0)
     return rc;
   pthread_mutex_init (&eng.lock, NULL);
-  pthread_cond_init (&eng.done, NULL);
-  pthread_cond_init (&eng.work, NULL);
-  eng.by_rid = g_hash_table_new (g_str_hash, g_str_equal);
-  eng.seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  pthread_cond_init (&eng.pass_done, NULL);
+  pthread_cond_init (&eng.work_added, NULL);
+  eng.by_request_id = g_hash_table_new (g_str_hash, g_str_equal);
+  eng.seen_prompts
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   fake_ranks_init (&eng.ranks, &eng.lock, (int)eng.experts, (int)eng.n_ranks,
                    (int)eng.places, eng.copy_ms);
   eng.ranks.check_fence = eng.check_fence;
   if (!g_str_equal (eng.weights_url, "off"))
     fake_ranks_set_weight_store (&eng.ranks, eng.weights_url, eng.expert_mb);
-  eng.counts = g_new0 (double, eng.experts);
-  eng.reported = g_new0 (double, eng.experts);
+  eng.expert_tokens = g_new0 (double, eng.experts);
+  eng.reported_expert_tokens = g_new0 (double, eng.experts);
   eng.rand = g_rand_new_with_seed ((guint32)eng.seed);
   set_popularity (1.0);
-  pthread_create (&t, NULL, step_thread, NULL);
+  pthread_create (&t, NULL, run_passes, NULL);
   cf_log (LOG_INFO, CF_EV_START,
           "ranks=%" G_GINT64_FORMAT " experts=%" G_GINT64_FORMAT, eng.n_ranks,
           eng.experts);
--- a/comfrey-fake-service.c
+++ b/comfrey-fake-service.c
@@ -1,7 +1,7 @@
 /*
  * A stand-in for a plain service, such as an order desk or a booking
- * service, whose calls may not be repeated.  It counts how often each
- * idempotency key ran, so that a doubled call shows.
+ * service, whose calls must not run twice.  It counts the runs of each
+ * idempotency key, so that tests can detect calls that ran twice.
  */
 #include "daemon.h"
 #include "http-server.h"
@@ -18,20 +18,20 @@
 static struct
 {
   char *listen;
-  gint64 work_ms; /* a call takes */
-} set;
+  gint64 work_ms; /* duration of a call */
+} settings;
 
 static const CfSetting fields[] = {
-  { CF_SETTING_STRING, "service", "listen", offsetof (typeof (set), listen), 0,
-    0 },
-  { CF_SETTING_INT, "service", "work_ms", offsetof (typeof (set), work_ms), 0,
-    60000 },
+  { CF_SETTING_STRING, "service", "listen",
+    offsetof (typeof (settings), listen), 0, 0 },
+  { CF_SETTING_INT, "service", "work_ms", offsetof (typeof (settings), work_ms),
+    0, 60000 },
 };
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static GHashTable *runs; /* key -> count */
+static GHashTable *runs_by_key; /* idempotency key -> number of runs */
 static gint64 calls;
-static gint drop_next; /* test hook: run the next call, lose its answer */
+static gint drop_next_answer; /* 1: run the next call, but drop its answer */
 
 static void
 call (const CfHttpRequest *req, CfHttpReply *rep)
@@ -45,12 +45,12 @@
   calls++;
   if (key)
     {
-      n = GPOINTER_TO_UINT (g_hash_table_lookup (runs, key)) + 1;
-      g_hash_table_insert (runs, g_strdup (key), GUINT_TO_POINTER (n));
+      n = GPOINTER_TO_UINT (g_hash_table_lookup (runs_by_key, key)) + 1;
+      g_hash_table_insert (runs_by_key, g_strdup (key), GUINT_TO_POINTER (n));
     }
   pthread_mutex_unlock (&lock);
-  usleep (set.work_ms * 1000);
-  rep->drop = g_atomic_int_compare_and_exchange (&drop_next, 1, 0);
+  usleep (settings.work_ms * 1000);
+  rep->drop = g_atomic_int_compare_and_exchange (&drop_next_answer, 1, 0);
   o = json_pack ("{s:o, s:i}", "done", body ? body : json_null (), "runs",
                  (int)n);
   rep->body = json_dumps (o, JSON_COMPACT);
@@ -58,14 +58,14 @@
 }
 
 static void
-counts (CfHttpReply *rep)
+list_runs (CfHttpReply *rep)
 {
   json_t *o = json_object ();
   GHashTableIter it;
   gpointer k, v;
 
   pthread_mutex_lock (&lock);
-  g_hash_table_iter_init (&it, runs);
+  g_hash_table_iter_init (&it, runs_by_key);
   while (g_hash_table_iter_next (&it, &k, &v))
     json_object_set_new (o, k, json_integer (GPOINTER_TO_UINT (v)));
   pthread_mutex_unlock (&lock);
@@ -79,10 +79,10 @@
   if (g_str_equal (req->path, "/v1/call"))
     call (req, rep);
   else if (g_str_equal (req->path, "/test/counts"))
-    counts (rep);
+    list_runs (rep);
   else if (g_str_equal (req->path, "/test/drop-next"))
     {
-      g_atomic_int_set (&drop_next, 1);
+      g_atomic_int_set (&drop_next_answer, 1);
       rep->body = g_strdup ("{\"ok\":true}");
     }
   else
@@ -95,11 +95,11 @@
   int rc;
 
   rc = cf_daemon_begin (&argc, &argv, "comfrey-fake-service",
-                        "A stand-in for a plain service with non-repeatable "
-                        "calls; counts runs per idempotency key.",
-                        defaults, fields, G_N_ELEMENTS (fields), &set);
+                        "A stand-in for a plain service whose calls must not "
+                        "run twice; counts runs per idempotency key.",
+                        defaults, fields, G_N_ELEMENTS (fields), &settings);
   if (rc >= 0)
     return rc;
-  runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  return cf_daemon_serve_http (set.listen, on_http, NULL);
+  runs_by_key = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  return cf_daemon_serve_http (settings.listen, on_http, NULL);
 }
--- a/comfrey-fake-vmlist.c
+++ b/comfrey-fake-vmlist.c
@@ -1,6 +1,6 @@
 /*
- * A stand-in for the platform's lagging list of live and leaving VMs.  A
- * change put in through the test hook shows only after the lag.
+ * A stand-in for the platform's list of live and leaving VMs, which lags.  A
+ * change made with /test/vm becomes visible only after the lag.
  */
 #include "daemon.h"
 #include "http-server.h"
@@ -17,41 +17,42 @@
 static struct
 {
   char *listen;
-  gint64 lag_ms; /* until a change shows */
-} set;
+  gint64 lag_ms; /* until a change is visible */
+} settings;
 
 static const CfSetting fields[] = {
-  { CF_SETTING_STRING, "vmlist", "listen", offsetof (typeof (set), listen), 0,
-    0 },
-  { CF_SETTING_INT, "vmlist", "lag_ms", offsetof (typeof (set), lag_ms), 0,
+  { CF_SETTING_STRING, "vmlist", "listen", offsetof (typeof (settings), listen),
+    0, 0 },
+  { CF_SETTING_INT, "vmlist", "lag_ms", offsetof (typeof (settings), lag_ms), 0,
     600000 },
 };
 
 typedef struct
 {
   char *state;
-  long long visible_at; /* when the change shows in the list */
-  char *shown;          /* the state shown before then */
+  long long visible_at_ms; /* when @state becomes visible */
+  char *previous_state;    /* visible until then; NULL: not listed */
 } Vm;
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static GHashTable *vms;
+static GHashTable *vms_by_addr;
 
 static void
-list (CfHttpReply *rep)
+list_vms (CfHttpReply *rep)
 {
   json_t *a = json_array ();
   json_t *o;
   GHashTableIter it;
   gpointer k, v;
-  long long now = cf_now_ms ();
+  long long now_ms = cf_now_ms ();
 
   pthread_mutex_lock (&lock);
-  g_hash_table_iter_init (&it, vms);
+  g_hash_table_iter_init (&it, vms_by_addr);
   while (g_hash_table_iter_next (&it, &k, &v))
     {
       Vm *vm = v;
-      const char *state = now >= vm->visible_at ? vm->state : vm->shown;
+      const char *state
+          = now_ms >= vm->visible_at_ms ? vm->state : vm->previous_state;
 
       if (state)
         json_array_append_new (
@@ -72,20 +73,21 @@
 
   if (!addr || !state)
     {
-      cf_http_reply_error (rep, 400, "bad-request", "give addr and state");
+      cf_http_reply_error (rep, 400, "bad-request",
+                           "addr and state are required");
       return;
     }
   pthread_mutex_lock (&lock);
-  vm = g_hash_table_lookup (vms, addr);
+  vm = g_hash_table_lookup (vms_by_addr, addr);
   if (vm == NULL)
     {
       vm = g_new0 (Vm, 1);
-      g_hash_table_insert (vms, g_strdup (addr), vm);
+      g_hash_table_insert (vms_by_addr, g_strdup (addr), vm);
     }
-  g_free (vm->shown);
-  vm->shown = vm->state;
+  g_free (vm->previous_state);
+  vm->previous_state = vm->state;
   vm->state = g_strdup (state);
-  vm->visible_at = cf_now_ms () + set.lag_ms;
+  vm->visible_at_ms = cf_now_ms () + settings.lag_ms;
   pthread_mutex_unlock (&lock);
   rep->body = g_strdup ("{\"ok\":true}");
 }
@@ -94,7 +96,7 @@
 on_http (void *data, const CfHttpRequest *req, CfHttpReply *rep)
 {
   if (g_str_equal (req->path, "/v1/vms"))
-    list (rep);
+    list_vms (rep);
   else if (g_str_equal (req->path, "/test/vm"))
     set_state (req, rep);
   else
@@ -108,10 +110,10 @@
 
   rc = cf_daemon_begin (&argc, &argv, "comfrey-fake-vmlist",
                         "A stand-in for the platform's lagging VM list.",
-                        defaults, fields, G_N_ELEMENTS (fields), &set);
+                        defaults, fields, G_N_ELEMENTS (fields), &settings);
   if (rc >= 0)
     return rc;
-  vms = g_hash_table_new (g_str_hash, g_str_equal);
-  cf_log (LOG_INFO, CF_EV_START, "lag_ms=%" G_GINT64_FORMAT, set.lag_ms);
-  return cf_daemon_serve_http (set.listen, on_http, NULL);
+  vms_by_addr = g_hash_table_new (g_str_hash, g_str_equal);
+  cf_log (LOG_INFO, CF_EV_START, "lag_ms=%" G_GINT64_FORMAT, settings.lag_ms);
+  return cf_daemon_serve_http (settings.listen, on_http, NULL);
 }
--- a/comfrey-fake-weights.c
+++ b/comfrey-fake-weights.c
@@ -1,8 +1,8 @@
 /*
  * A stand-in for the platform's rate-limited weight store.  GET
- * /v1/weights?mb=N answers once N MB could have been sent at the store's
- * rate, which all readers share in the order they asked; a reader that
- * would wait too long is told at once when to come back.
+ * /v1/weights?mb=N answers after the time that sending N MB takes at the
+ * store's rate, which requests share first come, first served.  A request
+ * that would wait too long is rejected at once with the time until a retry.
  */
 #include "daemon.h"
 #include "http-server.h"
@@ -22,7 +22,7 @@
   gint64 mb_per_s;
   gint64 max_wait_ms;
   pthread_mutex_t lock;
-  long long free_at; /* when all that was asked for so far is sent, ms */
+  long long free_at_ms; /* when all accepted requests have been sent */
   gint64 served_mb;
   gint64 refused;
 } Store;
@@ -38,50 +38,51 @@
 static Store store = { .lock = PTHREAD_MUTEX_INITIALIZER };
 
 static void
-weights (const CfHttpRequest *req, CfHttpReply *rep)
+handle_weights (const CfHttpRequest *req, CfHttpReply *rep)
 {
   const char *text = cf_http_query (req, "mb");
   gint64 mb = text ? g_ascii_strtoll (text, NULL, 10) : 0;
-  long long now = cf_now_ms ();
-  long long done;
+  long long now_ms = cf_now_ms ();
+  long long done_ms;
   gboolean busy;
 
   if (mb < 1 || mb > 1000000)
     {
-      cf_http_reply_error (rep, 400, "bad-request",
-                           "give mb=N, from 1 to 1000000");
+      cf_http_reply_error (rep, 400, "bad-request", "mb must be 1 to 1000000");
       return;
     }
   pthread_mutex_lock (&store.lock);
-  done = MAX (store.free_at, now) + mb * 1000 / store.mb_per_s;
-  busy = done - now > store.max_wait_ms;
+  done_ms = MAX (store.free_at_ms, now_ms) + mb * 1000 / store.mb_per_s;
+  busy = done_ms - now_ms > store.max_wait_ms;
   if (busy)
     store.refused++;
   else
     {
-      store.free_at = done;
+      store.free_at_ms = done_ms;
       store.served_mb += mb;
     }
   pthread_mutex_unlock (&store.lock);
   if (busy)
     {
-      cf_http_reply_error (rep, 429, "busy", "the store's rate is spent");
-      rep->retry_after_ms = MAX (done - now - store.max_wait_ms, 1);
+      cf_http_reply_error (rep, 429, "busy",
+                           "the store's rate limit is exhausted");
+      rep->retry_after_ms = MAX (done_ms - now_ms - store.max_wait_ms, 1);
       return;
     }
-  usleep ((useconds_t)(done - now) * 1000);
+  usleep ((useconds_t)(done_ms - now_ms) * 1000);
   rep->body = g_strdup_printf ("{\"mb\":%" G_GINT64_FORMAT "}", mb);
 }
 
-/* /test/busy?ms=N: others have asked for all the store can send in N ms. */
+/* Handles /test/busy?ms=N: adds N ms of work to the store's backlog, as if
+ * other readers had requested it. */
 static void
-make_busy (const CfHttpRequest *req, CfHttpReply *rep)
+add_backlog (const CfHttpRequest *req, CfHttpReply *rep)
 {
   const char *ms = cf_http_query (req, "ms");
 
   pthread_mutex_lock (&store.lock);
-  store.free_at = MAX (store.free_at, cf_now_ms ())
-                  + (ms ? g_ascii_strtoll (ms, NULL, 10) : 0);
+  store.free_at_ms = MAX (store.free_at_ms, cf_now_ms ())
+                     + (ms ? g_ascii_strtoll (ms, NULL, 10) : 0);
   pthread_mutex_unlock (&store.lock);
   rep->body = g_strdup ("{\"ok\":true}");
 }
@@ -90,9 +91,9 @@
 on_http (void *data, const CfHttpRequest *req, CfHttpReply *rep)
 {
   if (g_str_equal (req->path, "/v1/weights"))
-    weights (req, rep);
+    handle_weights (req, rep);
   else if (g_str_equal (req->path, "/test/busy"))
-    make_busy (req, rep);
+    add_backlog (req, rep);
   else if (g_str_equal (req->path, "/test/served"))
     {
       pthread_mutex_lock (&store.lock);
--- a/comfrey-load.c
+++ b/comfrey-load.c
@@ -1,8 +1,8 @@
 /*
- * The load and experiment tool: plays a session of requests against
- * entries (or straight at a target, to measure what the path adds) and
- * prints what callers received, checked against what they sent and what
- * the plain services counted.
+ * A load generator: sends the requests of a session file to entries, or
+ * directly to a target to measure the latency that the entries and agents
+ * add.  It checks the answers against the requests and the runs that the
+ * plain services counted, and prints the totals.
  */
 #include "daemon.h"
 #include "http-client.h"
@@ -22,53 +22,55 @@
 
 typedef struct
 {
-  json_t *reqs;
-  gint next;
+  json_t *requests;
+  gint next_request;
   pthread_mutex_t lock;
-  GArray *ms;
-  gint64 answered, refused, lost, wrong;
-} Run;
+  GArray *latencies_ms;
+  gint64 answered, refused, lost, wrong_answers;
+} Session;
 
-/* An answer is the caller's own only if it carries the caller's marker. */
+/* Returns whether the answer contains its request's prompt or note.  If not,
+ * it is the answer to another request. */
 static gboolean
-is_own (json_t *req, const char *reply)
+has_own_marker (json_t *req, const char *reply)
 {
   json_t *body = json_object_get (req, "body");
   const char *marker = json_string_value (json_object_get (body, "prompt"));
   json_t *r = json_loads (reply, 0, NULL);
   g_autofree char *text = NULL;
-  gboolean own;
+  gboolean found;
 
   if (marker == NULL)
     marker = json_string_value (json_object_get (body, "note"));
   text = json_dumps (json_object_get (r, "answer"), JSON_ENCODE_ANY);
-  own = marker && text && strstr (text, marker) != NULL;
+  found = marker && text && strstr (text, marker) != NULL;
   json_decref (r);
-  return own;
+  return found;
 }
 
 static void *
-player (void *data)
+run_caller (void *data)
 {
-  Run *run = data;
+  Session *session = data;
 
   for (;;)
     {
       g_autofree char *url = NULL;
       g_autofree char *body = NULL;
       g_autofree char *reply = NULL;
-      gint64 t0;
+      gint64 start_us;
       json_t *req;
       long code = 0;
       double ms;
       gint i;
 
-      pthread_mutex_lock (&run->lock);
-      i = run->next++;
-      pthread_mutex_unlock (&run->lock);
-      if (i >= (gint)json_array_size (run->reqs) * repeat)
+      pthread_mutex_lock (&session->lock);
+      i = session->next_request++;
+      pthread_mutex_unlock (&session->lock);
+      if (i >= (gint)json_array_size (session->requests) * repeat)
         return NULL;
-      req = json_array_get (run->reqs, i % json_array_size (run->reqs));
+      req = json_array_get (session->requests,
+                            i % json_array_size (session->requests));
       if (direct)
         {
           url = g_strdup_printf ("%s/v1/generate", direct);
@@ -83,26 +85,26 @@
                                  entries[(json_integer_value (e)) % n]);
           body = json_dumps (req, JSON_COMPACT);
         }
-      t0 = g_get_monotonic_time ();
+      start_us = g_get_monotonic_time ();
       if (cf_http_call ("POST", url, body, NULL, 60000, &code, &reply) != CF_OK)
         code = 0;
-      ms = (double)(g_get_monotonic_time () - t0) / 1000.0;
-      pthread_mutex_lock (&run->lock);
-      g_array_append_val (run->ms, ms);
+      ms = (double)(g_get_monotonic_time () - start_us) / 1000.0;
+      pthread_mutex_lock (&session->lock);
+      g_array_append_val (session->latencies_ms, ms);
       if (code == 0)
-        run->lost++;
-      else if (code == 200 && (direct || is_own (req, reply)))
-        run->answered++;
+        session->lost++;
+      else if (code == 200 && (direct || has_own_marker (req, reply)))
+        session->answered++;
       else if (code == 200)
-        run->wrong++;
+        session->wrong_answers++;
       else
-        run->refused++;
-      pthread_mutex_unlock (&run->lock);
+        session->refused++;
+      pthread_mutex_unlock (&session->lock);
     }
 }
 
 static int
-compare_double (gconstpointer a, gconstpointer b)
+compare_doubles (gconstpointer a, gconstpointer b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -111,7 +113,7 @@
 }
 
 static gint64
-doubled_calls (void)
+count_doubled_keys (void)
 {
   gint64 doubled = 0;
 
@@ -141,15 +143,16 @@
 {
   GOptionEntry opts[] = {
     { "session", 0, 0, G_OPTION_ARG_FILENAME, &session_path,
-      "Requests to play, one JSON object a line", "FILE" },
+      "Requests to send, one JSON object per line", "FILE" },
     { "entry", 0, 0, G_OPTION_ARG_STRING_ARRAY, &entries,
-      "An entry's base URL (repeat for several)", "URL" },
+      "Base URL of an entry (may be repeated)", "URL" },
     { "service", 0, 0, G_OPTION_ARG_STRING_ARRAY, &services,
-      "A fake service's base URL, to count doubled calls", "URL" },
+      "Base URL of a fake service, to count calls that ran twice", "URL" },
     { "direct", 0, 0, G_OPTION_ARG_STRING, &direct,
-      "Send request bodies straight to this engine instead", "URL" },
-    { "threads", 0, 0, G_OPTION_ARG_INT, &threads, "Callers at once", "N" },
-    { "repeat", 0, 0, G_OPTION_ARG_INT, &repeat, "Play the session N times",
+      "Send the request bodies directly to this engine instead", "URL" },
+    { "threads", 0, 0, G_OPTION_ARG_INT, &threads,
+      "Number of concurrent callers", "N" },
+    { "repeat", 0, 0, G_OPTION_ARG_INT, &repeat, "Send the session N times",
       "N" },
     { NULL },
   };
@@ -158,14 +161,15 @@
   g_autofree char *text = NULL;
   g_auto (GStrv) lines = NULL;
   g_autofree pthread_t *tids = NULL;
-  Run run = { 0 };
+  Session session = { 0 };
   gint64 doubled;
-  double p50 = 0, p99 = 0;
+  double p50_ms = 0, p99_ms = 0;
 
-  rc = cf_daemon_options (&argc, &argv, "comfrey-load",
-                          "Plays a session and prints one line: "
-                          "answered refused lost doubled p99_ms.",
-                          opts);
+  rc = cf_daemon_options (
+      &argc, &argv, "comfrey-load",
+      "Sends the requests of a session and prints one line: "
+      "answered refused lost doubled p99_ms.",
+      opts);
   if (rc >= 0)
     return rc;
   if (!session_path || (!entries && !direct) || threads < 1 || repeat < 1)
@@ -179,33 +183,36 @@
       fprintf (stderr, "comfrey-load: %s\n", err->message);
       return 2;
     }
-  run.reqs = json_array ();
+  session.requests = json_array ();
   lines = g_strsplit (text, "\n", -1);
   for (char **l = lines; *l; l++)
     if (**l && **l != '#')
-      json_array_append_new (run.reqs, json_loads (*l, 0, NULL));
-  run.ms = g_array_new (FALSE, FALSE, sizeof (double));
-  pthread_mutex_init (&run.lock, NULL);
+      json_array_append_new (session.requests, json_loads (*l, 0, NULL));
+  session.latencies_ms = g_array_new (FALSE, FALSE, sizeof (double));
+  pthread_mutex_init (&session.lock, NULL);
   tids = g_new (pthread_t, threads);
   for (gint i = 0; i < threads; i++)
-    pthread_create (&tids[i], NULL, player, &run);
+    pthread_create (&tids[i], NULL, run_caller, &session);
   for (gint i = 0; i < threads; i++)
     pthread_join (tids[i], NULL);
 
-  g_array_sort (run.ms, compare_double);
-  if (run.ms->len)
+  g_array_sort (session.latencies_ms, compare_doubles);
+  if (session.latencies_ms->len)
     {
-      p50 = g_array_index (run.ms, double, run.ms->len / 2);
-      p99 = g_array_index (run.ms, double, (run.ms->len * 99) / 100);
+      p50_ms = g_array_index (session.latencies_ms, double,
+                              session.latencies_ms->len / 2);
+      p99_ms = g_array_index (session.latencies_ms, double,
+                              (session.latencies_ms->len * 99) / 100);
     }
-  doubled = doubled_calls ();
+  doubled = count_doubled_keys ();
   printf ("answered=%" G_GINT64_FORMAT " refused=%" G_GINT64_FORMAT
           " lost=%" G_GINT64_FORMAT " doubled=%" G_GINT64_FORMAT
           " p99_ms=%.0f\n",
-          run.answered, run.refused, run.lost + run.wrong, doubled, p99);
+          session.answered, session.refused,
+          session.lost + session.wrong_answers, doubled, p99_ms);
   fprintf (stderr,
            "comfrey-load: requests=%u p50_ms=%.2f p99_ms=%.2f "
            "wrong_answers=%" G_GINT64_FORMAT "\n",
-           run.ms->len, p50, p99, run.wrong);
-  return run.lost + run.wrong + (doubled != 0) ? 1 : 0;
+           session.latencies_ms->len, p50_ms, p99_ms, session.wrong_answers);
+  return session.lost + session.wrong_answers + (doubled != 0) ? 1 : 0;
 }
--- a/comfrey-slopes.c
+++ b/comfrey-slopes.c
@@ -1,6 +1,7 @@
 /*
- * Measures what the library's decisions cost at letter 1's size, for
- * docs/CAPACITY.md: one line a slope, from one run on this machine.
+ * Measures the CPU time and memory that the library's decisions take at the
+ * size of the planned deployment, for docs/CAPACITY.md.  Prints one line for
+ * each cost, from one run on this machine.
  */
 #include "daemon.h"
 #include "guard.h"
@@ -14,13 +15,13 @@
 #include <string.h>
 
 #define AGENTS 340
-#define ORGS 200
+#define ORGANISATIONS 200
 #define MODELS 32
 #define RANKS 128
 #define EXPERTS 128
 
-/* Keeps the compiler from dropping what is measured. */
-static volatile gint64 sink;
+/* Prevents the compiler from removing the measured calls. */
+static volatile gint64 result_sink;
 
 static double
 now_ns (void)
@@ -29,15 +30,15 @@
 }
 
 static void
-print_slope (const char *what, double value, const char *unit)
+print_cost (const char *label, double value, const char *unit)
 {
-  printf ("%-44s %12.1f %s\n", what, value, unit);
+  printf ("%-44s %12.1f %s\n", label, value, unit);
 }
 
-/* One group of every agent, and an intent for each organisation that names
- * every model, in records of both schemas. */
+/* Returns records of both schemas: one group of all agents, and for each
+ * organisation one intent that lists all models. */
 static char *
-records_at_size (void)
+make_records (void)
 {
   GString *s = g_string_new (
       "{\"schema\":1,\"kind\":\"group\",\"name\":\"g\",\"target\":\"engine\","
@@ -47,7 +48,7 @@
     g_string_append_printf (s, "%s\"10.0.%d.%d:7101\"", i ? "," : "", i / 250,
                             i % 250);
   g_string_append (s, "]}\n");
-  for (int o = 0; o < ORGS; o++)
+  for (int o = 0; o < ORGANISATIONS; o++)
     {
       g_string_append_printf (s,
                               "{\"schema\":2,\"kind\":\"intent\",\"name\":"
@@ -65,83 +66,85 @@
 static void
 measure_config (void)
 {
-  g_autofree char *text = records_at_size ();
-  CfConfig *c = NULL;
-  CfCandidate cand[AGENTS];
-  double t0 = now_ns ();
+  g_autofree char *text = make_records ();
+  CfConfig *config = NULL;
+  CfCandidate candidates[AGENTS];
+  double start_ns = now_ns ();
   const char *guards[CF_GUARDS];
-  char what[32];
-  const int n = 20000;
-  const int orders = 2000;
-  gsize before = mallinfo2 ().uordblks;
+  char name[32];
+  const int repetitions = 20000;
+  const int picks = 2000;
+  gsize heap_before = mallinfo2 ().uordblks;
 
-  if (cf_config_parse_lines (text, "slopes", 1, &c) != CF_OK)
+  if (cf_config_parse_lines (text, "slopes", 1, &config) != CF_OK)
     {
       fprintf (stderr, "comfrey-slopes: %s\n", cf_last_error ());
       return;
     }
-  print_slope ("records: size of a version", (double)strlen (text) / 1e3, "KB");
-  print_slope ("records: parse and check a version", (now_ns () - t0) / 1e6,
-               "ms");
-  print_slope ("records: memory of a version",
-               (double)(mallinfo2 ().uordblks - before) / 1e3, "KB");
-
-  t0 = now_ns ();
-  for (int i = 0; i < n; i++)
+  print_cost ("records: size of a version", (double)strlen (text) / 1e3, "KB");
+  print_cost ("records: parse and check a version",
+              (now_ns () - start_ns) / 1e6, "ms");
+  print_cost ("records: memory of a version",
+              (double)(mallinfo2 ().uordblks - heap_before) / 1e3, "KB");
+
+  start_ns = now_ns ();
+  for (int i = 0; i < repetitions; i++)
     {
-      g_snprintf (what, sizeof what, "org%d", i % ORGS);
-      sink += cf_config_match (c, what, "s", "model31") != NULL;
+      g_snprintf (name, sizeof name, "org%d", i % ORGANISATIONS);
+      result_sink += cf_config_match (config, name, "s", "model31") != NULL;
     }
-  print_slope ("route: match an intent of 200", (now_ns () - t0) / n, "ns");
+  print_cost ("route: match an intent of 200",
+              (now_ns () - start_ns) / repetitions, "ns");
 
-  t0 = now_ns ();
-  for (int i = 0; i < n; i++)
+  start_ns = now_ns ();
+  for (int i = 0; i < repetitions; i++)
     {
-      g_snprintf (what, sizeof what, "key-%d", i);
-      sink += cf_route_guards (c, what, guards);
+      g_snprintf (name, sizeof name, "key-%d", i);
+      result_sink += cf_route_guards (config, name, guards);
     }
-  print_slope ("route: choose a key's guards of 340", (now_ns () - t0) / n,
-               "ns");
+  print_cost ("route: choose a key's guards of 340",
+              (now_ns () - start_ns) / repetitions, "ns");
 
-  t0 = now_ns ();
-  for (int i = 0; i < orders; i++)
+  start_ns = now_ns ();
+  for (int i = 0; i < picks; i++)
     {
-      const CfGroup *g = cf_config_group (c, "g");
+      const CfGroup *g = cf_config_group (config, "g");
 
       for (int a = 0; a < AGENTS; a++)
-        cand[a] = (CfCandidate){ .addr = g_ptr_array_index (g->agents, a),
-                                 .load = a % 7 };
-      g_snprintf (what, sizeof what, "e1-%d", i);
-      sink += cf_route_pick (cand, AGENTS, NULL, what) != NULL;
+        candidates[a] = (CfCandidate){ .addr = g_ptr_array_index (g->agents, a),
+                                       .load = a % 7 };
+      g_snprintf (name, sizeof name, "e1-%d", i);
+      result_sink += cf_route_pick (candidates, AGENTS, NULL, name) != NULL;
     }
-  print_slope ("route: pick one of a group of 340 targets",
-               (now_ns () - t0) / orders, "ns");
-  cf_config_unref (c);
+  print_cost ("route: pick one of a group of 340 targets",
+              (now_ns () - start_ns) / picks, "ns");
+  cf_config_unref (config);
 }
 
 static void
 measure_guard (void)
 {
-  const int n = 100000;
+  const int repetitions = 100000;
   CfGuard g;
   char key[64];
   char token[64];
   char *holder = NULL;
-  gsize before;
-  double t0;
+  gsize heap_before;
+  double start_ns;
 
-  cf_guard_init (&g, 600000, (guint)n, 0);
-  before = mallinfo2 ().uordblks;
-  t0 = now_ns ();
-  for (int i = 0; i < n; i++)
+  cf_guard_init (&g, 600000, (guint)repetitions, 0);
+  heap_before = mallinfo2 ().uordblks;
+  start_ns = now_ns ();
+  for (int i = 0; i < repetitions; i++)
     {
       g_snprintf (key, sizeof key, "aspen-order-note-%08d", i);
       g_snprintf (token, sizeof token, "e1-%08d-0123456789abcdef", i);
-      sink += cf_guard_claim (&g, key, token, "10.0.0.1:7101", i, &holder);
+      result_sink
+          += cf_guard_claim (&g, key, token, "10.0.0.1:7101", i, &holder);
     }
-  print_slope ("guard: claim a key", (now_ns () - t0) / n, "ns");
-  print_slope ("guard: memory of a claim",
-               (double)(mallinfo2 ().uordblks - before) / n, "B");
+  print_cost ("guard: claim a key", (now_ns () - start_ns) / repetitions, "ns");
+  print_cost ("guard: memory of a claim",
+              (double)(mallinfo2 ().uordblks - heap_before) / repetitions, "B");
   cf_guard_clear (&g);
 }
 
@@ -152,23 +155,23 @@
   CfPlacement p = { .kind = CF_PLACE_BOUNDED };
   double tokens[EXPERTS];
   CfPlacementPlan plan;
-  double t0;
+  double start_ns;
 
   p.u.bounded.skew_weight = 1;
   p.u.bounded.max_moves = 16;
   for (int e = 0; e < EXPERTS; e++)
     tokens[e] = 1000.0 / (e * 37 % EXPERTS + 1);
-  t0 = now_ns ();
+  start_ns = now_ns ();
   plan = cf_placement_plan (&p, m, tokens);
-  print_slope ("placement: plan 16 moves, 128 ranks", (now_ns () - t0) / 1e6,
-               "ms");
+  print_cost ("placement: plan 16 moves, 128 ranks",
+              (now_ns () - start_ns) / 1e6, "ms");
   if (plan.map)
     {
       json_t *j = cf_expert_map_to_json (plan.map);
       g_autofree char *text = json_dumps (j, JSON_COMPACT);
 
-      print_slope ("map change: size of a prepare, 128 ranks",
-                   (double)strlen (text), "B");
+      print_cost ("map change: size of a prepare, 128 ranks",
+                  (double)strlen (text), "B");
       json_decref (j);
     }
   cf_expert_map_free (plan.map);
@@ -183,10 +186,11 @@
   };
   int rc;
 
-  rc = cf_daemon_options (&argc, &argv, "comfrey-slopes",
-                          "Measures what decisions cost at letter "
-                          "1's size, for docs/CAPACITY.md.",
-                          opts);
+  rc = cf_daemon_options (
+      &argc, &argv, "comfrey-slopes",
+      "Measures the CPU time and memory of decisions at the "
+      "size of the planned deployment.",
+      opts);
   if (rc >= 0)
     return rc;
   measure_config ();
