--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,80 +1,84 @@
 #!/bin/sh
-# Measures the slopes docs/CAPACITY.md is worked from, on this machine:
-# CPU per request of entry and agent, idle control CPU of an entry with
-# six links, resident memory, and config reads.  One run; small stand-ins.
+# Measures the costs that docs/CAPACITY.md is calculated from, in one run on
+# this machine with small stand-ins: CPU time per request of the entry and the
+# agents, CPU time of an idle entry with six links, resident memory, and
+# configuration reads.
 set -eu
 cd "$(dirname "$0")/.."
 make -s comfrey-entry comfrey-agent comfrey-fake-engine comfrey-fake-config \
 	comfrey-fake-vmlist comfrey-fake-service comfrey-load
 . scripts/processes.sh
-# utime + stime of a process, in clock ticks.
-ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
-rss() { awk '/VmRSS/ {print $2}' "/proc/$1/status"; }
+BYTES_PER_PING=86
+# cpu_ticks PID: user and system time of a process, in clock ticks
+cpu_ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
+# rss_kb PID: resident memory of a process
+rss_kb() { awk '/VmRSS/ {print $2}' "/proc/$1/status"; }
 
-start config ./comfrey-fake-config --settings "$(settings c '[config]\nlisten = "127.0.0.1:7000"\nrecords = "demo/records.jsonl"\n')"
+start config ./comfrey-fake-config --settings "$(settings config '[config]\nlisten = "127.0.0.1:7000"\nrecords = "demo/records.jsonl"\n')"
 start vmlist ./comfrey-fake-vmlist
-start ea ./comfrey-fake-engine --settings "$(settings ea '[engine]\nlisten = "127.0.0.1:7201"\nstep_base_us = 500\n')"
-start eb ./comfrey-fake-engine --settings "$(settings eb '[engine]\nlisten = "127.0.0.1:7202"\nstep_base_us = 500\n')"
-start sa ./comfrey-fake-service --settings "$(settings sa '[service]\nlisten = "127.0.0.1:7301"\nwork_ms = 0\n')"
-start sb ./comfrey-fake-service --settings "$(settings sb '[service]\nlisten = "127.0.0.1:7302"\nwork_ms = 0\n')"
-for a in 1:7201 2:7201 3:7202 4:7202 5:7301 6:7302; do
-	n=${a%%:*}
-	start agent$n ./comfrey-agent --settings "$(settings a$n "[agent]\nlisten = \"127.0.0.1:710$n\"\ntarget_url = \"http://127.0.0.1:${a#*:}\"\n")"
+start engine-a ./comfrey-fake-engine --settings "$(settings engine-a '[engine]\nlisten = "127.0.0.1:7201"\nstep_base_us = 500\n')"
+start engine-b ./comfrey-fake-engine --settings "$(settings engine-b '[engine]\nlisten = "127.0.0.1:7202"\nstep_base_us = 500\n')"
+start service-a ./comfrey-fake-service --settings "$(settings service-a '[service]\nlisten = "127.0.0.1:7301"\nwork_ms = 0\n')"
+start service-b ./comfrey-fake-service --settings "$(settings service-b '[service]\nlisten = "127.0.0.1:7302"\nwork_ms = 0\n')"
+for pair in 1:7201 2:7201 3:7202 4:7202 5:7301 6:7302; do
+	n=${pair%%:*}
+	start agent$n ./comfrey-agent --settings "$(settings agent$n "[agent]\nlisten = \"127.0.0.1:710$n\"\ntarget_url = \"http://127.0.0.1:${pair#*:}\"\n")"
 done
 start entry ./comfrey-entry
 sleep 7
-hz=$(getconf CLK_TCK)
+ticks_per_s=$(getconf CLK_TCK)
 
-e0=$(ticks $pid_entry)
-a0=$(ticks $pid_agent1)
-r0=$(curl -s http://127.0.0.1:7000/test/reads | tr -dc 0-9)
+entry_before=$(cpu_ticks $pid_entry)
+agent_before=$(cpu_ticks $pid_agent1)
+reads_before=$(curl -s http://127.0.0.1:7000/test/reads | tr -dc 0-9)
 sleep 10
-e1=$(ticks $pid_entry)
-a1=$(ticks $pid_agent1)
-r1=$(curl -s http://127.0.0.1:7000/test/reads | tr -dc 0-9)
-echo "idle 10 s: entry cpu_ms=$(((e1 - e0) * 1000 / hz)) (6 links)" \
-	"agent cpu_ms=$(((a1 - a0) * 1000 / hz)) (1 link)" \
-	"config_reads=$((r1 - r0)) entry_rss_kb=$(rss $pid_entry)" \
-	"agent_rss_kb=$(rss $pid_agent1)"
+entry_after=$(cpu_ticks $pid_entry)
+agent_after=$(cpu_ticks $pid_agent1)
+reads_after=$(curl -s http://127.0.0.1:7000/test/reads | tr -dc 0-9)
+echo "idle 10 s: entry cpu_ms=$(((entry_after - entry_before) * 1000 / ticks_per_s)) (6 links)" \
+	"agent cpu_ms=$(((agent_after - agent_before) * 1000 / ticks_per_s)) (1 link)" \
+	"config_reads=$((reads_after - reads_before)) entry_rss_kb=$(rss_kb $pid_entry)" \
+	"agent_rss_kb=$(rss_kb $pid_agent1)"
 
-p0=$(curl -s http://127.0.0.1:8080/v1/health | sed 's/.*"pings":\([0-9]*\).*/\1/')
-l0=$(date +%s%N)
-e0=$(ticks $pid_entry)
-t0=0
-for n in 1 2 3 4 5 6; do eval "t=\$(ticks \$pid_agent$n)"; t0=$((t0 + t)); done
+pings_before=$(curl -s http://127.0.0.1:8080/v1/health | sed 's/.*"pings":\([0-9]*\).*/\1/')
+start_ns=$(date +%s%N)
+entry_before=$(cpu_ticks $pid_entry)
+agents_before=0
+for n in 1 2 3 4 5 6; do eval "ticks=\$(cpu_ticks \$pid_agent$n)"; agents_before=$((agents_before + ticks)); done
 ./comfrey-load --session demo/session.jsonl --repeat 8 --threads 16 \
 	--entry http://127.0.0.1:8080 >"$run/load.out" 2>&1 || true
-e1=$(ticks $pid_entry)
-t1=0
-for n in 1 2 3 4 5 6; do eval "t=\$(ticks \$pid_agent$n)"; t1=$((t1 + t)); done
-p1=$(curl -s http://127.0.0.1:8080/v1/health | sed 's/.*"pings":\([0-9]*\).*/\1/')
-l1=$(date +%s%N)
-reqs=$((246 * 8))
-echo "load: pings=$((p1 - p0)) over 6 links in $(((l1 - l0) / 1000000)) ms"
-echo "load $reqs requests: entry cpu_ms=$(((e1 - e0) * 1000 / hz))" \
-	"agents cpu_ms=$(((t1 - t0) * 1000 / hz))" \
-	"entry_rss_kb=$(rss $pid_entry) agent_rss_kb=$(rss $pid_agent1)"
+entry_after=$(cpu_ticks $pid_entry)
+agents_after=0
+for n in 1 2 3 4 5 6; do eval "ticks=\$(cpu_ticks \$pid_agent$n)"; agents_after=$((agents_after + ticks)); done
+pings_after=$(curl -s http://127.0.0.1:8080/v1/health | sed 's/.*"pings":\([0-9]*\).*/\1/')
+end_ns=$(date +%s%N)
+requests=$((246 * 8))
+echo "load: pings=$((pings_after - pings_before)) over 6 links in $(((end_ns - start_ns) / 1000000)) ms"
+echo "load $requests requests: entry cpu_ms=$(((entry_after - entry_before) * 1000 / ticks_per_s))" \
+	"agents cpu_ms=$(((agents_after - agents_before) * 1000 / ticks_per_s))" \
+	"entry_rss_kb=$(rss_kb $pid_entry) agent_rss_kb=$(rss_kb $pid_agent1)"
 tail -1 "$run/load.out"
 
-# The same idle control cost with letter 1's 340 links: 340 addresses of the
-# loopback range, all answered by one agent that listens on every address.
+# Measures the idle entry again with 340 links, the size of the planned
+# deployment.  The links go to 340 loopback addresses, which are all served by
+# one agent that listens on every address.
 kill -TERM $pid_entry && wait $pid_entry 2>/dev/null || true
-start agentall ./comfrey-agent --settings "$(settings all '[agent]\nlisten = "0.0.0.0:7199"\n')"
+start agentall ./comfrey-agent --settings "$(settings agentall '[agent]\nlisten = "0.0.0.0:7199"\n')"
 for i in $(seq 340); do
 	printf '"127.0.%d.%d:7199"\n' $((1 + i / 200)) $((1 + i % 200))
 done | paste -sd, >"$run/addrs"
 printf '{"schema":1,"kind":"group","name":"g","target":"engine","agents":[%s]}\n' \
 	"$(cat "$run/addrs")" >"$run/wide.jsonl"
-start wideconfig ./comfrey-fake-config --settings "$(settings w "[config]\nlisten = \"127.0.0.1:7010\"\nrecords = \"$run/wide.jsonl\"\n")"
-start wide ./comfrey-entry --settings "$(settings we '[entry]\nlisten = "127.0.0.1:8090"\n[config]\nurl = "http://127.0.0.1:7010"\n')"
+start wideconfig ./comfrey-fake-config --settings "$(settings wideconfig "[config]\nlisten = \"127.0.0.1:7010\"\nrecords = \"$run/wide.jsonl\"\n")"
+start wide ./comfrey-entry --settings "$(settings wide '[entry]\nlisten = "127.0.0.1:8090"\n[config]\nurl = "http://127.0.0.1:7010"\n')"
 sleep 15
-pings() { curl -s http://127.0.0.1:8090/v1/health | sed 's/.*"pings":\([0-9]*\).*/\1/'; }
-e0=$(ticks $pid_wide)
-p0=$(pings)
+wide_pings() { curl -s http://127.0.0.1:8090/v1/health | sed 's/.*"pings":\([0-9]*\).*/\1/'; }
+entry_before=$(cpu_ticks $pid_wide)
+pings_before=$(wide_pings)
 sleep 30
-e1=$(ticks $pid_wide)
-p1=$(pings)
-echo "idle 30 s, 340 links: entry cpu_ms=$(((e1 - e0) * 1000 / hz))" \
-	"pings=$((p1 - p0)) bytes_per_s=$(((p1 - p0) * 86 / 30))" \
-	"entry_rss_kb=$(rss $pid_wide)" \
+entry_after=$(cpu_ticks $pid_wide)
+pings_after=$(wide_pings)
+echo "idle 30 s, 340 links: entry cpu_ms=$(((entry_after - entry_before) * 1000 / ticks_per_s))" \
+	"pings=$((pings_after - pings_before)) bytes_per_s=$(((pings_after - pings_before) * BYTES_PER_PING / 30))" \
+	"entry_rss_kb=$(rss_kb $pid_wide)" \
 	"$(curl -s http://127.0.0.1:8090/v1/health)"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,16 +1,17 @@
 #!/bin/sh
-# make demo: builds, starts the stand-in of the platform (store, plain
-# targets, a rank group of 8), three gateways and an agent beside each rank
-# as sibling processes, plays callers with streams, and prints one summary
-# line.  Logs stay in the directory it names.
+# Run by make demo.  Builds the programs and starts them on this machine: the
+# stand-in of the platform (store, plain targets, a rank group of 8), three
+# gateways, and a rank agent for each rank.  Then runs callers, with streamed
+# answers, and prints one summary line.  The logs are kept in the directory
+# printed on standard error.
 #
-#	demo.sh [REQUESTS]	as many in place of 1500
+#	demo.sh [REQUESTS]	number of requests (default: 1500)
 set -eu
 cd "$(dirname "$0")/.."
 sh scripts/install-deps.sh
 make -s deploy target/comfrey-fake-platform target/comfrey-callers
 . scripts/ports.sh
-take_ports
+allocate_ports
 . scripts/platform-processes.sh
 
 RANKS=8
@@ -30,10 +31,10 @@
 echo "logs: $run" >&2
 status=0
 target/comfrey-callers --requests "${1:-1500}" --callers 32 \
-	--gateway "$(front 1)" --gateway "$(front 2)" --gateway "$(front 3)" \
+	--gateway "$(front_addr 1)" --gateway "$(front_addr 2)" --gateway "$(front_addr 3)" \
 	>"$run/callers" || status=$?
 if [ ! -s "$run/callers" ]; then
-	echo "the callers ended with status $status and said nothing" >&2
+	echo "the callers exited with status $status without output" >&2
 	exit 1
 fi
 doubled=0
@@ -41,7 +42,7 @@
 	n=$(curl -sS "http://127.0.0.1:$port/test/runs" |
 		sed -n 's/.*"doubled":\([0-9]*\).*/\1/p')
 	if [ -z "$n" ]; then
-		echo "the target at port $port does not say what it ran" >&2
+		echo "the target at port $port did not report its runs" >&2
 		exit 1
 	fi
 	doubled=$((doubled + n))
--- a/scripts/install-deps.sh
+++ b/scripts/install-deps.sh
@@ -1,11 +1,11 @@
 #!/bin/sh
-# Installs the Debian packages the build, the demo and the tests need,
-# when run as root and any is missing.
-PKGS="build-essential pkg-config libglib2.0-dev libmicrohttpd-dev
+# Installs the Debian packages that the build, the demos and the tests need if
+# one is missing.  Must run as root in that case.
+PACKAGES="build-essential pkg-config libglib2.0-dev libmicrohttpd-dev
 libjansson-dev libcurl4-openssl-dev libmsgpack-dev libck-dev libxxhash-dev
 libgsl-dev libev-dev libhttp-parser-dev check clang-format clang-tidy curl file"
 missing=""
-for p in $PKGS; do
+for p in $PACKAGES; do
 	dpkg-query -W -f='${Status}' "$p" 2>/dev/null | grep -q "ok installed" ||
 		missing="$missing $p"
 done
--- a/scripts/no-binaries.sh
+++ b/scripts/no-binaries.sh
@@ -1,14 +1,14 @@
 #!/bin/sh
 # Fails if git tracks a binary file, such as a built program, an object or an
-# archive: what is built here has no place in the repository.  Pictures may
-# stay.  `file` tells by what is in a file, whatever its name is.
+# archive.  Build results do not belong in the repository.  Images are allowed.
+# `file` detects a binary by its contents, whatever its name.
 set -eu
 command -v file >/dev/null || {
-	echo "no-binaries: no command file; sh scripts/install-deps.sh" >&2
+	echo "no-binaries: the file command is missing; run sh scripts/install-deps.sh" >&2
 	exit 1
 }
 [ -e .git ] || {
-	echo "no-binaries: no git checkout, so nothing is committed here"
+	echo "no-binaries: not a git checkout, nothing to check"
 	exit 0
 }
 git rev-parse --git-dir >/dev/null
@@ -16,6 +16,6 @@
 found=$(printf '%s\n' "$kinds" | grep 'charset=binary$' |
 	grep -vE ': +(image/[^;]*|inode/(x-empty|symlink)); charset=binary$' || true)
 [ -z "$found" ] && exit 0
-echo "no-binaries: tracked, but binary; git rm --cached:" >&2
+echo "no-binaries: tracked binary files (remove them with git rm --cached):" >&2
 printf '%s\n' "$found" >&2
 exit 1
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -1,14 +1,15 @@
-# Helpers for scripts that start our programs as sibling processes; read
-# with `.`, after `cd` to the repository.  Settings and logs go to $run.
+# Functions for scripts that run the programs as child processes.  Sourced after
+# `cd` to the root of the repository.  Settings and logs are written to $run.
 run=$(mktemp -d -t "comfrey-$(basename "$0" .sh).XXXXXX")
 pids=""
-stop() {
+stop_all() {
 	[ -n "$pids" ] && kill -TERM $pids 2>/dev/null || true
 	wait 2>/dev/null || true
 }
-trap stop EXIT INT TERM
+trap stop_all EXIT INT TERM
 
-# start NAME PROGRAM ARG...: its log goes to $run/NAME.log, its pid to $pid_NAME.
+# start NAME PROGRAM ARG...: starts a process, with its output in $run/NAME.log
+# and its process ID in $pid_NAME
 start() {
 	name=$1
 	shift
@@ -17,7 +18,7 @@
 	eval "pid_$(echo "$name" | tr - _)=$!"
 }
 
-# settings NAME TEXT: writes a settings file and prints its path.
+# settings NAME TEXT: writes a settings file and prints its path
 settings() {
 	printf '%b\n' "$2" >"$run/$1.toml"
 	echo "$run/$1.toml"
