--- a/comfrey-fake-config.c
+++ b/comfrey-fake-config.c
@@ -138,11 +138,11 @@
 }
 
 static gint64
-query_int (const CfHttpRequest *req, const char *name, gint64 def)
+query_int (const CfHttpRequest *req, const char *name, gint64 default_value)
 {
-  const char *v = cf_http_query (req, name);
+  const char *value = cf_http_query (req, name);
 
-  return v ? g_ascii_strtoll (v, NULL, 10) : def;
+  return value ? g_ascii_strtoll (value, NULL, 10) : default_value;
 }
 
 /* Handles /test/mode?mode=up|down|stale.  Mode stale serves version=N (default:
--- a/comfrey-fake-engine.c
+++ b/comfrey-fake-engine.c
@@ -59,7 +59,7 @@
   int running;
   guint64 seq;
   FakeRanks ranks;
-  double *cumulative_popularity;
+  double *cumulative_popularity; /* most popular expert first; ends with 1 */
   gint64 hottest_expert;
   GRand *rand;
   gint64 highest_fence;
@@ -99,39 +99,39 @@
   { CF_SETTING_INT, "engine", "seed", offsetof (Engine, seed), 0, G_MAXINT32 },
 };
 
-static Engine eng;
+static Engine engine;
 
 static void
 admit_waiting (void)
 {
-  while (eng.waiting && eng.running < eng.batch_max)
+  while (engine.waiting && engine.running < engine.batch_max)
     {
-      Generation *g = eng.waiting;
+      Generation *g = engine.waiting;
 
-      eng.waiting = g->next;
-      g->next = eng.batch;
-      eng.batch = g;
-      eng.running++;
+      engine.waiting = g->next;
+      g->next = engine.batch;
+      engine.batch = g;
+      engine.running++;
     }
 }
 
 static int
 pick_expert (void)
 {
-  double u = g_rand_double (eng.rand);
+  double u = g_rand_double (engine.rand);
   int lo = 0;
-  int hi = (int)eng.experts - 1;
+  int hi = (int)engine.experts - 1;
 
   while (lo < hi)
     {
       int mid = (lo + hi) / 2;
 
-      if (eng.cumulative_popularity[mid] < u)
+      if (engine.cumulative_popularity[mid] < u)
         lo = mid + 1;
       else
         hi = mid;
     }
-  return (lo + (int)eng.hottest_expert) % (int)eng.experts;
+  return (lo + (int)engine.hottest_expert) % (int)engine.experts;
 }
 
 /* Updates the load report if it is older than load_lag_ms, also when no pass
@@ -139,19 +139,19 @@
 static void
 refresh_report (void)
 {
-  if (cf_now_ms () - eng.reported_at_ms < eng.load_lag_ms)
+  if (cf_now_ms () - engine.reported_at_ms < engine.load_lag_ms)
     return;
-  eng.reported_running = eng.running;
-  memcpy (eng.reported_expert_tokens, eng.expert_tokens,
-          sizeof *eng.expert_tokens * eng.experts);
-  eng.reported_at_ms = cf_now_ms ();
+  engine.reported_running = engine.running;
+  memcpy (engine.reported_expert_tokens, engine.expert_tokens,
+          sizeof *engine.expert_tokens * engine.experts);
+  engine.reported_at_ms = cf_now_ms ();
 }
 
 static void *
 run_passes (void *unused)
 {
-  g_autofree double *tokens = g_new0 (double, eng.experts);
-  g_autofree double *load = g_new0 (double, eng.n_ranks);
+  g_autofree double *tokens = g_new0 (double, engine.experts);
+  g_autofree double *load = g_new0 (double, engine.n_ranks);
 
   for (;;)
     {
@@ -159,30 +159,31 @@
       gint64 stall_ms;
       double slowest;
 
-      pthread_mutex_lock (&eng.lock);
-      while (eng.batch == NULL && eng.waiting == NULL)
-        pthread_cond_wait (&eng.work_added, &eng.lock);
-      map = fake_ranks_begin_pass (&eng.ranks, &stall_ms);
+      pthread_mutex_lock (&engine.lock);
+      while (engine.batch == NULL && engine.waiting == NULL)
+        pthread_cond_wait (&engine.work_added, &engine.lock);
+      map = fake_ranks_begin_pass (&engine.ranks, &stall_ms);
       admit_waiting ();
-      memset (tokens, 0, sizeof *tokens * eng.experts);
-      for (Generation *g = eng.batch; g; g = g->next)
+      memset (tokens, 0, sizeof *tokens * engine.experts);
+      for (Generation *g = engine.batch; g; g = g->next)
         {
           int e = pick_expert ();
 
           tokens[e]++;
-          eng.expert_tokens[e]++;
+          engine.expert_tokens[e]++;
         }
       slowest = cf_expert_map_load (map, tokens, load);
-      eng.ranks.slowest_tokens += slowest;
-      eng.ranks.mean_tokens += (double)eng.running / (double)eng.n_ranks;
-      pthread_mutex_unlock (&eng.lock);
+      engine.ranks.slowest_tokens += slowest;
+      engine.ranks.mean_tokens
+          += (double)engine.running / (double)engine.n_ranks;
+      pthread_mutex_unlock (&engine.lock);
 
-      usleep (eng.pass_base_us
-              + (gint64)((double)eng.pass_us_per_token * slowest)
+      usleep (engine.pass_base_us
+              + (gint64)((double)engine.pass_us_per_token * slowest)
               + stall_ms * 1000);
 
-      pthread_mutex_lock (&eng.lock);
-      for (Generation **p = &eng.batch; *p;)
+      pthread_mutex_lock (&engine.lock);
+      for (Generation **p = &engine.batch; *p;)
         {
           Generation *g = *p;
 
@@ -192,14 +193,14 @@
             {
               *p = g->next;
               g->done = TRUE;
-              eng.running--;
+              engine.running--;
               continue;
             }
           p = &g->next;
         }
       refresh_report ();
-      pthread_cond_broadcast (&eng.pass_done);
-      pthread_mutex_unlock (&eng.lock);
+      pthread_cond_broadcast (&engine.pass_done);
+      pthread_mutex_unlock (&engine.lock);
     }
   return NULL;
 }
@@ -208,7 +209,7 @@
 static void
 enqueue (Generation *g)
 {
-  Generation **p = &eng.waiting;
+  Generation **p = &engine.waiting;
 
   while (*p && (*p)->priority >= g->priority)
     p = &(*p)->next;
@@ -222,7 +223,7 @@
   json_t *o = json_loads (req->body, 0, NULL);
   const char *prompt = json_string_value (json_object_get (o, "prompt"));
   json_t *max_tokens = json_object_get (o, "max_tokens");
-  const char *prio = cf_http_header (req, "X-Comfrey-Priority");
+  const char *priority = cf_http_header (req, "X-Comfrey-Priority");
   const char *request_id = cf_http_header (req, "X-Request-Id");
   const char *remaining = cf_http_header (req, "X-Comfrey-Deadline-Ms");
   long long deadline_ms
@@ -244,30 +245,30 @@
   g.max_tokens = json_is_integer (max_tokens)
                      ? CLAMP (json_integer_value (max_tokens), 1, 4096)
                      : 8;
-  g.priority = prio ? g_ascii_strtoll (prio, NULL, 10) : 0;
+  g.priority = priority ? g_ascii_strtoll (priority, NULL, 10) : 0;
   json_decref (o);
 
-  pthread_mutex_lock (&eng.lock);
-  g.seq = ++eng.seq;
-  g_hash_table_add (eng.seen_prompts, g_strdup (g.prompt));
+  pthread_mutex_lock (&engine.lock);
+  g.seq = ++engine.seq;
+  g_hash_table_add (engine.seen_prompts, g_strdup (g.prompt));
   g.request_id = request_id ? g_strdup (request_id) : NULL;
   if (g.request_id)
-    g_hash_table_insert (eng.by_request_id, g.request_id, &g);
+    g_hash_table_insert (engine.by_request_id, g.request_id, &g);
   enqueue (&g);
-  pthread_cond_signal (&eng.work_added);
+  pthread_cond_signal (&engine.work_added);
   while (!g.done)
     {
-      /* After the deadline the caller has gone: stop at the next pass. */
+      /* Stop at the next pass after the deadline: no caller waits any more. */
       if (cf_now_ms () >= deadline_ms)
         g.cancelled = TRUE;
       clock_gettime (CLOCK_REALTIME, &ts);
       ts.tv_sec += 1;
-      pthread_cond_timedwait (&eng.pass_done, &eng.lock, &ts);
+      pthread_cond_timedwait (&engine.pass_done, &engine.lock, &ts);
     }
   if (g.request_id)
-    g_hash_table_remove (eng.by_request_id, g.request_id);
-  map_version = fake_ranks_map_version (&eng.ranks);
-  pthread_mutex_unlock (&eng.lock);
+    g_hash_table_remove (engine.by_request_id, g.request_id);
+  map_version = fake_ranks_map_version (&engine.ranks);
+  pthread_mutex_unlock (&engine.lock);
 
   if (g.cancelled)
     r = json_pack ("{s:s, s:i}", "error", "cancelled", "tokens", g.tokens);
@@ -287,11 +288,12 @@
   const char *request_id = cf_http_query (req, "request");
   Generation *g;
 
-  pthread_mutex_lock (&eng.lock);
-  g = request_id ? g_hash_table_lookup (eng.by_request_id, request_id) : NULL;
+  pthread_mutex_lock (&engine.lock);
+  g = request_id ? g_hash_table_lookup (engine.by_request_id, request_id)
+                 : NULL;
   if (g)
     g->cancelled = TRUE;
-  pthread_mutex_unlock (&eng.lock);
+  pthread_mutex_unlock (&engine.lock);
   rep->body = g_strdup_printf ("{\"cancelled\":%s}", g ? "true" : "false");
 }
 
@@ -303,11 +305,11 @@
   gint64 fence = json_is_integer (f) ? json_integer_value (f) : 0;
   gboolean stale;
 
-  pthread_mutex_lock (&eng.lock);
-  stale = eng.check_fence && fence < eng.highest_fence;
+  pthread_mutex_lock (&engine.lock);
+  stale = engine.check_fence && fence < engine.highest_fence;
   if (!stale)
-    eng.highest_fence = MAX (eng.highest_fence, fence);
-  pthread_mutex_unlock (&eng.lock);
+    engine.highest_fence = MAX (engine.highest_fence, fence);
+  pthread_mutex_unlock (&engine.lock);
   json_decref (o);
   if (stale)
     cf_http_reply_error (
@@ -321,35 +323,35 @@
 /* Returns every prompt received, so that a test can check that a request
  * reported as not run never reached the engine. */
 static void
-list_seen_prompts (CfHttpReply *rep)
+reply_seen_prompts (CfHttpReply *rep)
 {
   json_t *a = json_array ();
   GHashTableIter it;
   gpointer k;
 
-  pthread_mutex_lock (&eng.lock);
-  g_hash_table_iter_init (&it, eng.seen_prompts);
+  pthread_mutex_lock (&engine.lock);
+  g_hash_table_iter_init (&it, engine.seen_prompts);
   while (g_hash_table_iter_next (&it, &k, NULL))
     json_array_append_new (a, json_string (k));
-  pthread_mutex_unlock (&eng.lock);
+  pthread_mutex_unlock (&engine.lock);
   rep->body = json_dumps (a, JSON_COMPACT);
   json_decref (a);
 }
 
 static void
-get_expert_counts (CfHttpReply *rep)
+reply_expert_counts (CfHttpReply *rep)
 {
   json_t *o;
   json_t *counts = json_array ();
 
-  pthread_mutex_lock (&eng.lock);
+  pthread_mutex_lock (&engine.lock);
   refresh_report ();
-  for (gint64 e = 0; e < eng.experts; e++)
+  for (gint64 e = 0; e < engine.experts; e++)
     json_array_append_new (
-        counts, json_integer ((json_int_t)eng.reported_expert_tokens[e]));
-  o = json_pack ("{s:I, s:o}", "step", (json_int_t)eng.ranks.pass, "counts",
+        counts, json_integer ((json_int_t)engine.reported_expert_tokens[e]));
+  o = json_pack ("{s:I, s:o}", "step", (json_int_t)engine.ranks.pass, "counts",
                  counts);
-  pthread_mutex_unlock (&eng.lock);
+  pthread_mutex_unlock (&engine.lock);
   rep->body = json_dumps (o, JSON_COMPACT);
   json_decref (o);
 }
@@ -359,11 +361,11 @@
 {
   int n;
 
-  pthread_mutex_lock (&eng.lock);
-  n = eng.running;
-  for (Generation *g = eng.waiting; g; g = g->next)
+  pthread_mutex_lock (&engine.lock);
+  n = engine.running;
+  for (Generation *g = engine.waiting; g; g = g->next)
     n++;
-  pthread_mutex_unlock (&eng.lock);
+  pthread_mutex_unlock (&engine.lock);
   return n;
 }
 
@@ -373,18 +375,18 @@
 {
   const char *shift = cf_http_query (req, "shift");
 
-  pthread_mutex_lock (&eng.lock);
-  eng.hottest_expert
-      = shift ? g_ascii_strtoll (shift, NULL, 10) % eng.experts : 0;
-  eng.hottest_expert = MAX (eng.hottest_expert, 0);
-  pthread_mutex_unlock (&eng.lock);
+  pthread_mutex_lock (&engine.lock);
+  engine.hottest_expert
+      = shift ? g_ascii_strtoll (shift, NULL, 10) % engine.experts : 0;
+  engine.hottest_expert = MAX (engine.hottest_expert, 0);
+  pthread_mutex_unlock (&engine.lock);
   rep->body = g_strdup ("{\"ok\":true}");
 }
 
 static void
 on_http (void *data, const CfHttpRequest *req, CfHttpReply *rep)
 {
-  if (fake_ranks_handle_http (&eng.ranks, req, count_unfinished (), rep))
+  if (fake_ranks_handle_http (&engine.ranks, req, count_unfinished (), rep))
     return;
   if (g_str_equal (req->path, "/v1/generate"))
     handle_generate (req, rep);
@@ -393,20 +395,20 @@
   else if (g_str_equal (req->path, "/v1/order"))
     handle_order (req, rep);
   else if (g_str_equal (req->path, "/test/seen"))
-    list_seen_prompts (rep);
+    reply_seen_prompts (rep);
   else if (g_str_equal (req->path, "/test/drift"))
     shift_popularity (req, rep);
   else if (g_str_equal (req->path, "/v1/picked"))
-    get_expert_counts (rep);
+    reply_expert_counts (rep);
   else if (g_str_equal (req->path, "/v1/load"))
     {
-      pthread_mutex_lock (&eng.lock);
+      pthread_mutex_lock (&engine.lock);
       refresh_report ();
       rep->body = g_strdup_printf ("{\"running\":%d,\"steps\":%" G_GINT64_FORMAT
                                    ",\"map_version\":%" G_GINT64_FORMAT "}",
-                                   eng.reported_running, eng.ranks.pass,
-                                   fake_ranks_map_version (&eng.ranks));
-      pthread_mutex_unlock (&eng.lock);
+                                   engine.reported_running, engine.ranks.pass,
+                                   fake_ranks_map_version (&engine.ranks));
+      pthread_mutex_unlock (&engine.lock);
     }
   else
     cf_http_reply_error (rep, 404, "not-found",
@@ -415,16 +417,17 @@
 }
 
 static void
-set_popularity (double exponent)
+init_popularity (double exponent)
 {
   double sum = 0;
 
-  eng.cumulative_popularity = g_new (double, eng.experts);
-  for (int e = 0; e < eng.experts; e++)
+  engine.cumulative_popularity = g_new (double, engine.experts);
+  for (int e = 0; e < engine.experts; e++)
     sum += 1.0 / pow (e + 1, exponent);
-  for (int e = 0; e < eng.experts; e++)
-    eng.cumulative_popularity[e] = (e ? eng.cumulative_popularity[e - 1] : 0)
-                                   + 1.0 / pow (e + 1, exponent) / sum;
+  for (int e = 0; e < engine.experts; e++)
+    engine.cumulative_popularity[e]
+        = (e ? engine.cumulative_popularity[e - 1] : 0)
+          + 1.0 / pow (e + 1, exponent) / sum;
 }
 
 int
@@ -436,27 +439,28 @@
   rc = cf_daemon_begin (&argc, &argv, "comfrey-fake-engine",
                         "A stand-in for a model engine group of lock-step "
                         "ranks with an expert map, for tests and the demo.",
-                        defaults, fields, G_N_ELEMENTS (fields), &eng);
+                        defaults, fields, G_N_ELEMENTS (fields), &engine);
   if (rc >= 0)
     return rc;
-  pthread_mutex_init (&eng.lock, NULL);
-  pthread_cond_init (&eng.pass_done, NULL);
-  pthread_cond_init (&eng.work_added, NULL);
-  eng.by_request_id = g_hash_table_new (g_str_hash, g_str_equal);
-  eng.seen_prompts
+  pthread_mutex_init (&engine.lock, NULL);
+  pthread_cond_init (&engine.pass_done, NULL);
+  pthread_cond_init (&engine.work_added, NULL);
+  engine.by_request_id = g_hash_table_new (g_str_hash, g_str_equal);
+  engine.seen_prompts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  fake_ranks_init (&eng.ranks, &eng.lock, (int)eng.experts, (int)eng.n_ranks,
-                   (int)eng.places, eng.copy_ms);
-  eng.ranks.check_fence = eng.check_fence;
-  if (!g_str_equal (eng.weights_url, "off"))
-    fake_ranks_set_weight_store (&eng.ranks, eng.weights_url, eng.expert_mb);
-  eng.expert_tokens = g_new0 (double, eng.experts);
-  eng.reported_expert_tokens = g_new0 (double, eng.experts);
-  eng.rand = g_rand_new_with_seed ((guint32)eng.seed);
-  set_popularity (1.0);
+  fake_ranks_init (&engine.ranks, &engine.lock, (int)engine.experts,
+                   (int)engine.n_ranks, (int)engine.places, engine.copy_ms);
+  engine.ranks.check_fence = engine.check_fence;
+  if (!g_str_equal (engine.weights_url, "off"))
+    fake_ranks_set_weight_store (&engine.ranks, engine.weights_url,
+                                 engine.expert_mb);
+  engine.expert_tokens = g_new0 (double, engine.experts);
+  engine.reported_expert_tokens = g_new0 (double, engine.experts);
+  engine.rand = g_rand_new_with_seed ((guint32)engine.seed);
+  init_popularity (1.0);
   pthread_create (&t, NULL, run_passes, NULL);
   cf_log (LOG_INFO, CF_EV_START,
-          "ranks=%" G_GINT64_FORMAT " experts=%" G_GINT64_FORMAT, eng.n_ranks,
-          eng.experts);
-  return cf_daemon_serve_http (eng.listen, on_http, NULL);
+          "ranks=%" G_GINT64_FORMAT " experts=%" G_GINT64_FORMAT,
+          engine.n_ranks, engine.experts);
+  return cf_daemon_serve_http (engine.listen, on_http, NULL);
 }
--- a/comfrey-fake-weights.c
+++ b/comfrey-fake-weights.c
@@ -2,7 +2,7 @@
  * A stand-in for the platform's rate-limited weight store.  GET
  * /v1/weights?mb=N answers after the time that sending N MB takes at the
  * store's rate, which requests share first come, first served.  A request
- * that would wait too long is rejected at once with the time until a retry.
+ * that would wait too long is rejected at once and told when to retry.
  */
 #include "daemon.h"
 #include "http-server.h"
@@ -22,7 +22,7 @@
   gint64 mb_per_s;
   gint64 max_wait_ms;
   pthread_mutex_t lock;
-  long long free_at_ms; /* when all accepted requests have been sent */
+  long long free_at_ms; /* when the data of all accepted requests is sent */
   gint64 served_mb;
   gint64 refused;
 } Store;
--- a/comfrey-load.c
+++ b/comfrey-load.c
@@ -1,8 +1,8 @@
 /*
  * A load generator: sends the requests of a session file to entries, or
  * directly to a target to measure the latency that the entries and agents
- * add.  It checks the answers against the requests and the runs that the
- * plain services counted, and prints the totals.
+ * add.  It checks that every answer belongs to its request and that no call of
+ * a plain service ran twice, and prints the totals.
  */
 #include "daemon.h"
 #include "http-client.h"
@@ -14,9 +14,9 @@
 #include <string.h>
 
 static char *session_path;
-static char **entries;
-static char **services;
-static char *direct;
+static char **entry_urls;
+static char **service_urls;
+static char *direct_url;
 static gint threads = 8;
 static gint repeat = 1;
 
@@ -71,18 +71,18 @@
         return NULL;
       req = json_array_get (session->requests,
                             i % json_array_size (session->requests));
-      if (direct)
+      if (direct_url)
         {
-          url = g_strdup_printf ("%s/v1/generate", direct);
+          url = g_strdup_printf ("%s/v1/generate", direct_url);
           body = json_dumps (json_object_get (req, "body"), JSON_COMPACT);
         }
       else
         {
           json_t *e = json_object_get (req, "entry");
-          gint n = (gint)g_strv_length (entries);
+          gint n = (gint)g_strv_length (entry_urls);
 
           url = g_strdup_printf ("%s/v1/requests",
-                                 entries[(json_integer_value (e)) % n]);
+                                 entry_urls[(json_integer_value (e)) % n]);
           body = json_dumps (req, JSON_COMPACT);
         }
       start_us = g_get_monotonic_time ();
@@ -93,7 +93,7 @@
       g_array_append_val (session->latencies_ms, ms);
       if (code == 0)
         session->lost++;
-      else if (code == 200 && (direct || has_own_marker (req, reply)))
+      else if (code == 200 && (direct_url || has_own_marker (req, reply)))
         session->answered++;
       else if (code == 200)
         session->wrong_answers++;
@@ -112,12 +112,14 @@
   return x < y ? -1 : x > y;
 }
 
+/* Returns the number of idempotency keys that ran more than once, or -1 on
+ * failure. */
 static gint64
 count_doubled_keys (void)
 {
   gint64 doubled = 0;
 
-  for (char **s = services; s && *s; s++)
+  for (char **s = service_urls; s && *s; s++)
     {
       g_autofree char *url = g_strdup_printf ("%s/test/counts", *s);
       g_autofree char *reply = NULL;
@@ -144,11 +146,11 @@
   GOptionEntry opts[] = {
     { "session", 0, 0, G_OPTION_ARG_FILENAME, &session_path,
       "Requests to send, one JSON object per line", "FILE" },
-    { "entry", 0, 0, G_OPTION_ARG_STRING_ARRAY, &entries,
+    { "entry", 0, 0, G_OPTION_ARG_STRING_ARRAY, &entry_urls,
       "Base URL of an entry (may be repeated)", "URL" },
-    { "service", 0, 0, G_OPTION_ARG_STRING_ARRAY, &services,
+    { "service", 0, 0, G_OPTION_ARG_STRING_ARRAY, &service_urls,
       "Base URL of a fake service, to count calls that ran twice", "URL" },
-    { "direct", 0, 0, G_OPTION_ARG_STRING, &direct,
+    { "direct", 0, 0, G_OPTION_ARG_STRING, &direct_url,
       "Send the request bodies directly to this engine instead", "URL" },
     { "threads", 0, 0, G_OPTION_ARG_INT, &threads,
       "Number of concurrent callers", "N" },
@@ -172,7 +174,8 @@
       opts);
   if (rc >= 0)
     return rc;
-  if (!session_path || (!entries && !direct) || threads < 1 || repeat < 1)
+  if (!session_path || (!entry_urls && !direct_url) || threads < 1
+      || repeat < 1)
     {
       fprintf (stderr, "comfrey-load: give --session and --entry or --direct "
                        "(try --help)\n");
--- a/fake-ranks.h
+++ b/fake-ranks.h
@@ -6,6 +6,8 @@
 
 #include <pthread.h>
 
+typedef struct FakeRank FakeRank;
+
 /**
  * FakeRanks:
  * The ranks of the group that comfrey-fake-engine simulates.  As with real
@@ -16,8 +18,6 @@
  * A pass is one lock-step forward pass of the group; the keys of the
  * protocol call it a step.
  */
-typedef struct FakeRank FakeRank;
-
 typedef struct
 {
   pthread_mutex_t *lock; /**< the engine's lock */
@@ -32,8 +32,8 @@
   gint64 pass;           /**< the last pass begun */
   gint64 mixed_passes;   /**< passes in which two ranks used different maps */
   gint64 switches;       /**< times rank 0 switched to a new map */
-  double slowest_tokens; /**< tokens of the slowest rank, sum over all passes */
-  double mean_tokens;    /**< mean tokens per rank, sum over all passes */
+  double slowest_tokens; /**< the slowest rank's tokens, sum of all passes */
+  double mean_tokens;    /**< mean tokens per rank, sum of all passes */
   gboolean check_fence;  /**< refuse orders with an outdated fencing token */
   gint64 highest_fence;  /**< the highest fencing token received */
 } FakeRanks;
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -14,15 +14,15 @@
 # rss_kb PID: resident memory of a process
 rss_kb() { awk '/VmRSS/ {print $2}' "/proc/$1/status"; }
 
-start config ./comfrey-fake-config --settings "$(settings config '[config]\nlisten = "127.0.0.1:7000"\nrecords = "demo/records.jsonl"\n')"
+start config ./comfrey-fake-config --settings "$(write_settings config '[config]\nlisten = "127.0.0.1:7000"\nrecords = "demo/records.jsonl"\n')"
 start vmlist ./comfrey-fake-vmlist
-start engine-a ./comfrey-fake-engine --settings "$(settings engine-a '[engine]\nlisten = "127.0.0.1:7201"\nstep_base_us = 500\n')"
-start engine-b ./comfrey-fake-engine --settings "$(settings engine-b '[engine]\nlisten = "127.0.0.1:7202"\nstep_base_us = 500\n')"
-start service-a ./comfrey-fake-service --settings "$(settings service-a '[service]\nlisten = "127.0.0.1:7301"\nwork_ms = 0\n')"
-start service-b ./comfrey-fake-service --settings "$(settings service-b '[service]\nlisten = "127.0.0.1:7302"\nwork_ms = 0\n')"
+start engine-a ./comfrey-fake-engine --settings "$(write_settings engine-a '[engine]\nlisten = "127.0.0.1:7201"\nstep_base_us = 500\n')"
+start engine-b ./comfrey-fake-engine --settings "$(write_settings engine-b '[engine]\nlisten = "127.0.0.1:7202"\nstep_base_us = 500\n')"
+start service-a ./comfrey-fake-service --settings "$(write_settings service-a '[service]\nlisten = "127.0.0.1:7301"\nwork_ms = 0\n')"
+start service-b ./comfrey-fake-service --settings "$(write_settings service-b '[service]\nlisten = "127.0.0.1:7302"\nwork_ms = 0\n')"
 for pair in 1:7201 2:7201 3:7202 4:7202 5:7301 6:7302; do
 	n=${pair%%:*}
-	start agent$n ./comfrey-agent --settings "$(settings agent$n "[agent]\nlisten = \"127.0.0.1:710$n\"\ntarget_url = \"http://127.0.0.1:${pair#*:}\"\n")"
+	start agent$n ./comfrey-agent --settings "$(write_settings agent$n "[agent]\nlisten = \"127.0.0.1:710$n\"\ntarget_url = \"http://127.0.0.1:${pair#*:}\"\n")"
 done
 start entry ./comfrey-entry
 sleep 7
@@ -63,14 +63,14 @@
 # deployment.  The links go to 340 loopback addresses, which are all served by
 # one agent that listens on every address.
 kill -TERM $pid_entry && wait $pid_entry 2>/dev/null || true
-start agentall ./comfrey-agent --settings "$(settings agentall '[agent]\nlisten = "0.0.0.0:7199"\n')"
+start agentall ./comfrey-agent --settings "$(write_settings agentall '[agent]\nlisten = "0.0.0.0:7199"\n')"
 for i in $(seq 340); do
 	printf '"127.0.%d.%d:7199"\n' $((1 + i / 200)) $((1 + i % 200))
 done | paste -sd, >"$run/addrs"
 printf '{"schema":1,"kind":"group","name":"g","target":"engine","agents":[%s]}\n' \
 	"$(cat "$run/addrs")" >"$run/wide.jsonl"
-start wideconfig ./comfrey-fake-config --settings "$(settings wideconfig "[config]\nlisten = \"127.0.0.1:7010\"\nrecords = \"$run/wide.jsonl\"\n")"
-start wide ./comfrey-entry --settings "$(settings wide '[entry]\nlisten = "127.0.0.1:8090"\n[config]\nurl = "http://127.0.0.1:7010"\n')"
+start wideconfig ./comfrey-fake-config --settings "$(write_settings wideconfig "[config]\nlisten = \"127.0.0.1:7010\"\nrecords = \"$run/wide.jsonl\"\n")"
+start wide ./comfrey-entry --settings "$(write_settings wide '[entry]\nlisten = "127.0.0.1:8090"\n[config]\nurl = "http://127.0.0.1:7010"\n')"
 sleep 15
 wide_pings() { curl -s http://127.0.0.1:8090/v1/health | sed 's/.*"pings":\([0-9]*\).*/\1/'; }
 entry_before=$(cpu_ticks $pid_wide)
--- a/scripts/demo-own.sh
+++ b/scripts/demo-own.sh
@@ -25,30 +25,30 @@
 sed "s/127\.0\.0\.1:710/127.0.0.1:$((ports / 10 + 1))/g" demo/records.jsonl \
 	>"$run/records.jsonl"
 
-start config ./comfrey-fake-config --settings "$(settings config "[config]
+start config ./comfrey-fake-config --settings "$(write_settings config "[config]
 listen = \"$CONFIG_ADDR\"
 records = \"$run/records.jsonl\"")"
-start vmlist ./comfrey-fake-vmlist --settings "$(settings vmlist "[vmlist]
+start vmlist ./comfrey-fake-vmlist --settings "$(write_settings vmlist "[vmlist]
 listen = \"$VMLIST_ADDR\"")"
-start engine-aspen ./comfrey-fake-engine --settings "$(settings engine-aspen "[engine]
+start engine-aspen ./comfrey-fake-engine --settings "$(write_settings engine-aspen "[engine]
 listen = \"$(target_addr 1)\"
 seed = 11")"
-start engine-beritba ./comfrey-fake-engine --settings "$(settings engine-beritba "[engine]
+start engine-beritba ./comfrey-fake-engine --settings "$(write_settings engine-beritba "[engine]
 listen = \"$(target_addr 2)\"
 ranks = 16
 seed = 12")"
-start orders-aspen ./comfrey-fake-service --settings "$(settings orders-aspen "[service]
+start orders-aspen ./comfrey-fake-service --settings "$(write_settings orders-aspen "[service]
 listen = \"$(target_addr 3)\"")"
-start booking-beritba ./comfrey-fake-service --settings "$(settings booking-beritba "[service]
+start booking-beritba ./comfrey-fake-service --settings "$(write_settings booking-beritba "[service]
 listen = \"$(target_addr 4)\"")"
 for pair in 1:1 2:1 3:2 4:2 5:3 6:4; do
 	n=${pair%%:*}
-	start agent-$n ./comfrey-agent --settings "$(settings agent-$n "[agent]
+	start agent-$n ./comfrey-agent --settings "$(write_settings agent-$n "[agent]
 listen = \"$(agent_addr "$n")\"
 target_url = \"http://$(target_addr "${pair#*:}")\"")"
 done
 for n in 1 2; do
-	start entry-$n ./comfrey-entry --settings "$(settings entry-$n "[entry]
+	start entry-$n ./comfrey-entry --settings "$(write_settings entry-$n "[entry]
 name = \"e$n\"
 listen = \"$(entry_addr $n)\"
 [config]
--- a/scripts/latency.sh
+++ b/scripts/latency.sh
@@ -6,10 +6,10 @@
 make -s comfrey-entry comfrey-agent comfrey-fake-engine comfrey-fake-config \
 	comfrey-fake-vmlist comfrey-load
 . scripts/processes.sh
-settings config '[config]\nlisten = "127.0.0.1:7000"\nrecords = "demo/records.jsonl"\n' >/dev/null
-settings engine '[engine]\nlisten = "127.0.0.1:7201"\nstep_base_us = 1000\n' >/dev/null
-settings agent1 '[agent]\nlisten = "127.0.0.1:7101"\n' >/dev/null
-settings agent2 '[agent]\nlisten = "127.0.0.1:7102"\n' >/dev/null
+write_settings config '[config]\nlisten = "127.0.0.1:7000"\nrecords = "demo/records.jsonl"\n' >/dev/null
+write_settings engine '[engine]\nlisten = "127.0.0.1:7201"\nstep_base_us = 1000\n' >/dev/null
+write_settings agent1 '[agent]\nlisten = "127.0.0.1:7101"\n' >/dev/null
+write_settings agent2 '[agent]\nlisten = "127.0.0.1:7102"\n' >/dev/null
 start config ./comfrey-fake-config --settings "$run/config.toml"
 start vmlist ./comfrey-fake-vmlist
 start engine ./comfrey-fake-engine --settings "$run/engine.toml"
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -18,8 +18,8 @@
 	eval "pid_$(echo "$name" | tr - _)=$!"
 }
 
-# settings NAME TEXT: writes a settings file and prints its path
-settings() {
+# write_settings NAME TEXT: writes a settings file and prints its path
+write_settings() {
 	printf '%b\n' "$2" >"$run/$1.toml"
 	echo "$run/$1.toml"
 }
--- a/scripts/rebalance-live.sh
+++ b/scripts/rebalance-live.sh
@@ -10,16 +10,16 @@
 . scripts/processes.sh
 
 ranks=16
-start weights ./comfrey-fake-weights --settings "$(settings weights '[weights]\nlisten = "127.0.0.1:7700"\n')"
+start weights ./comfrey-fake-weights --settings "$(write_settings weights '[weights]\nlisten = "127.0.0.1:7700"\n')"
 for group in none:73 bounded:74; do
 	policy=${group%%:*}
 	port=${group#*:}
-	start "engine-$policy" ./comfrey-fake-engine --settings "$(settings "engine-$policy" "[engine]\nlisten = \"127.0.0.1:${port}99\"\nranks = $ranks\nexperts = 64\nplaces = 5\nbatch_max = 192\nstep_base_us = 1000\nstep_per_token_us = 300\nweights_url = \"http://127.0.0.1:7700\"\n")"
+	start "engine-$policy" ./comfrey-fake-engine --settings "$(write_settings "engine-$policy" "[engine]\nlisten = \"127.0.0.1:${port}99\"\nranks = $ranks\nexperts = 64\nplaces = 5\nbatch_max = 192\nstep_base_us = 1000\nstep_per_token_us = 300\nweights_url = \"http://127.0.0.1:7700\"\n")"
 	members=$(for r in $(seq 0 $((ranks - 1))); do
 		printf '"127.0.0.1:%s%02d"\n' "$port" "$r"
 	done | paste -sd, -)
 	for r in $(seq 0 $((ranks - 1))); do
-		start "agent-$policy-$r" ./comfrey-agent --settings "$(settings "agent-$policy-$r" "[agent]\nlisten = \"127.0.0.1:$port$(printf %02d "$r")\"\ntarget_url = \"http://127.0.0.1:${port}99\"\n[group]\nmembers = [$members]\nrank = $r\ninterval_ms = 2000\npolicy = \"$policy\"\n")"
+		start "agent-$policy-$r" ./comfrey-agent --settings "$(write_settings "agent-$policy-$r" "[agent]\nlisten = \"127.0.0.1:$port$(printf %02d "$r")\"\ntarget_url = \"http://127.0.0.1:${port}99\"\n[group]\nmembers = [$members]\nrank = $r\ninterval_ms = 2000\npolicy = \"$policy\"\n")"
 	done
 	printf '{"schema":1,"kind":"group","name":"g-%s","target":"engine","agents":[%s]}\n' \
 		"$policy" "$members" >>"$run/records.jsonl"
@@ -30,7 +30,7 @@
 			"$policy" "$policy" "$i"
 	done >"$run/$policy.jsonl"
 done
-start config ./comfrey-fake-config --settings "$(settings config "[config]\nlisten = \"127.0.0.1:7000\"\nrecords = \"$run/records.jsonl\"\n")"
+start config ./comfrey-fake-config --settings "$(write_settings config "[config]\nlisten = \"127.0.0.1:7000\"\nrecords = \"$run/records.jsonl\"\n")"
 start vmlist ./comfrey-fake-vmlist
 start entry ./comfrey-entry
 sleep 3
