--- a/comfrey-fake-config.c
+++ b/comfrey-fake-config.c
@@ -118,7 +118,7 @@
   switch (mode)
     {
     case MODE_DOWN:
-      cf_http_reply_error (rep, 503, "down", "the service is down for a test");
+      cf_http_reply_error (rep, 503, "down", "the service is down (test)");
       break;
     case MODE_STALE:
       o = json_pack (
@@ -156,8 +156,7 @@
 
   if (mode == NULL)
     {
-      cf_http_reply_error (rep, 400, "bad-request",
-                           "mode must be up, down or stale");
+      cf_http_reply_error (rep, 400, "bad-request", "give mode=up|down|stale");
       return;
     }
   pthread_mutex_lock (&service.lock);
--- a/comfrey-fake-engine.c
+++ b/comfrey-fake-engine.c
@@ -312,9 +312,8 @@
   pthread_mutex_unlock (&engine.lock);
   json_decref (o);
   if (stale)
-    cf_http_reply_error (
-        rep, 409, "stale-fence",
-        "the order's fencing token is lower than one already seen");
+    cf_http_reply_error (rep, 409, "stale-fence",
+                         "the order's fencing token is older than one seen");
   else
     rep->body = g_strdup_printf (
         "{\"accepted\":true,\"fence\":%" G_GINT64_FORMAT "}", fence);
--- a/comfrey-fake-vmlist.c
+++ b/comfrey-fake-vmlist.c
@@ -73,8 +73,7 @@
 
   if (!addr || !state)
     {
-      cf_http_reply_error (rep, 400, "bad-request",
-                           "addr and state are required");
+      cf_http_reply_error (rep, 400, "bad-request", "give addr and state");
       return;
     }
   pthread_mutex_lock (&lock);
--- a/comfrey-fake-weights.c
+++ b/comfrey-fake-weights.c
@@ -48,7 +48,8 @@
 
   if (mb < 1 || mb > 1000000)
     {
-      cf_http_reply_error (rep, 400, "bad-request", "mb must be 1 to 1000000");
+      cf_http_reply_error (rep, 400, "bad-request",
+                           "give mb=N, from 1 to 1000000");
       return;
     }
   pthread_mutex_lock (&store.lock);
@@ -64,8 +65,7 @@
   pthread_mutex_unlock (&store.lock);
   if (busy)
     {
-      cf_http_reply_error (rep, 429, "busy",
-                           "the store's rate limit is exhausted");
+      cf_http_reply_error (rep, 429, "busy", "the store's rate is spent");
       rep->retry_after_ms = MAX (done_ms - now_ms - store.max_wait_ms, 1);
       return;
     }
--- a/fake-ranks.c
+++ b/fake-ranks.c
@@ -209,9 +209,9 @@
   int added = 0;
 
   if (int_field (o, "version") <= rk->highest_version)
-    return "the version is not higher than every earlier one";
+    return "the version is not higher than all before";
   if (rk->armed_version)
-    return "the rank is armed for another version";
+    return "the rank is armed";
   if (cf_expert_map_from_json (json_object_get (o, "map"), f->experts,
                                f->places, int_field (o, "version"), &m)
       != CF_OK)
@@ -219,7 +219,7 @@
   if (m->ranks != f->n_ranks)
     {
       cf_expert_map_free (m);
-      return "the map has a different number of ranks";
+      return "the map is for another number of ranks";
     }
   for (int p = 0; p < f->places; p++)
     {
@@ -243,7 +243,7 @@
   FakeRank *rk = &f->ranks[rank];
 
   if (f->check_fence && int_field (o, "fence") < f->highest_fence)
-    return "the fencing token is lower than one already seen";
+    return "the fencing token is older than one seen";
   f->highest_fence = MAX (f->highest_fence, int_field (o, "fence"));
   if (op == NULL)
     return "the order has no 'op'";
@@ -252,9 +252,9 @@
   if (g_str_equal (op, "arm"))
     {
       if (prepared_version (rk) != version || version == 0)
-        return "the version is not prepared";
+        return "that version is not prepared";
       if (pass <= f->pass)
-        return "the pass has already begun";
+        return "that step has begun";
       rk->armed_version = version;
       rk->armed_pass = pass;
       return NULL;
@@ -262,7 +262,7 @@
   if (g_str_equal (op, "disarm"))
     {
       if (rk->map->version == version)
-        return "the version is in use";
+        return "that version is in use";
       if (rk->armed_version == version)
         rk->armed_version = 0;
       return NULL;
@@ -270,21 +270,21 @@
   if (g_str_equal (op, "hold"))
     {
       if (pass <= f->pass)
-        return "the pass has already begun";
+        return "that step has begun";
       if (rk->held_pass && rk->held_pass != pass)
-        return "another pass is held";
+        return "another step is held";
       rk->held_pass = pass;
       return NULL;
     }
   if (g_str_equal (op, "go"))
     {
       if (rk->held_pass != pass)
-        return "the pass is not held";
+        return "that step is not held";
       rk->held_pass = 0;
       pthread_cond_broadcast (&f->hold_ended);
       return NULL;
     }
-  return "unknown order";
+  return "no such order";
 }
 
 static void
@@ -360,8 +360,7 @@
 
   if (r < 0 || r >= f->n_ranks || fault == NULL)
     {
-      cf_http_reply_error (rep, 400, "bad-request",
-                           "rank and fault are required");
+      cf_http_reply_error (rep, 400, "bad-request", "give rank and fault");
       return;
     }
   rk = &f->ranks[r];
