--- a/gateway/concurrency-limit.c
+++ b/gateway/concurrency-limit.c
@@ -23,7 +23,7 @@
 static double
 get_accepted_ms (const CfFirstEventSample *e)
 {
-  return MAX ((double)e->aim_ms * ACCEPTED_OBJECTIVE_FRACTION,
+  return MAX ((double)e->objective_ms * ACCEPTED_OBJECTIVE_FRACTION,
               e->unqueued_ms * ACCEPTED_UNQUEUED_FACTOR);
 }
 
--- a/gateway/concurrency-limit.h
+++ b/gateway/concurrency-limit.h
@@ -25,11 +25,11 @@
 {
   gint64 now_ms;
   gint64 sent_ms;
-  double unqueued_ms; /**< expected time from sending to the first event, at a
-                           target with a free slot; 0: not known */
-  gint64 aim_ms;      /**< latency objective for the first event */
-  guint in_flight;    /**< this gateway's requests at the service */
-  double fair_share;  /**< the service's slots per gateway */
+  double unqueued_ms;  /**< expected time from sending to the first event, at a
+                            target with a free slot; 0: not known */
+  gint64 objective_ms; /**< latency objective for the first event */
+  guint in_flight;     /**< this gateway's requests at the service */
+  double fair_share;   /**< the service's slots per gateway */
 } CfFirstEventSample;
 
 /**
--- a/gateway/exchange-answer.c
+++ b/gateway/exchange-answer.c
@@ -153,7 +153,7 @@
   e.sent_ms = x->sent_ms;
   e.unqueued_ms = cf_stream_latency_unqueued_ms (
       &l->latency, cf_exchange_engine_model (x), &x->size);
-  e.aim_ms = x->route->aim_ms;
+  e.objective_ms = x->route->objective_ms;
   e.in_flight = l->in_flight;
   e.fair_share
       = (double)cf_target_table_slots (&x->gateway->targets, x->service)
@@ -170,7 +170,7 @@
   CfPassRecord p;
 
   e.now_ms = cf_gateway_now (x->gateway);
-  e.gap_aim_ms = x->route->gap_aim_ms;
+  e.gap_objective_ms = x->route->gap_objective_ms;
   e.prompt_tokens = x->size.prompt;
   if (!cf_pass_record_add (&x->lane->pass, &e, &p) || p.late == 0)
     return;
--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -66,7 +66,7 @@
           x->id, x->route->name, x->service, x->org ? x->org : "-",
           t->record.id, t->record.data_centre ? t->record.data_centre : "-",
           x->sends + 1, t->in_flight, t->record.slots, x->policy->version,
-          cf_gateway_now (x->gateway) - x->gateway->targets_at_ms,
+          cf_gateway_now (x->gateway) - x->gateway->targets_confirmed_ms,
           added.deadline_ms);
   if (x->answer_started)
     {
@@ -118,7 +118,8 @@
   if (x->route->stream)
     first = cf_stream_latency_first_event_ms (
         &x->lane->latency, cf_exchange_engine_model (x), &x->size);
-  return cf_waiter_objective_send_by_ms (x->start_ms, x->route->aim_ms, first);
+  return cf_waiter_objective_send_by_ms (x->start_ms, x->route->objective_ms,
+                                         first);
 }
 
 /* The latest time to send it at which an answer of usual length is complete
@@ -234,7 +235,7 @@
   in.yields = !cf_outage_has_ended_recently (&x->lane->outage, in.now_ms)
               && cf_waiter_has_to_yield (&x->waiter, in.now_ms,
                                          x->lane->latency.pause_ms,
-                                         x->route->gap_aim_ms);
+                                         x->route->gap_objective_ms);
   if (x->route->stream)
     {
       in.stall_timeout_ms
--- a/gateway/exchange-silence.c
+++ b/gateway/exchange-silence.c
@@ -50,18 +50,18 @@
 {
   if (x->route->stream)
     return x->gateway->set.stall_ms + SILENCE_MARGIN_MS;
-  return (gint64)((double)x->route->aim_ms * SILENCE_OBJECTIVES);
+  return (gint64)((double)x->route->objective_ms * SILENCE_OBJECTIVES);
 }
 
 gint64
 cf_exchange_caller_wait_ms (const CfExchange *x)
 {
-  gint64 ms = x->route->aim_ms;
+  gint64 ms = x->route->objective_ms;
 
   if (!x->route->stream)
     return ms;
   ms = MAX (ms * CALLER_WAIT_OBJECTIVES,
-            x->route->gap_aim_ms * CALLER_WAIT_PAUSES);
+            x->route->gap_objective_ms * CALLER_WAIT_PAUSES);
   return MAX (ms, CALLER_WAIT_MIN_MS);
 }
 
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -57,7 +57,7 @@
   CfTargetTable targets;
   GHashTable *rejected_records; /**< id -> revision of its unreadable record */
   gint64 targets_rev;           /**< store revision that @targets reflects */
-  gint64 targets_at_ms;         /**< when the store last confirmed @targets */
+  gint64 targets_confirmed_ms;  /**< when the store last confirmed @targets */
   gboolean rate_limits_changed; /**< peers are to be notified of rate limits */
   guint fleet_size;   /**< number of gateways that share the retry budget */
   CfFleetPlace place; /**< of this gateway among all gateways */
--- a/gateway/map-coordinator-plan.c
+++ b/gateway/map-coordinator-plan.c
@@ -39,8 +39,8 @@
   g_clear_pointer (&c->next, cf_group_map_free);
   for (int r = 0; r < c->shape.ranks; r++)
     c->pace[r] = MAX (c->ranks[r].status.pace, 1);
-  limits.min_gain = cf_map_required_gain (limits.min_gain, c->pass_ms,
-                                          c->pass_aim_ms, c->demand.n_windows);
+  limits.min_gain = cf_map_required_gain (
+      limits.min_gain, c->pass_ms, c->pass_objective_ms, c->demand.n_windows);
   c->plan = cf_map_plan_new (c->in_use, c->demand.tokens, c->pace, &limits);
 }
 
--- a/gateway/map-coordinator.h
+++ b/gateway/map-coordinator.h
@@ -86,17 +86,17 @@
   gboolean has_unsent_orders; /**< the last tick left orders unsent */
   gint64 version;             /**< version of @next */
   guint n_versions;           /**< versions used under the present token */
-  guint salt;            /**< random; differs each time the lead is taken */
-  gint64 step;           /**< number of the held pass */
-  int holder;            /**< rank that holds it */
-  int passes_ahead;      /**< from the newest known pass to the one to hold */
-  gint64 hold_start_ms;  /**< when the coordinator began to hold the pass */
-  gint64 arming_ms;      /**< estimated time to hold a pass and arm all ranks */
-  gint64 pass_ms;        /**< recent duration of a pass; 0: unknown */
-  gint64 pass_aim_ms;    /**< longest pass that serves callers in time; 0: no
-                              limit */
-  gint64 newest_pass;    /**< newest pass that a rank has reported */
-  gint64 newest_pass_ms; /**< when it was first reported */
+  guint salt;           /**< random; differs each time the lead is taken */
+  gint64 step;          /**< number of the held pass */
+  int holder;           /**< rank that holds it */
+  int passes_ahead;     /**< from the newest known pass to the one to hold */
+  gint64 hold_start_ms; /**< when the coordinator began to hold the pass */
+  gint64 arming_ms;     /**< estimated time to hold a pass and arm all ranks */
+  gint64 pass_ms;       /**< recent duration of a pass; 0: unknown */
+  gint64 pass_objective_ms; /**< longest pass that serves callers in time; 0: no
+                           limit */
+  gint64 newest_pass;       /**< newest pass that a rank has reported */
+  gint64 newest_pass_ms;    /**< when it was first reported */
   guint64 n_changes;
   int n_copies;       /**< experts copied by the last planned change */
   double skew_before; /**< skew of the map in use at the last planned change */
--- a/gateway/map-gain.c
+++ b/gateway/map-gain.c
@@ -51,16 +51,16 @@
 }
 
 double
-cf_map_required_gain (double default_gain, gint64 pass_ms, gint64 pass_aim_ms,
-                      guint windows)
+cf_map_required_gain (double default_gain, gint64 pass_ms,
+                      gint64 pass_objective_ms, guint windows)
 {
   double gain = default_gain;
   double fraction = 0;
 
   if (CF_WITHOUT_PRICED_COPIES)
     return default_gain;
-  if (pass_ms > 0 && pass_aim_ms > 0)
-    fraction = (double)pass_ms / (double)pass_aim_ms;
+  if (pass_ms > 0 && pass_objective_ms > 0)
+    fraction = (double)pass_ms / (double)pass_objective_ms;
   if (fraction > LONG_PASS_FRACTION)
     gain = MIN (gain, LONG_PASS_MIN_GAIN);
   else if (fraction > 0 && fraction < SHORT_PASS_FRACTION)
--- a/gateway/map-gain.h
+++ b/gateway/map-gain.h
@@ -17,7 +17,7 @@
  * @default_gain: the skew that a change must remove where nothing else is
  *   known
  * @pass_ms: recent duration of a pass; 0: unknown
- * @pass_aim_ms: longest pause between events that callers accept; 0: any
+ * @pass_objective_ms: longest pause between events that callers accept; 0: any
  * @windows: demand windows that the leader has counted
  * Returns: the skew that a change of expert maps must remove now.
  *
@@ -28,4 +28,4 @@
  * While little of the demand has been seen, it is much higher.
  */
 double cf_map_required_gain (double default_gain, gint64 pass_ms,
-                             gint64 pass_aim_ms, guint windows);
+                             gint64 pass_objective_ms, guint windows);
--- a/gateway/ops.c
+++ b/gateway/ops.c
@@ -42,7 +42,7 @@
                   g->policy ? (double)g->policy->version : 0);
   cf_stats_gauge (out, "targets", g_hash_table_size (g->targets.by_id));
   cf_stats_gauge (out, "target_list_age_ms",
-                  (double)(cf_gateway_now (g) - g->targets_at_ms));
+                  (double)(cf_gateway_now (g) - g->targets_confirmed_ms));
   cf_stats_gauge (out, "suspected_requests",
                   cf_quarantine_size (g->quarantine));
   cf_stats_gauge (out, "callers", g->n_callers);
--- a/gateway/pass-record.c
+++ b/gateway/pass-record.c
@@ -22,7 +22,7 @@
     }
   p->streams++;
   p->longest_ms = MAX (p->longest_ms, e->pause_ms);
-  p->late += e->gap_aim_ms > 0 && e->pause_ms > e->gap_aim_ms;
+  p->late += e->gap_objective_ms > 0 && e->pause_ms > e->gap_objective_ms;
   if (e->pause_ms == 0)
     {
       p->begun++;
--- a/gateway/pass-record.h
+++ b/gateway/pass-record.h
@@ -23,9 +23,9 @@
 typedef struct
 {
   gint64 now_ms;
-  gint64 pause_ms;   /**< since the stream's previous event; 0: it is the
-                          first */
-  gint64 gap_aim_ms; /**< objective for pauses; 0: none */
+  gint64 pause_ms;         /**< since the stream's previous event; 0: it is the
+                                first */
+  gint64 gap_objective_ms; /**< objective for pauses; 0: none */
   gint64 prompt_tokens;
 } CfPassEvent;
 
--- a/gateway/policy.c
+++ b/gateway/policy.c
@@ -131,7 +131,7 @@
 }
 
 gint64
-cf_policy_gap_aim_ms (const CfPolicy *p, const char *service)
+cf_policy_gap_objective_ms (const CfPolicy *p, const char *service)
 {
   gint64 aim = 0;
 
@@ -139,10 +139,10 @@
     {
       const CfRoute *r = p->routes->pdata[i];
 
-      for (guint j = 0; r->gap_aim_ms > 0 && j < r->n_splits; j++)
+      for (guint j = 0; r->gap_objective_ms > 0 && j < r->n_splits; j++)
         if (strcmp (r->splits[j].service, service) == 0
-            && (aim == 0 || r->gap_aim_ms < aim))
-          aim = r->gap_aim_ms;
+            && (aim == 0 || r->gap_objective_ms < aim))
+          aim = r->gap_objective_ms;
     }
   return aim;
 }
--- a/gateway/policy.h
+++ b/gateway/policy.h
@@ -27,12 +27,13 @@
   char *host;
   char *prefix; /**< begins and ends with a slash */
   CfRetrySafety retry_safety;
-  gboolean stream;   /**< the answers are event streams */
-  gboolean keyless;  /**< requests need no API key */
-  gint64 timeout_ms; /**< longest time until the answer is complete */
-  gint64 aim_ms;     /**< latency objective: first event, or whole answer */
-  gint64 gap_aim_ms; /**< objective for the pause between two events; 0: none */
-  gint64 priority;   /**< 0 is the most urgent */
+  gboolean stream;     /**< the answers are event streams */
+  gboolean keyless;    /**< requests need no API key */
+  gint64 timeout_ms;   /**< longest time until the answer is complete */
+  gint64 objective_ms; /**< latency objective: first event, or whole answer */
+  gint64 gap_objective_ms; /**< objective for the pause between two events; 0:
+                              none */
+  gint64 priority;         /**< 0 is the most urgent */
   guint max_attempts;
   CfSplit *splits;
   guint n_splits;
@@ -124,7 +125,7 @@
  */
 const char *cf_route_pick (const CfRoute *r, guint hash);
 
-/** cf_policy_gap_aim_ms: the lowest objective for the pause between events
- * among the routes to @service; 0: none has one.  An engine writes an event
- * per pass, so the objective applies to each pass. */
-gint64 cf_policy_gap_aim_ms (const CfPolicy *p, const char *service);
+/** cf_policy_gap_objective_ms: the lowest objective for the pause between
+ * events among the routes to @service; 0: none has one.  An engine writes an
+ * event per pass, so the objective applies to each pass. */
+gint64 cf_policy_gap_objective_ms (const CfPolicy *p, const char *service);
--- a/gateway/rank-service-parts.h
+++ b/gateway/rank-service-parts.h
@@ -71,7 +71,7 @@
                                  VMs than their own */
   gint64 fence_seen;        /**< highest token of any leader */
   gint64 policy_version;    /**< configuration version from which the
-                                 coordinator's pass_aim_ms was read */
+                                 coordinator's pass_objective_ms was read */
   gboolean leads;           /**< this gateway leads the group */
   gint64 lead_since_ms;     /**< when it last took the lead */
   gboolean lead_announced;  /**< agents were told that this gateway leads... */
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -87,7 +87,7 @@
 /* Reads the longest accepted pass from the routes, once per configuration
  * version. */
 static void
-update_pass_aim (CfAgentLink *a)
+update_pass_objective (CfAgentLink *a)
 {
   const CfPolicy *p = a->service->gateway->policy;
   const CfTarget *t;
@@ -98,8 +98,8 @@
   if (!t)
     return;
   a->group->policy_version = p->version;
-  a->group->coordinator.pass_aim_ms
-      = cf_policy_gap_aim_ms (p, t->record.service);
+  a->group->coordinator.pass_objective_ms
+      = cf_policy_gap_objective_ms (p, t->record.service);
 }
 
 static CfLedGroup *
@@ -358,7 +358,7 @@
   if (!a->group)
     return;
   update_pace (a, st);
-  update_pass_aim (a);
+  update_pass_objective (a);
   a->status_seen_ms = now;
   cf_order_watch_note_report (&a->group->order_watches[a->rank]);
   a->seeds_up = m->u.rank_status.seeds_up;
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -137,7 +137,7 @@
 on_fresh (CfGateway *g, gint64 as_of)
 {
   g->targets_rev = as_of;
-  g->targets_at_ms = cf_gateway_now (g);
+  g->targets_confirmed_ms = cf_gateway_now (g);
 }
 
 static void
--- a/gateway/wait-queue.c
+++ b/gateway/wait-queue.c
@@ -122,22 +122,23 @@
 }
 
 gint64
-cf_waiter_objective_send_by_ms (gint64 start_ms, gint64 aim_ms, gint64 first_ms)
+cf_waiter_objective_send_by_ms (gint64 start_ms, gint64 objective_ms,
+                                gint64 first_ms)
 {
-  double max_ms = (double)aim_ms * MAX_FIRST_EVENT_FRACTION;
-  double expected_ms = first_ms > 0
-                           ? MIN ((double)first_ms, max_ms)
-                           : (double)aim_ms * UNKNOWN_FIRST_EVENT_FRACTION;
+  double max_ms = (double)objective_ms * MAX_FIRST_EVENT_FRACTION;
+  double expected_ms
+      = first_ms > 0 ? MIN ((double)first_ms, max_ms)
+                     : (double)objective_ms * UNKNOWN_FIRST_EVENT_FRACTION;
 
-  return start_ms + (gint64)((double)aim_ms - expected_ms);
+  return start_ms + (gint64)((double)objective_ms - expected_ms);
 }
 
 gboolean
 cf_waiter_has_to_yield (const CfWaiter *w, gint64 now_ms, double pause_ms,
-                        gint64 gap_aim_ms)
+                        gint64 gap_objective_ms)
 {
   return !CF_WITHOUT_YIELDING && w->queued && now_ms > w->objective_send_by_ms
-         && pause_ms < (double)gap_aim_ms;
+         && pause_ms < (double)gap_objective_ms;
 }
 
 gint64
--- a/gateway/wait-queue.h
+++ b/gateway/wait-queue.h
@@ -64,18 +64,18 @@
 
 /**
  * cf_waiter_objective_send_by_ms:
- * @aim_ms: latency objective for the first event
+ * @objective_ms: latency objective for the first event
  * @first_ms: expected time from sending to the first event; 0: not known
  * Returns: the latest time to send a request that arrived at @start_ms for it
  *   to meet its objective.
  */
-gint64 cf_waiter_objective_send_by_ms (gint64 start_ms, gint64 aim_ms,
+gint64 cf_waiter_objective_send_by_ms (gint64 start_ms, gint64 objective_ms,
                                        gint64 first_ms);
 
 /**
  * cf_waiter_has_to_yield:
  * @pause_ms: current pause between events at its service
- * @gap_aim_ms: objective for that pause; 0: none
+ * @gap_objective_ms: objective for that pause; 0: none
  * Returns: whether @w should leave capacity to other requests.  After an outage
  *   or a burst, requests that waited are late in any case.  If they were all
  *   sent at once they would fill every batch, and later requests would be late
@@ -83,7 +83,7 @@
  *   while passes are short enough for others to meet their objectives.
  */
 gboolean cf_waiter_has_to_yield (const CfWaiter *w, gint64 now_ms,
-                                 double pause_ms, gint64 gap_aim_ms);
+                                 double pause_ms, gint64 gap_objective_ms);
 
 /**
  * cf_wait_queue_max_wait_ms:
--- a/t/t-concurrency-limit.c
+++ b/t/t-concurrency-limit.c
@@ -23,7 +23,7 @@
   for (int i = 0; i < n; i++)
     {
       CfFirstEventSample e
-          = { .aim_ms = OBJECTIVE_MS, .fair_share = FAIR_SHARE };
+          = { .objective_ms = OBJECTIVE_MS, .fair_share = FAIR_SHARE };
 
       e.sent_ms = now;
       now += ms;
@@ -70,7 +70,8 @@
  * same backlog would lower the limit again and again. */
 START_TEST (streams_sent_before_decision_are_ignored)
 {
-  CfFirstEventSample e = { .aim_ms = OBJECTIVE_MS, .fair_share = FAIR_SHARE };
+  CfFirstEventSample e
+      = { .objective_ms = OBJECTIVE_MS, .fair_share = FAIR_SHARE };
   guint before;
 
   add_streams (8, 1200, 100);
@@ -97,7 +98,8 @@
 /* Passes that are slow without any queue cannot be sped up by a limit. */
 START_TEST (slow_passes_alone_set_no_limit)
 {
-  CfFirstEventSample e = { .aim_ms = OBJECTIVE_MS, .fair_share = FAIR_SHARE };
+  CfFirstEventSample e
+      = { .objective_ms = OBJECTIVE_MS, .fair_share = FAIR_SHARE };
 
   for (int i = 0; i < 100; i++)
     {
--- a/t/t-overload.c
+++ b/t/t-overload.c
@@ -39,8 +39,8 @@
                         expert map's skew, for the experts' part of the work */
   double prompt_ms; /* added to a pass of all ranks by each prompt: its part of
                      a rank's work, divided by the ranks */
-  gint64 aim_ms;
-  gint64 gap_aim_ms;
+  gint64 objective_ms;
+  gint64 gap_objective_ms;
   double per_s;
   gint64 outage_end_ms;   /* an outage lasts from OUTAGE_START_MS to this */
   double shared_fraction; /* fraction of a pass that all ranks share evenly */
@@ -54,14 +54,15 @@
 /* Engines with 12, 10 and 6 slots, and the objectives for their streams. */
 #define SLOTS_12                                                               \
   .slots = 12, .events = 24, .step_ms = 4.55, .per_seq_ms = 0.905,             \
-  .stride = 4, .skew_factor = 1.21, .aim_ms = 500, .gap_aim_ms = 120
+  .stride = 4, .skew_factor = 1.21, .objective_ms = 500,                       \
+  .gap_objective_ms = 120
 #define SLOTS_10                                                               \
   .slots = 10, .events = 19, .step_ms = 4.55, .per_seq_ms = 1.09, .stride = 5, \
-  .skew_factor = 1.25, .aim_ms = 500, .gap_aim_ms = 150,                       \
+  .skew_factor = 1.25, .objective_ms = 500, .gap_objective_ms = 150,           \
   .shared_fraction = 0.85
 #define SLOTS_6                                                                \
   .slots = 6, .events = 15, .step_ms = 4.55, .per_seq_ms = 1.99, .stride = 6,  \
-  .skew_factor = 1.25, .aim_ms = 600, .gap_aim_ms = 200,                       \
+  .skew_factor = 1.25, .objective_ms = 600, .gap_objective_ms = 200,           \
   .shared_fraction = 0.85
 
 /* Load of nine tenths of the capacity: a backlog is worked off slowly. */
@@ -171,7 +172,7 @@
   in.ring_start = with_ring ? &g->ring_start : NULL;
   in.yields = with_yielding
               && cf_waiter_has_to_yield (&s->waiter, now, g->latency.pause_ms,
-                                         scenario->gap_aim_ms);
+                                         scenario->gap_objective_ms);
   if (cf_balancer_pick (&g->table, &in, &s->target) != CF_PICK_OK)
     return FALSE;
   cf_target_request_started (s->target, now);
@@ -234,7 +235,7 @@
     return;
   s->waiter.since_ms = now;
   s->waiter.objective_send_by_ms
-      = cf_waiter_objective_send_by_ms (now, scenario->aim_ms, first);
+      = cf_waiter_objective_send_by_ms (now, scenario->objective_ms, first);
   if (!cf_wait_queue_add (&g->queue, &s->waiter,
                           (guint)(scenario->ranks * scenario->slots), &evicted))
     refuse (s, now);
@@ -270,8 +271,8 @@
 static void
 on_stream_end (Stream *s)
 {
-  gboolean on_time = !s->is_retry && s->first_ms <= scenario->aim_ms
-                     && s->longest_ms <= scenario->gap_aim_ms;
+  gboolean on_time = !s->is_retry && s->first_ms <= scenario->objective_ms
+                     && s->longest_ms <= scenario->gap_objective_ms;
 
   if (on_time)
     tally.on_time[get_arrival_second (s)]++;
@@ -325,7 +326,7 @@
 
   e.unqueued_ms
       = cf_stream_latency_unqueued_ms (&g->latency, NULL, &(CfStreamSize){ 0 });
-  e.aim_ms = scenario->aim_ms;
+  e.objective_ms = scenario->objective_ms;
   e.in_flight = g->in_flight;
   e.fair_share
       = (double)scenario->ranks * scenario->slots / scenario->n_gateways;
