--- a/comfrey-gateway.c
+++ b/comfrey-gateway.c
@@ -18,17 +18,17 @@
 #include <stdio.h>
 #include <unistd.h>
 
-/** Default port of the metrics page, on the VM's own address; the platform
- * reads it from deploy/system.toml. */
+/** Default port of the metrics page, on the VM's own address; declared to the
+ * platform in deploy/system.toml. */
 #define METRICS_PORT 9464
-/** Interval of housekeeping, which retries queued requests: a target's pause or
- * ejection may have ended. */
+/** Interval of housekeeping, which also dispatches queued requests: a target's
+ * pause or ejection may have ended. */
 #define HOUSEKEEPING_INTERVAL_S 0.05
-/** After SIGTERM the platform still sends callers here until it has probed
- * readiness twice, a second apart.  Idle connections are closed after this
- * time; callers still arrive if no other VM serves the data centre. */
+/** How long idle connections stay open after SIGTERM.  The platform still sends
+ * callers here until it has probed readiness twice, a second apart.  If no
+ * other VM serves the data centre, callers arrive even after that. */
 #define STOP_PROPAGATION_MS 2300
-/** Time before SIGKILL at which remaining requests are ended in an orderly
+/** How long before SIGKILL the remaining requests are ended in an orderly
  * way. */
 #define STOP_MARGIN_MS 400
 /** Longest time to write the remaining log lines at exit. */
@@ -69,19 +69,19 @@
 }
 
 static void
-on_policy_fresh (CfGateway *g, gint64 as_of)
+on_policy_confirmed (CfGateway *g, gint64 as_of)
 {
 }
 
 static void
-on_policy_contact (CfGateway *g, gboolean up)
+on_policy_reachability_changed (CfGateway *g, gboolean up)
 {
   g->policy_store_up = up;
 }
 
 static const CfStoreWatchCallbacks policy_callbacks
-    = { on_policy_item, on_policy_snapshot, on_policy_fresh,
-        on_policy_contact };
+    = { on_policy_item, on_policy_snapshot, on_policy_confirmed,
+        on_policy_reachability_changed };
 
 /* The event loop's own time follows the time of day and may jump; durations
  * and deadlines use the monotonic clock, read once per iteration. */
@@ -123,23 +123,24 @@
     ev_break (g->loop, EVBREAK_ALL);
 }
 
-/* Replicates changed records of requests that crash targets. */
+/* Sends changed records of requests that crash targets to all peers, and those
+ * of quarantined requests to the rank agents. */
 static void
 replicate_crash_records (CfGateway *g)
 {
   CfPeerMsg all;
-  CfPeerMsg held;
+  CfPeerMsg quarantined;
 
   if (!cf_quarantine_has_changes (g->quarantine))
     return;
   cf_exchange_refuse_all_quarantined (g);
   cf_peer_crashes_collect_changes (g->quarantine, cf_gateway_now (g), &all,
-                                   &held);
+                                   &quarantined);
   cf_peer_service_notify (peers, &all);
-  if (held.u.crashes->len > 0)
-    cf_rank_service_notify (ranks, &held);
+  if (quarantined.u.crashes->len > 0)
+    cf_rank_service_notify (ranks, &quarantined);
   cf_peer_msg_clear (&all);
-  cf_peer_msg_clear (&held);
+  cf_peer_msg_clear (&quarantined);
 }
 
 static void
--- a/gateway/ablation.h
+++ b/gateway/ablation.h
@@ -18,11 +18,12 @@
 #ifndef CF_WITHOUT_OUTAGE_WAIT
 #define CF_WITHOUT_OUTAGE_WAIT 0
 #endif
-/** Queued requests that have missed their objective do not yield to others. */
+/** Queued requests that can no longer meet their objective do not yield to
+ * others. */
 #ifndef CF_WITHOUT_YIELDING
 #define CF_WITHOUT_YIELDING 0
 #endif
-/** Gateways do not tell each other which targets are slow. */
+/** Gateways do not inform one another of slow targets. */
 #ifndef CF_WITHOUT_SHARED_PACE
 #define CF_WITHOUT_SHARED_PACE 0
 #endif
--- a/gateway/caller.c
+++ b/gateway/caller.c
@@ -9,7 +9,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/** Most bytes taken by one recv(). */
+/** Most bytes read by one recv(). */
 #define READ_BYTES 16384
 /** How long a new connection counts as not idle.  A caller sends its first
  * request within a few ms of connecting, and closing the connection before
@@ -24,7 +24,7 @@
 #define LINGER_S 1.0
 /** Shortest interval between log lines about the caller limit. */
 #define FULL_LOG_INTERVAL_MS 1000
-/** Limits that apply until a configuration is known. */
+/** Limits that apply until the first configuration is received. */
 #define DEFAULT_HEADER_MAX_BYTES 16384
 #define DEFAULT_HEADER_TIMEOUT_S 3.0
 #define DEFAULT_IDLE_TIMEOUT_S 15.0
@@ -43,7 +43,7 @@
 static void
 clear_body (CfCaller *c)
 {
-  c->g->body_bytes -= c->body->len;
+  c->gateway->body_bytes -= c->body->len;
   /* Frees a large buffer; the usual small one is kept for reuse. */
   if (c->body->allocated_len > PIPELINE_MAX_BYTES)
     {
@@ -61,12 +61,12 @@
     return;
   c->is_closed = TRUE;
   clear_body (c);
-  ev_io_stop (c->g->loop, &c->io);
-  ev_timer_stop (c->g->loop, &c->timer);
+  ev_io_stop (c->gateway->loop, &c->io);
+  ev_timer_stop (c->gateway->loop, &c->timer);
   close (c->io.fd);
-  TAILQ_REMOVE (&c->g->callers, c, link);
-  c->g->n_callers--;
-  if (!c->in_callback)
+  TAILQ_REMOVE (&c->gateway->callers, c, link);
+  c->gateway->n_callers--;
+  if (!c->in_io_handler)
     free_caller (c);
 }
 
@@ -84,15 +84,15 @@
 static void
 set_timer (CfCaller *c, double s)
 {
-  ev_timer_stop (c->g->loop, &c->timer);
+  ev_timer_stop (c->gateway->loop, &c->timer);
   ev_timer_set (&c->timer, s, 0);
-  ev_timer_start (c->g->loop, &c->timer);
+  ev_timer_start (c->gateway->loop, &c->timer);
 }
 
 static double
 idle_timeout_s (const CfCaller *c)
 {
-  const CfPolicy *p = c->g->policy;
+  const CfPolicy *p = c->gateway->policy;
 
   return p ? (double)p->limits.idle_timeout_ms / 1000 : DEFAULT_IDLE_TIMEOUT_S;
 }
@@ -100,7 +100,7 @@
 static double
 header_timeout_s (const CfCaller *c)
 {
-  const CfPolicy *p = c->g->policy;
+  const CfPolicy *p = c->gateway->policy;
 
   return p ? (double)p->limits.header_timeout_ms / 1000
            : DEFAULT_HEADER_TIMEOUT_S;
@@ -109,7 +109,7 @@
 static gsize
 body_limit (const CfCaller *c)
 {
-  const CfPolicy *p = c->g->policy;
+  const CfPolicy *p = c->gateway->policy;
 
   return p ? (gsize)p->limits.max_body_bytes : DEFAULT_BODY_MAX_BYTES;
 }
@@ -125,14 +125,14 @@
     events |= EV_WRITE;
   if (events == c->io.events && ev_is_active (&c->io))
     return;
-  ev_io_stop (c->g->loop, &c->io);
+  ev_io_stop (c->gateway->loop, &c->io);
   ev_io_set (&c->io, c->io.fd, events);
   if (events)
-    ev_io_start (c->g->loop, &c->io);
+    ev_io_start (c->gateway->loop, &c->io);
 }
 
-/* Everything is sent: closes the sending side unless the connection stays
- * open for another request. */
+/* Called when all output is sent.  Shuts down the sending side, unless the
+ * connection stays open for another request. */
 static void
 finish_output (CfCaller *c)
 {
@@ -161,7 +161,7 @@
            * same error and closes the connection. */
           g_string_truncate (c->output, 0);
           c->output_sent = 0;
-          ev_feed_event (c->g->loop, &c->io, EV_READ);
+          ev_feed_event (c->gateway->loop, &c->io, EV_READ);
           return;
         }
       if (n < 0)
@@ -180,7 +180,7 @@
   gboolean http10
       = c->reader.parser.http_major == 1 && c->reader.parser.http_minor == 0;
 
-  if (c->g->stopping || !c->reader.has_head
+  if (c->gateway->stopping || !c->reader.has_head
       || !cf_http_reader_can_keep_alive (&c->reader) || (http10 && length < 0))
     c->close_after_answer = TRUE;
   c->chunked = length < 0 && !http10;
@@ -217,7 +217,7 @@
   cf_http_reader_next (&c->reader);
   set_timer (c, idle_timeout_s (c));
   if (c->input->len > 0)
-    ev_feed_event (c->g->loop, &c->io, EV_READ);
+    ev_feed_event (c->gateway->loop, &c->io, EV_READ);
 }
 
 void
@@ -246,14 +246,15 @@
   return c->output->len - c->output_sent;
 }
 
-/* Refuses a request that could not be read; nothing was sent to a target. */
+/* Refuses a request for which no exchange has started, so that nothing was sent
+ * to a target. */
 static void
 refuse (CfCaller *c, int status, const char *reason)
 {
   cf_log (LOG_NOTICE, CF_EV_NO_ROUTE, "id=- status=%d reason=\"%s\"", status,
           reason);
-  c->g->stats.requests++;
-  c->g->stats.outcomes[CF_OUTCOME_DENIED]++;
+  c->gateway->stats.requests++;
+  c->gateway->stats.outcomes[CF_OUTCOME_DENIED]++;
   c->close_after_answer = TRUE;
   cf_caller_begin_answer (c, status, NULL, 0);
   cf_caller_end_answer (c);
@@ -285,7 +286,7 @@
       c->body_too_large = TRUE;
       return;
     }
-  c->g->body_bytes += n;
+  c->gateway->body_bytes += n;
   g_string_append_len (c->body, data, (gssize)n);
 }
 
@@ -313,12 +314,12 @@
             http_errno_description (HTTP_PARSER_ERRNO (&c->reader.parser)));
   else if (c->body_too_large)
     refuse (c, 413, "the body is over max-body-bytes");
-  else if (c->g->body_bytes > c->g->body_bytes_max)
+  else if (c->gateway->body_bytes > c->gateway->body_bytes_max)
     refuse (c, 503, "too many bytes of requests are held");
   else if (c->reader.is_complete)
     {
-      ev_timer_stop (c->g->loop, &c->timer);
-      cf_exchange_start (c->g, c);
+      ev_timer_stop (c->gateway->loop, &c->timer);
+      cf_exchange_start (c->gateway, c);
     }
   else if (was_between_requests && c->reader.started)
     set_timer (c, header_timeout_s (c));
@@ -352,7 +353,7 @@
 {
   CfCaller *c = w->data;
 
-  c->in_callback = TRUE;
+  c->in_io_handler = TRUE;
   if (revents & EV_WRITE)
     {
       cf_caller_flush (c);
@@ -361,7 +362,7 @@
     }
   if (!c->is_closed && (revents & EV_READ))
     read_input (c);
-  c->in_callback = FALSE;
+  c->in_io_handler = FALSE;
   if (c->is_closed)
     free_caller (c);
 }
@@ -384,7 +385,7 @@
   gsize head_max = g->policy ? (gsize)g->policy->limits.max_header_bytes
                              : DEFAULT_HEADER_MAX_BYTES;
 
-  c->g = g;
+  c->gateway = g;
   c->accepted_ms = cf_gateway_now (g);
   c->input = g_string_new (NULL);
   c->body = g_string_new (NULL);
@@ -401,12 +402,14 @@
   g->n_callers++;
 }
 
-/* Whether the first request of @c is probably on its way. */
+/* Whether @c connected so recently that its first request is probably in
+ * transit. */
 static gboolean
 is_newly_connected (const CfCaller *c)
 {
   return !c->served
-         && cf_gateway_now (c->g) - c->accepted_ms < FIRST_REQUEST_GRACE_MS;
+         && cf_gateway_now (c->gateway) - c->accepted_ms
+                < FIRST_REQUEST_GRACE_MS;
 }
 
 static gboolean
@@ -430,12 +433,12 @@
           g->n_exchanges, g->stats.callers_turned_away);
 }
 
-/* Makes room for one more caller, by closing an idle one if necessary, and
- * returns whether there is room.  Without the limit the process could run out
- * of descriptors: it would reach no target, and its loop would spin because it
- * cannot accept the pending connections. */
+/* Returns whether one more caller may be accepted; at the limit, closes an idle
+ * caller to make that possible.  Without the limit the process could run out of
+ * descriptors: it could not connect to any target, and its loop would spin
+ * because it cannot accept the pending connections. */
 static gboolean
-make_room (CfGateway *g)
+ensure_capacity (CfGateway *g)
 {
   CfCaller *c;
 
@@ -459,7 +462,7 @@
 
   while ((fd = cf_socket_accept (listener)) >= 0)
     {
-      if (make_room (g))
+      if (ensure_capacity (g))
         {
           add_caller (g, fd);
           continue;
--- a/gateway/caller.h
+++ b/gateway/caller.h
@@ -13,9 +13,9 @@
 struct CfCaller
 {
   TAILQ_ENTRY (CfCaller) link;
-  CfGateway *g;
+  CfGateway *gateway;
   ev_io io;
-  ev_timer timer; /**< header timeout, idle timeout, lingering */
+  ev_timer timer; /**< header timeout, idle timeout or linger time */
   CfHttpReader reader;
   GString *input;    /**< received bytes not parsed yet */
   GString *body;     /**< of the current request, decoded */
@@ -28,8 +28,8 @@
   gboolean close_after_answer; /**< no further request is read */
   gboolean lingering;          /**< waits for the caller to close */
   gboolean body_too_large;     /**< over max-body-bytes */
-  gboolean in_callback;        /**< on_io() runs */
-  gboolean is_closed;          /**< freed when on_io() returns */
+  gboolean in_io_handler;      /**< on_io() runs */
+  gboolean is_closed;          /**< to be freed at the end of on_io() */
 };
 
 /** cf_caller_accept: accepts all pending connections of @listener. */
@@ -53,14 +53,15 @@
 /** cf_caller_flush: sends as much output as the socket takes. */
 void cf_caller_flush (CfCaller *c);
 
-/** cf_caller_abort: closes at once, so that the caller sees a truncated
- * answer. */
+/** cf_caller_abort: closes the connection at once, so that the caller sees a
+ * truncated answer. */
 void cf_caller_abort (CfCaller *c);
 
 /** cf_caller_unsent_bytes: bytes of output that are not sent yet. */
 gsize cf_caller_unsent_bytes (const CfCaller *c);
 
-/** cf_caller_close_idle: closes callers that have no request in progress. */
+/** cf_caller_close_idle: closes callers that have no request in progress,
+ * except new connections whose first request may be in transit. */
 void cf_caller_close_idle (CfGateway *g);
 
 /** cf_caller_abort_all: ends all exchanges, refuses unfinished requests and
--- a/gateway/control.h
+++ b/gateway/control.h
@@ -6,8 +6,8 @@
 /**
  * cf_control_listen:
  * Accepts links from rank agents and other gateways at the control address.
- * The first message of a link is a hello that tells which of the two it is;
- * the link is then handed to @ranks or @peers.
+ * The first message of a link is a hello, whose kind tells which of the two
+ * sent it; the link is then handed to @ranks or @peers.
  */
 CfStatus cf_control_listen (CfGateway *g, CfPeerService *peers,
                             CfRankService *ranks);
--- a/gateway/event-stream.h
+++ b/gateway/event-stream.h
@@ -14,7 +14,7 @@
   GString *partial;  /**< bytes of the incomplete event */
   gint64 last_id;    /**< id of the last event returned; -1: none */
   guint64 n_events;  /**< events returned so far */
-  guint64 n_dropped; /**< events dropped because their id was not higher */
+  guint64 n_dropped; /**< events dropped: their id was not above @last_id */
 } CfEventStream;
 
 void cf_event_stream_init (CfEventStream *s);
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -11,21 +11,19 @@
 #include <string.h>
 
 /** Share of the fleet's retry allowance that the gateways use together.  The
- * rest is a margin for a gateway that takes the fleet for smaller than it
- * is. */
+ * rest is a margin for gateways that underestimate the size of the fleet. */
 #define RETRY_SHARE 0.8
 /** Most unreadable records whose revision is kept, so that each is logged only
- * once.  When there are more, the table is emptied and each is logged once
- * again. */
+ * once.  A full table is emptied, after which each is logged once more. */
 #define REJECTED_RECORDS_MAX 1024
-/** Most characters of a rejected target's id that are logged. */
+/** A rejected target's id is truncated to this length in the log. */
 #define REJECTED_ID_LOG_CHARS 64
 /** Request bodies may take the memory limit divided by this. */
 #define BODY_MEMORY_DIVISOR 4
 /** Descriptors of max-fds that the platform reserves for files. */
 #define RESERVED_FILE_FDS 200
-/** Callers may take the remaining descriptors divided by this: each caller's
- * request may need another one for a connection to a target. */
+/** Callers may use the remaining descriptors divided by this: the request of
+ * each caller may need another descriptor, for a connection to a target. */
 #define CALLER_FDS_DIVISOR 2
 /** A target's slowdown expires after this time without a report; agents and
  * peers report it once a second. */
@@ -211,8 +209,8 @@
   return "unknown";
 }
 
-/* Whether the unreadable record of @id at @rev is seen for the first time;
- * lists are read repeatedly. */
+/* Whether the unreadable record of @id at @rev is seen for the first time.  The
+ * list is read repeatedly, so the same record is seen again. */
 static gboolean
 is_newly_rejected (CfGateway *g, const char *id, gint64 rev)
 {
@@ -265,8 +263,9 @@
           source);
 }
 
-/* Closes connections to @former: its process is gone, or the list does not
- * lead to it any more.  Requests in flight fail only after a restart. */
+/* Closes connections to @former, whose process has ended or which the list no
+ * longer offers to new requests.  Requests in flight fail only if the target
+ * has restarted. */
 static void
 close_former_connections (CfTarget *former, CfTargetChange c)
 {
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -31,7 +31,7 @@
   CfRetryBudget budget;
   CfOutage outage;
   CfStreamLatency latency; /**< recent latency of its streams */
-  CfPassRecord pass;       /**< its latest pass, as seen here */
+  CfPassRecord pass;       /**< its latest pass, as observed here */
   CfConcurrencyLimit limit;
   guint in_flight;      /**< requests of this gateway at its targets */
   gint64 busy_since_ms; /**< when @in_flight last rose from 0 */
@@ -74,7 +74,7 @@
   gsize body_bytes; /**< bytes of request bodies in memory */
   gsize body_bytes_max;
   gboolean stopping;        /**< SIGTERM was received */
-  gboolean stop_propagated; /**< the platform could see it not ready */
+  gboolean stop_propagated; /**< the platform had time to see it not ready */
   gboolean exiting;       /**< the event loop has ended; nothing more is sent */
   gint64 stop_started_ms; /**< when @stopping was set */
   gint64 stop_deadline_ms; /**< when remaining requests are aborted */
@@ -154,8 +154,8 @@
 void cf_gateway_retain_targets (CfGateway *g, GHashTable *ids, gint64 as_of,
                                 const char *source);
 
-/** cf_gateway_update_slowdown: records how many times as long as usual @t
- * takes, as reported by an agent or a peer. */
+/** cf_gateway_update_slowdown: records the factor by which @t is slower than
+ * usual, as reported by an agent or a peer. */
 void cf_gateway_update_slowdown (CfGateway *g, CfTarget *t, double slowdown,
                                  const char *source);
 
--- a/gateway/http-reader.c
+++ b/gateway/http-reader.c
@@ -132,7 +132,7 @@
   return 0;
 }
 
-static const http_parser_settings parser_calls = {
+static const http_parser_settings parser_callbacks = {
   .on_message_begin = on_begin,
   .on_url = on_url,
   .on_header_field = on_field,
@@ -190,7 +190,7 @@
     return TRUE;
   if (HTTP_PARSER_ERRNO (&r->parser) == HPE_PAUSED)
     http_parser_pause (&r->parser, 0);
-  *used = http_parser_execute (&r->parser, &parser_calls, data, n);
+  *used = http_parser_execute (&r->parser, &parser_callbacks, data, n);
   err = HTTP_PARSER_ERRNO (&r->parser);
   if (r->is_complete)
     {
@@ -206,7 +206,7 @@
 {
   if (!r->started || r->is_complete)
     return TRUE;
-  http_parser_execute (&r->parser, &parser_calls, NULL, 0);
+  http_parser_execute (&r->parser, &parser_callbacks, NULL, 0);
   if (r->is_complete && r->callbacks->complete)
     r->callbacks->complete (r->owner);
   return r->is_complete;
--- a/gateway/membership.c
+++ b/gateway/membership.c
@@ -7,7 +7,7 @@
   char *addr;
   char *data_centre;
   gint64 last_heartbeat_ms;
-  double sort_key; /* orders the members on the ring */
+  double sort_key; /* determines the order of the members on the ring */
   double ring_start;
 } Member;
 
@@ -31,13 +31,13 @@
 static Member *
 add_member (CfMembership *m, const char *addr, const char *data_centre)
 {
-  Member *n = g_new0 (Member, 1);
+  Member *member = g_new0 (Member, 1);
 
-  n->addr = g_strdup (addr);
-  n->data_centre = g_strdup (data_centre ? data_centre : "");
-  g_hash_table_replace (m->by_addr, n->addr, n);
+  member->addr = g_strdup (addr);
+  member->data_centre = g_strdup (data_centre ? data_centre : "");
+  g_hash_table_replace (m->by_addr, member->addr, member);
   m->ring_starts_valid = FALSE;
-  return n;
+  return member;
 }
 
 CfMembership *
@@ -60,19 +60,20 @@
 
 void
 cf_membership_record_heartbeat (CfMembership *m, const char *addr,
-                                const char *data_centre, gint64 now)
+                                const char *data_centre, gint64 now_ms)
 {
-  Member *n = g_hash_table_lookup (m->by_addr, addr);
+  Member *member = g_hash_table_lookup (m->by_addr, addr);
 
-  if (n == m->self)
+  if (member == m->self)
     return;
-  if (!n || strcmp (n->data_centre, data_centre ? data_centre : "") != 0)
-    n = add_member (m, addr, data_centre);
-  n->last_heartbeat_ms = now;
+  if (!member
+      || strcmp (member->data_centre, data_centre ? data_centre : "") != 0)
+    member = add_member (m, addr, data_centre);
+  member->last_heartbeat_ms = now_ms;
 }
 
 void
-cf_membership_expire (CfMembership *m, gint64 timeout_ms, gint64 now)
+cf_membership_expire (CfMembership *m, gint64 timeout_ms, gint64 now_ms)
 {
   GHashTableIter it;
   gpointer v;
@@ -80,9 +81,9 @@
   g_hash_table_iter_init (&it, m->by_addr);
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
-      const Member *n = v;
+      const Member *member = v;
 
-      if (n == m->self || now - n->last_heartbeat_ms <= timeout_ms)
+      if (member == m->self || now_ms - member->last_heartbeat_ms <= timeout_ms)
         continue;
       g_hash_table_iter_remove (&it);
       m->ring_starts_valid = FALSE;
@@ -171,11 +172,12 @@
 double
 cf_membership_ring_start (CfMembership *m, const char *addr)
 {
-  const Member *n = addr ? g_hash_table_lookup (m->by_addr, addr) : m->self;
+  const Member *member
+      = addr ? g_hash_table_lookup (m->by_addr, addr) : m->self;
 
-  if (!n)
+  if (!member)
     return -1;
   if (!m->ring_starts_valid)
     assign_ring_starts (m);
-  return n->ring_start;
+  return member->ring_start;
 }
--- a/gateway/membership.h
+++ b/gateway/membership.h
@@ -4,11 +4,11 @@
 
 /**
  * CfMembership:
- * The gateways that this one has heard from recently, including itself, and
- * the position on the ring of a service's targets at which each gateway starts
- * to search for a target.  Gateways do not see the load that others cause.  If
- * their start positions are evenly spaced, all targets receive about the same
- * load from all gateways together.
+ * The gateways that have recently sent this one a heartbeat, this one included,
+ * and the position on the ring of a service's targets at which each gateway
+ * starts to search for a target.  Gateways do not see the load that others
+ * cause.  If their start positions are evenly spaced, all targets receive about
+ * the same load from all gateways together.
  */
 typedef struct CfMembership CfMembership;
 
@@ -26,8 +26,8 @@
 void cf_membership_record_heartbeat (CfMembership *m, const char *addr,
                                      const char *data_centre, gint64 now_ms);
 
-/** cf_membership_expire: removes the gateways not heard from for
- * @timeout_ms. */
+/** cf_membership_expire: removes the gateways whose last heartbeat is more than
+ * @timeout_ms old. */
 void cf_membership_expire (CfMembership *m, gint64 timeout_ms, gint64 now_ms);
 
 /** cf_membership_size: number of gateways, including this one. */
--- a/gateway/ops.c
+++ b/gateway/ops.c
@@ -79,7 +79,7 @@
 {
   GString *body = g_string_new (NULL);
   GString *out = g_string_new (NULL);
-  gboolean keep = cf_http_reader_can_keep_alive (&c->reader);
+  gboolean keep_alive = cf_http_reader_can_keep_alive (&c->reader);
   int status
       = write_page (c->g, cf_http_reader_request_target (&c->reader), body);
   ssize_t sent;
@@ -88,13 +88,14 @@
                    "HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\n"
                    "Content-Length: %" G_GSIZE_FORMAT "\r\n%s\r\n%s",
                    status, http_status_str ((enum http_status)status),
-                   body->len, keep ? "" : "Connection: close\r\n", body->str);
+                   body->len, keep_alive ? "" : "Connection: close\r\n",
+                   body->str);
   sent = send (c->io.fd, out->str, out->len, MSG_NOSIGNAL);
-  keep = keep && sent == (ssize_t)out->len;
+  keep_alive = keep_alive && sent == (ssize_t)out->len;
   g_string_free (out, TRUE);
   g_string_free (body, TRUE);
   cf_http_reader_next (&c->reader);
-  return keep;
+  return keep_alive;
 }
 
 static void
--- a/gateway/peer-crashes.c
+++ b/gateway/peer-crashes.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/** CollectContext: the messages that append_record() fills. */
+/** CollectContext: the arrays that append_record() fills. */
 typedef struct
 {
   GArray *all;         /* of #CfPeerCrash */
--- a/gateway/peer-link.c
+++ b/gateway/peer-link.c
@@ -12,7 +12,7 @@
  * powered off is lost and retransmitted only after a second; a new attempt
  * succeeds as soon as the VM is up. */
 #define CONNECT_TIMEOUT_S 0.2
-#define READ_CHUNK_BYTES 16384
+#define READ_BYTES 16384
 #define LENGTH_BYTES 4
 /** Largest frame: a configuration as large as the store's largest value. */
 #define FRAME_MAX_BYTES 4194304
@@ -31,9 +31,9 @@
 void
 cf_peer_link_close (CfPeerLink *l)
 {
-  if (l->closed)
+  if (l->is_closed)
     return;
-  l->closed = TRUE;
+  l->is_closed = TRUE;
   ev_io_stop (l->loop, &l->io);
   ev_timer_stop (l->loop, &l->connect_timer);
   close (l->io.fd);
@@ -44,7 +44,7 @@
 static void
 drop_link (CfPeerLink *l)
 {
-  if (l->closed)
+  if (l->is_closed)
     return;
   l->callbacks->down (l->owner, l);
   cf_peer_link_close (l);
@@ -97,13 +97,14 @@
   return (gsize)b[0] << 24 | (gsize)b[1] << 16 | (gsize)b[2] << 8 | b[3];
 }
 
-/* Passes complete frames to the owner; returns FALSE if a frame is too long. */
+/* Passes complete frames to the owner.  Returns FALSE if a frame is too long.
+ */
 static gboolean
 deliver_frames (CfPeerLink *l)
 {
   gsize at = 0;
 
-  while (!l->closed && l->input->len - at >= LENGTH_BYTES)
+  while (!l->is_closed && l->input->len - at >= LENGTH_BYTES)
     {
       gsize n = frame_length (l->input->str + at);
 
@@ -121,7 +122,7 @@
 static void
 read_input (CfPeerLink *l)
 {
-  char buf[READ_CHUNK_BYTES];
+  char buf[READ_BYTES];
   ssize_t n = recv (l->io.fd, buf, sizeof buf, 0);
 
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
@@ -140,7 +141,7 @@
   l->connecting = FALSE;
   ev_timer_stop (l->loop, &l->connect_timer);
   l->callbacks->up (l->owner, l);
-  return l->closed || write_output (l);
+  return l->is_closed || write_output (l);
 }
 
 static void
@@ -156,10 +157,10 @@
     ok = write_output (l);
   if (!ok)
     drop_link (l);
-  if (!l->closed && (revents & EV_READ))
+  if (!l->is_closed && (revents & EV_READ))
     read_input (l);
   l->in_io_handler = FALSE;
-  if (l->closed)
+  if (l->is_closed)
     free_link (l);
 }
 
@@ -220,7 +221,7 @@
   const char length[LENGTH_BYTES]
       = { (char)(n >> 24), (char)(n >> 16), (char)(n >> 8), (char)n };
 
-  if (l->closed)
+  if (l->is_closed)
     return;
   g_string_append_len (l->output, length, LENGTH_BYTES);
   g_string_append_len (l->output, data, (gssize)n);
--- a/gateway/peer-link.h
+++ b/gateway/peer-link.h
@@ -34,9 +34,9 @@
   const CfPeerLinkCallbacks *callbacks;
   void *owner;
   gboolean connecting;
-  gboolean in_io_handler; /**< on_io() runs, and frees the link if it is
-                             closed meanwhile */
-  gboolean closed;
+  gboolean in_io_handler; /**< on_io() runs; it frees the link at its end if
+                             the link was closed */
+  gboolean is_closed;
 };
 
 /** cf_peer_link_connect: (nullable): starts to connect to @addr. */
--- a/gateway/peer-msg.h
+++ b/gateway/peer-msg.h
@@ -12,7 +12,7 @@
 {
   CF_PEER_AGENT_HELLO = 1,   /**< rank agent: identifies itself */
   CF_PEER_RANK_STATUS = 2,   /**< rank agent: state and counts of its rank */
-  CF_PEER_HEARTBEAT = 3,     /**< gateway: is alive, and leads or not */
+  CF_PEER_HEARTBEAT = 3,     /**< gateway: alive; its token, if it leads */
   CF_PEER_ORDER = 4,         /**< gateway: an order for the agent's rank */
   CF_PEER_ORDER_ACK = 5,     /**< rank agent: the outcome of an order */
   CF_PEER_REQUEST_LISTS = 6, /**< gateway: asks which experts the rank holds */
@@ -25,11 +25,12 @@
   CF_PEER_HOLD_LEASE = 13,   /**< leading gateway: it holds a pass of a group */
 } CfPeerMsgKind;
 
-/** Units of the ring of targets; positions on the ring are sent in these. */
+/** Number of units that the ring of targets is divided into; positions on it
+ * are sent in these units. */
 #define CF_PEER_RING_UNITS 65536
 
 /** CfPeerBytes: bytes that a message does not own; in a received message they
- * lie within its frame. */
+ * are part of its frame. */
 typedef struct
 {
   const char *data;
@@ -50,9 +51,9 @@
     {
       CfRankStatus status;
       gint64 fence_seen;   /**< highest fencing token the agent has accepted */
-      guint seeds_up;      /**< bit i: seed i was heard from recently */
-      gint64 leader_fence; /**< fencing token of the leader that the agent
-                                   hears from; 0: none */
+      guint seeds_up;      /**< bit i: a recent heartbeat came from seed i */
+      gint64 leader_fence; /**< fencing token of the leader that sends the
+                                   agent heartbeats; 0: none */
       GArray *expert_counts; /**< (nullable): of gint64, by expert: how often it
                                 was chosen since the previous report; owned */
     } rank_status;
@@ -135,7 +136,7 @@
 } CfPeerMsg;
 
 /** Sent as @http_status if the agent does not have the map of @base_version.
- * It accepts rows that change the initial map, with @base_version 0. */
+ * It does accept rows that change the initial map, with @base_version 0. */
 #define CF_PEER_STATUS_UNKNOWN_BASE 1
 
 /** Bits of @want in a gateway's hello. */
@@ -149,7 +150,7 @@
 typedef struct
 {
   CfPeerBytes addr;
-  gint64 thousandths; /**< of the usual time */
+  gint64 thousandths; /**< the time it takes, in 1/1000 of the usual time */
   gint64 incarnation; /**< of the target; 0: unknown */
 } CfPeerSlowdown;
 
--- a/gateway/peer-service.c
+++ b/gateway/peer-service.c
@@ -19,7 +19,7 @@
 /** Time for a new configuration to arrive from the store before a peer is asked
  * for it. */
 #define STORE_GRACE_MS 400
-/** Peers not heard from for this long no longer count as part of the fleet. */
+/** A peer counts as part of the fleet for this time after its last hello. */
 #define MEMBER_TIMEOUT_MS 10000
 /** How long an agent's report of a slowdown is current.  Agents send one every
  * second or more often. */
@@ -36,7 +36,7 @@
   char *addr; /**< where it accepts links; %NULL before its hello */
   gint64 policy_rev;
   gint64 targets_rev;
-  gint64 last_heard_ms;
+  gint64 hello_received_ms; /**< last hello, or when the link was set up */
 } Peer;
 
 struct CfPeerService
@@ -54,7 +54,7 @@
   gboolean seed_valid[CF_SEEDS_MAX];
 };
 
-/* Returns the CF_PEER_WANT_ bits of what this gateway has to get from a peer,
+/* Returns the CF_PEER_WANT_ bits of what this gateway has to get from @p,
  * because the store cannot be reached or its update is overdue. */
 static guint
 compute_wanted (const Peer *p)
@@ -298,8 +298,8 @@
   s->hold_lease_owner = owner;
 }
 
-/* A peer may know of more gateways than this one hears from.  The ring start
- * that the peer computed for this gateway is then used as well. */
+/* A peer may know of more gateways than this one does.  Both the peer's fleet
+ * size and the ring start that it computed for this gateway are then used. */
 static void
 update_fleet (CfPeerService *s, const CfPeerMsg *m)
 {
@@ -332,7 +332,7 @@
   p->addr = g_strndup (m->u.gateway_hello.addr.data, m->u.gateway_hello.addr.n);
   p->policy_rev = m->u.gateway_hello.policy_rev;
   p->targets_rev = m->u.gateway_hello.targets_rev;
-  p->last_heard_ms = g->now_ms;
+  p->hello_received_ms = g->now_ms;
   dc = g_strndup (m->u.gateway_hello.data_centre.data,
                   m->u.gateway_hello.data_centre.n);
   cf_membership_record_heartbeat (p->s->membership, p->addr, dc, g->now_ms);
@@ -353,7 +353,7 @@
     send_hello (p);
 }
 
-/* Takes a peer's complete list of targets, if it is newer: targets that are not
+/* Adopts a peer's complete list of targets if it is newer: targets that are not
  * in it are removed. */
 static void
 take_targets (Peer *p, const CfPeerMsg *m)
@@ -426,7 +426,7 @@
   Peer *p = owner;
 
   p->up = TRUE;
-  p->last_heard_ms = p->s->g->now_ms;
+  p->hello_received_ms = p->s->g->now_ms;
   cf_log (LOG_NOTICE, CF_EV_PEER, "seed=%d outcome=up", p->seed);
   send_hello (p);
   send_crashes (p);
@@ -460,7 +460,7 @@
 
   p->s = s;
   p->seed = seed;
-  p->last_heard_ms = s->g->now_ms;
+  p->hello_received_ms = s->g->now_ms;
   TAILQ_INSERT_TAIL (&s->peers, p, entry);
   return p;
 }
@@ -517,7 +517,7 @@
     {
       Peer *next = TAILQ_NEXT (p, entry);
 
-      if (p->up && s->g->now_ms - p->last_heard_ms > 3 * HELLO_INTERVAL_MS)
+      if (p->up && s->g->now_ms - p->hello_received_ms > 3 * HELLO_INTERVAL_MS)
         {
           cf_log (LOG_NOTICE, CF_EV_PEER, "peer=%s outcome=silent",
                   p->addr ? p->addr : "-");
--- a/gateway/policy.c
+++ b/gateway/policy.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/** Longest "host prefix" key that a look-up builds; a longer host and path have
- * no route. */
+/** Size of the buffer in which a look-up builds a "host prefix" key.  A host
+ * and path that do not fit have no route. */
 #define ROUTE_KEY_MAX_BYTES 1024
 
 static void
@@ -133,7 +133,7 @@
 gint64
 cf_policy_gap_objective_ms (const CfPolicy *p, const char *service)
 {
-  gint64 aim = 0;
+  gint64 objective_ms = 0;
 
   for (guint i = 0; i < p->routes->len; i++)
     {
@@ -141,8 +141,8 @@
 
       for (guint j = 0; r->gap_objective_ms > 0 && j < r->n_splits; j++)
         if (strcmp (r->splits[j].service, service) == 0
-            && (aim == 0 || r->gap_objective_ms < aim))
-          aim = r->gap_objective_ms;
+            && (objective_ms == 0 || r->gap_objective_ms < objective_ms))
+          objective_ms = r->gap_objective_ms;
     }
-  return aim;
+  return objective_ms;
 }
--- a/gateway/policy.h
+++ b/gateway/policy.h
@@ -13,7 +13,7 @@
   CF_RETRY_RESUMABLE, /**< a stream that another target can resume */
 } CfRetrySafety;
 
-/** CfSplit: one service's share of a route's requests. */
+/** CfSplit: a service that a route sends part of its requests to. */
 typedef struct
 {
   char *service;
@@ -58,9 +58,11 @@
   int sets;       /**< layers with experts; 0: there are no rank groups */
   int experts;    /**< experts of a set */
   int places;     /**< experts of a set that a rank can hold */
-  int spare;      /**< new experts of a set taken in one map change */
+  int spare;      /**< new experts of a set that a rank can load in one map
+                       change */
   double copy_ms; /**< time in which a rank copies one expert */
-  double form_ms; /**< from a group's last rank to its first work */
+  double form_ms; /**< time that a group takes to form: from its last rank to
+                     its first work */
 } CfEngineModel;
 
 /** CfService: interchangeable targets under one name. */
@@ -83,7 +85,7 @@
 /**
  * CfPolicy:
  * One version of the configuration.  Immutable once built and reference
- * counted: a request keeps the version that it was routed by.
+ * counted: a request keeps the version that routed it.
  */
 typedef struct
 {
@@ -93,7 +95,7 @@
   GHashTable *by_host_prefix; /**< "host prefix" -> #CfRoute */
   GHashTable *services;       /**< name -> #CfService, owned */
   GHashTable *tenants;        /**< API key -> name of the organisation, owned */
-  GHashTable *org_priority;   /**< organisation -> priority + 1, if set */
+  GHashTable *org_priority;   /**< organisation -> priority + 1; 0: not set */
   gboolean requires_api_key;  /**< on routes that are not @keyless */
   CfCallerLimits limits;
 } CfPolicy;
--- a/gateway/socket.c
+++ b/gateway/socket.c
@@ -7,9 +7,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/** A connection fails after data or probes went unacknowledged for this time:
- * longer than two retransmissions take on a lossy link, shorter than a caller
- * waits. */
+/** A connection fails once data or probes have been unacknowledged for this
+ * time: longer than two retransmissions take on a lossy link, shorter than a
+ * caller waits. */
 #define SILENCE_TIMEOUT_MS 2500
 #define KEEPALIVE_IDLE_S 1
 #define KEEPALIVE_INTERVAL_S 1
@@ -21,8 +21,8 @@
 static void
 set_int_option (int fd, int level, int name, int value)
 {
-  /* Errors are ignored: on a kernel without the option a silent peer is only
-   * detected later, at the deadline of the request. */
+  /* Errors are ignored: on a kernel without the option, a silent remote end is
+   * merely detected later, at the deadline of the request. */
   (void)setsockopt (fd, level, name, &value, sizeof value);
 }
 
--- a/gateway/stats.h
+++ b/gateway/stats.h
@@ -7,12 +7,12 @@
 {
   CF_OUTCOME_SUCCESS,       /**< a complete 2xx answer of the target */
   CF_OUTCOME_TARGET_FAILED, /**< the target's own error answer, forwarded */
-  CF_OUTCOME_REFUSED,       /**< not run: no room, target or configuration */
-  CF_OUTCOME_DENIED,        /**< not authorized, or not a valid request */
-  CF_OUTCOME_FAILED,        /**< may have run, but got no valid answer */
-  CF_OUTCOME_TIMEOUT,       /**< its deadline passed */
-  CF_OUTCOME_BROKEN,        /**< the answer was truncated after its start */
-  CF_OUTCOME_CALLER_GONE,   /**< the caller disconnected */
+  CF_OUTCOME_REFUSED, /**< not run: overload, no target, or no configuration */
+  CF_OUTCOME_DENIED,  /**< not authorized, or not a valid request */
+  CF_OUTCOME_FAILED,  /**< may have run, but no valid answer came */
+  CF_OUTCOME_TIMEOUT, /**< its deadline passed */
+  CF_OUTCOME_BROKEN,  /**< the answer was truncated after its start */
+  CF_OUTCOME_CALLER_GONE, /**< the caller disconnected */
   CF_N_OUTCOMES,
 } CfOutcome;
 
--- a/gateway/store-watch.c
+++ b/gateway/store-watch.c
@@ -20,7 +20,7 @@
  * hundred gateways.  TCP keep-alive detects a silent connection in about 3 s.
  */
 #define LONG_POLL_MS 5000
-#define READ_SIZE 16384
+#define READ_BYTES 16384
 #define HEAD_MAX_BYTES 16384
 /** Limit of a response body.  Pages are about a megabyte, including base64. */
 #define BODY_MAX_BYTES 8388608
@@ -202,9 +202,9 @@
 static void
 read_input (CfStoreWatch *w)
 {
-  char buf[READ_SIZE];
+  char buf[READ_BYTES];
   ssize_t n = recv (w->io.fd, buf, sizeof buf, 0);
-  CfLoopActivity before;
+  CfLoopActivity previous;
   gsize used;
 
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
@@ -219,9 +219,9 @@
     fail_call (w, "not an HTTP answer");
   else if (w->reader.is_complete)
     {
-      before = cf_gateway_enter_activity (w->g, CF_LOOP_STORE);
+      previous = cf_gateway_enter_activity (w->g, CF_LOOP_STORE);
       on_response (w);
-      cf_gateway_enter_activity (w->g, before);
+      cf_gateway_enter_activity (w->g, previous);
     }
 }
 
@@ -245,7 +245,7 @@
 }
 
 /* A store that is not known to be up is asked to respond at once, so that its
- * return is noticed then and not only at the next change. */
+ * return is noticed without waiting for the next change. */
 static gint64
 current_long_poll_ms (const CfStoreWatch *w)
 {
--- a/gateway/store-watch.h
+++ b/gateway/store-watch.h
@@ -29,7 +29,8 @@
 /** CfStoreWatchCallbacks: events reported to the owner of a watch. */
 typedef struct
 {
-  /** A key was read or written; or removed, if it has no value. */
+  /** A key was read or has changed.  If it has no value, it was removed, or its
+   * value is unreadable. */
   void (*item) (CfGateway *g, const CfStoreItem *it);
   /** All keys have been read as of revision @as_of; keys not in @seen_keys no
    * longer exist. */
--- a/gateway/watch-batcher.h
+++ b/gateway/watch-batcher.h
@@ -6,8 +6,8 @@
  * CfWatchBatcher:
  * Limits the rate of watch polls.  While events are rare the next poll is made
  * at once.  While events keep coming, polls are 500 ms apart, so that each
- * returns several events: when many targets start, every entry would otherwise
- * cost a call from every gateway.
+ * returns several events: when many targets start, each new record would
+ * otherwise cost a call from every gateway.
  */
 typedef struct
 {
--- a/t/t-decode-fuzz.c
+++ b/t/t-decode-fuzz.c
@@ -1,10 +1,10 @@
 /*
  * Fuzzes every decoder of input from other processes.  The input is a valid
  * document in which bytes are changed, cut, duplicated or replaced by edge
- * values, or random bytes.  Built with the address and undefined behaviour
- * sanitizers.  The decoders must not crash or leak, and must accept a document
- * as a whole or not at all: it either passes every check of its type, or the
- * output stays empty.
+ * values, or it is random bytes.  Built with the address and undefined
+ * behaviour sanitizers.  The decoders must not crash or leak, and must accept a
+ * document as a whole or not at all: either the output meets all constraints of
+ * its type, or it stays empty.
  */
 #include "gateway/map-history.h"
 #include "gateway/peer-msg.h"
--- a/t/t-http-reader.c
+++ b/t/t-http-reader.c
@@ -27,7 +27,8 @@
   n_completes++;
 }
 
-static const CfHttpReaderCallbacks calls = { on_head, on_body, on_complete };
+static const CfHttpReaderCallbacks callbacks
+    = { on_head, on_body, on_complete };
 
 static void
 setup (void)
@@ -42,7 +43,8 @@
   g_string_free (body, TRUE);
 }
 
-/* Feeds @text in pieces of @step bytes; returns FALSE once it is refused. */
+/* Feeds @text in pieces of @step bytes.  Returns FALSE if a piece is refused.
+ */
 static gboolean
 feed_all (CfHttpReader *r, const char *text, gsize step)
 {
@@ -73,7 +75,7 @@
       GString *out;
 
       g_string_truncate (body, 0);
-      cf_http_reader_init (&r, HTTP_REQUEST, &calls, NULL, 4096);
+      cf_http_reader_init (&r, HTTP_REQUEST, &callbacks, NULL, 4096);
       ck_assert (feed_all (&r, request, step));
       ck_assert (r.is_complete);
       ck_assert_str_eq (body->str, "abcde");
@@ -110,7 +112,7 @@
     {
       CfHttpReader r;
 
-      cf_http_reader_init (&r, HTTP_REQUEST, &calls, NULL, 4096);
+      cf_http_reader_init (&r, HTTP_REQUEST, &callbacks, NULL, 4096);
       ck_assert_msg (!feed_all (&r, invalid[i], 7), "case %zu was accepted", i);
       cf_http_reader_clear (&r);
     }
@@ -125,7 +127,7 @@
   for (int i = 0; i < 300; i++)
     g_string_append_c (text, 'x');
   g_string_append (text, "\r\n\r\n");
-  cf_http_reader_init (&r, HTTP_REQUEST, &calls, NULL, 200);
+  cf_http_reader_init (&r, HTTP_REQUEST, &callbacks, NULL, 200);
   ck_assert (!feed_all (&r, text->str, 50));
   ck_assert (r.too_large);
   cf_http_reader_clear (&r);
@@ -144,13 +146,13 @@
 
   for (gsize i = 0; i < G_N_ELEMENTS (truncated); i++)
     {
-      cf_http_reader_init (&r, HTTP_RESPONSE, &calls, NULL, 4096);
+      cf_http_reader_init (&r, HTTP_RESPONSE, &callbacks, NULL, 4096);
       ck_assert (feed_all (&r, truncated[i], 9));
       ck_assert (!cf_http_reader_eof (&r));
       cf_http_reader_clear (&r);
     }
   /* The end of the connection ends an answer without a length. */
-  cf_http_reader_init (&r, HTTP_RESPONSE, &calls, NULL, 4096);
+  cf_http_reader_init (&r, HTTP_RESPONSE, &callbacks, NULL, 4096);
   ck_assert (feed_all (&r, "HTTP/1.1 200 OK\r\n\r\nabc", 9));
   ck_assert (cf_http_reader_eof (&r));
   ck_assert (!cf_http_reader_can_keep_alive (&r));
@@ -158,13 +160,13 @@
 }
 END_TEST
 
-START_TEST (pipelined_messages_are_read_in_turn)
+START_TEST (pipelined_messages_are_read_one_by_one)
 {
   CfHttpReader r;
   const char two[] = "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n";
   gsize used;
 
-  cf_http_reader_init (&r, HTTP_REQUEST, &calls, NULL, 4096);
+  cf_http_reader_init (&r, HTTP_REQUEST, &callbacks, NULL, 4096);
   ck_assert (cf_http_reader_feed (&r, two, strlen (two), &used));
   ck_assert_uint_eq (used, strlen (two) / 2);
   ck_assert_str_eq (cf_http_reader_request_target (&r), "/1");
@@ -191,7 +193,7 @@
         text[g_rand_int_range (rand, 0, (int)n)]
             = (char)g_rand_int_range (rand, 1, 256);
       g_string_truncate (body, 0);
-      cf_http_reader_init (&r, HTTP_REQUEST, &calls, NULL, 512);
+      cf_http_reader_init (&r, HTTP_REQUEST, &callbacks, NULL, 512);
       feed_all (&r, text, (gsize)g_rand_int_range (rand, 1, 80));
       ck_assert_uint_le (body->len, n);
       cf_http_reader_clear (&r);
@@ -212,7 +214,7 @@
   tcase_add_test (t, smuggled_and_invalid_requests_are_refused);
   tcase_add_test (t, long_heads_are_refused);
   tcase_add_test (t, truncated_answers_are_incomplete);
-  tcase_add_test (t, pipelined_messages_are_read_in_turn);
+  tcase_add_test (t, pipelined_messages_are_read_one_by_one);
   tcase_add_test (t, damaged_requests_neither_crash_nor_hang);
   suite_add_tcase (s, t);
   return t_run (s);
--- a/t/t-peer-msg.c
+++ b/t/t-peer-msg.c
@@ -141,14 +141,14 @@
 }
 END_TEST
 
-/** Number of experts in all sets of a large group, and bytes that a status
- * report may take besides one for each expert. */
+/** Number of experts in all sets of a large group, and the number of bytes that
+ * a status report may take in addition to one byte per expert. */
 #define LARGE_GROUP_EXPERTS 3840
 #define STATUS_OVERHEAD_BYTES 256
 
-/* Guards against reports of total counts: in a group of 192 ranks they were
- * most of the traffic between data centres, since each number grew to three to
- * five bytes over the day. */
+/* Guards against reporting counts since the rank's start: in a group of 192
+ * ranks such reports were most of the traffic between data centres, since each
+ * number grew to three to five bytes over the day. */
 START_TEST (expert_counts_take_one_byte_per_expert)
 {
   CfPeerMsg m = { .kind = CF_PEER_RANK_STATUS };
