--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -74,7 +74,7 @@
   gsize body_bytes; /**< bytes of request bodies in memory */
   gsize body_bytes_max;
   gboolean stopping;        /**< SIGTERM was received */
-  gboolean stop_propagated; /**< the platform had time to see it not ready */
+  gboolean stop_propagated; /**< the platform had time to see @stopping */
   gboolean exiting;       /**< the event loop has ended; nothing more is sent */
   gint64 stop_started_ms; /**< when @stopping was set */
   gint64 stop_deadline_ms; /**< when remaining requests are aborted */
--- a/gateway/stats.h
+++ b/gateway/stats.h
@@ -7,8 +7,10 @@
 {
   CF_OUTCOME_SUCCESS,       /**< a complete 2xx answer of the target */
   CF_OUTCOME_TARGET_FAILED, /**< the target's own error answer, forwarded */
-  CF_OUTCOME_REFUSED, /**< not run: overload, no target, or no configuration */
-  CF_OUTCOME_DENIED,  /**< not authorized, or not a valid request */
+  CF_OUTCOME_REFUSED, /**< not run: no capacity, target or configuration, or
+                         quarantined, or the process stops */
+  CF_OUTCOME_DENIED,  /**< not routed: invalid or incomplete, over a limit, no
+                         route, or unknown API key */
   CF_OUTCOME_FAILED,  /**< may have run, but no valid answer came */
   CF_OUTCOME_TIMEOUT, /**< its deadline passed */
   CF_OUTCOME_BROKEN,  /**< the answer was truncated after its start */
