--- a/gateway/rank-service-parts.h
+++ b/gateway/rank-service-parts.h
@@ -74,7 +74,7 @@
                                  VMs than their own */
   gint64 highest_fence;     /**< highest token of any leader */
   gint64 policy_version;    /**< configuration version from which the
-                                 coordinator's pass_aim_ms was read */
+                                 coordinator's pass_objective_ms was read */
   gboolean leads;           /**< this gateway leads the group */
   gint64 lead_since_ms;     /**< when it last took the lead */
   gboolean lead_announced;  /**< a heartbeat has announced that this gateway
