--- a/comfrey-entry.c
+++ b/comfrey-entry.c
@@ -18,7 +18,7 @@
                        cf_entry_defaults, &args, &s);
   if (rc >= 0)
     return rc;
-  if (cf_entry_settings_read (&s, &e.set) != CF_OK)
+  if (cf_entry_settings_read (&s, &e.settings) != CF_OK)
     return cf_daemon_log_settings_error ();
   if (cf_daemon_is_check_only (&args, &s))
     return 0;
@@ -27,7 +27,7 @@
       cf_log (LOG_ERR, CF_EV_STOP, "error=\"%s\"", cf_last_error ());
       return 1;
     }
-  cf_log (LOG_INFO, CF_EV_START, "name=%s", e.set.name);
+  cf_log (LOG_INFO, CF_EV_START, "name=%s", e.settings.name);
   rc = cf_daemon_wait_for_signal ();
   cf_entry_drain (&e);
   cf_log (LOG_INFO, CF_EV_STOP, "signal=%d", rc);
--- a/comfrey-gateway.c
+++ b/comfrey-gateway.c
@@ -161,10 +161,11 @@
     return;
   gw.stopping = TRUE;
   gw.stop_started_ms = cf_gateway_now (&gw);
-  gw.stop_deadline_ms = gw.stop_started_ms + gw.set.grace_ms - STOP_MARGIN_MS;
+  gw.stop_deadline_ms
+      = gw.stop_started_ms + gw.settings.grace_ms - STOP_MARGIN_MS;
   cf_log (LOG_NOTICE, CF_EV_DRAIN_BEGIN,
           "signal=%d callers=%u requests=%u grace_ms=%" G_GINT64_FORMAT,
-          w->signum, gw.n_callers, gw.n_exchanges, gw.set.grace_ms);
+          w->signum, gw.n_callers, gw.n_exchanges, gw.settings.grace_ms);
   cf_log (LOG_NOTICE, CF_EV_READY, "ready=no reason=stopping");
 }
 
@@ -183,8 +184,8 @@
               cf_last_error ());
       return;
     }
-  gw.set.grace_ms = s.grace_ms;
-  gw.set.stall_ms = s.stall_ms;
+  gw.settings.grace_ms = s.grace_ms;
+  gw.settings.stall_ms = s.stall_ms;
   cf_platform_settings_clear (&s);
   cf_log (LOG_NOTICE, CF_EV_RELOAD, "outcome=done");
 }
@@ -192,20 +193,20 @@
 static CfStatus
 listen_all (CfGateway *g, int port)
 {
-  char *metrics = g_strdup_printf ("%s:%d", g->set.ip, port);
+  char *metrics = g_strdup_printf ("%s:%d", g->settings.ip, port);
   CfStatus st;
   int fd;
 
-  st = cf_socket_listen (g->set.front_addr, &fd);
+  st = cf_socket_listen (g->settings.front_addr, &fd);
   if (st == CF_OK)
     {
       ev_io_init (&front_io, on_front_connection, fd, EV_READ);
       ev_io_start (g->loop, &front_io);
-      st = cf_ops_listen (g, g->set.ready_addr);
+      st = cf_ops_listen (g, g->settings.ready_addr);
     }
   if (st == CF_OK)
     st = cf_ops_listen (g, metrics);
-  if (st == CF_OK && g->set.control_addr)
+  if (st == CF_OK && g->settings.control_addr)
     st = cf_control_listen (g, peers, ranks);
   g_free (metrics);
   return st;
@@ -242,8 +243,9 @@
                  HOUSEKEEPING_INTERVAL_S);
   ev_timer_start (g->loop, &housekeeping);
   cf_log (LOG_NOTICE, CF_EV_START, "name=%s version=%s dc=%s front=%s",
-          g->set.node_name ? g->set.node_name : "-", CF_VERSION,
-          g->set.data_centre ? g->set.data_centre : "-", g->set.front_addr);
+          g->settings.node_name ? g->settings.node_name : "-", CF_VERSION,
+          g->settings.data_centre ? g->settings.data_centre : "-",
+          g->settings.front_addr);
   ev_run (g->loop, 0);
   cf_log (LOG_NOTICE, CF_EV_STOP, "callers=%u requests=%u", g->n_callers,
           g->n_exchanges);
@@ -288,14 +290,14 @@
 {
   gboolean check = FALSE;
   int metrics = METRICS_PORT;
-  CfPlatformSettings set;
+  CfPlatformSettings settings;
   int rc = parse_options (&argc, &argv, &check, &metrics);
 
   if (rc)
     return rc;
   cf_log_init ("comfrey-gateway");
   if (cf_platform_settings_load (cf_platform_settings_path (), CF_ROLE_GATEWAY,
-                                 &set)
+                                 &settings)
       != CF_OK)
     {
       cf_log (LOG_ERR, CF_EV_SETTINGS, "error=\"%s\"", cf_last_error ());
@@ -309,7 +311,8 @@
   if (!cf_log_writer_start (STDOUT_FILENO))
     cf_log (LOG_WARNING, CF_EV_START,
             "error=\"cannot start the log writer thread\"");
-  cf_gateway_init (&gw, ev_default_loop (EVBACKEND_EPOLL | EVFLAG_NOENV), &set);
+  cf_gateway_init (&gw, ev_default_loop (EVBACKEND_EPOLL | EVFLAG_NOENV),
+                   &settings);
   rc = run (&gw, metrics);
   cf_log_writer_stop (LOG_FLUSH_TIMEOUT_MS);
   return rc;
--- a/comfrey-rank-agent.c
+++ b/comfrey-rank-agent.c
@@ -46,7 +46,7 @@
   g_option_context_free (ctx);
   cf_log_init ("comfrey-rank-agent");
   if (cf_platform_settings_load (cf_platform_settings_path (),
-                                 CF_ROLE_RANK_AGENT, &agent.set)
+                                 CF_ROLE_RANK_AGENT, &agent.settings)
       != CF_OK)
     {
       cf_log (LOG_ERR, CF_EV_SETTINGS, "error=\"%s\"", cf_last_error ());
@@ -63,8 +63,8 @@
       return 2;
     }
   cf_log (LOG_NOTICE, CF_EV_START, "name=%s version=%s target=%s seeds=%d",
-          agent.set.node_name ? agent.set.node_name : "-", CF_VERSION,
-          agent.set.target_addr, agent.n_seeds);
+          agent.settings.node_name ? agent.settings.node_name : "-", CF_VERSION,
+          agent.settings.target_addr, agent.n_seeds);
   ev_run (agent.loop, 0);
   cf_log_writer_stop (LOG_FLUSH_TIMEOUT_MS);
   return 0;
--- a/entry-request.c
+++ b/entry-request.c
@@ -54,7 +54,7 @@
   json_error_t jerr;
   json_t *o = json_loads (req->body, 0, &jerr);
   json_t *v;
-  gint64 deadline = e->set.deadline_ms;
+  gint64 deadline = e->settings.deadline_ms;
   gboolean ok = FALSE;
 
   if (!json_is_object (o))
@@ -114,12 +114,12 @@
       goto out;
     }
   if (r->key && json_object_get (o, "deadline_ms") == NULL)
-    deadline = MIN (deadline, e->set.key_horizon_ms);
-  if (r->key && deadline > e->set.key_horizon_ms)
+    deadline = MIN (deadline, e->settings.key_horizon_ms);
+  if (r->key && deadline > e->settings.key_horizon_ms)
     {
       msg = g_strdup_printf ("'deadline_ms' of a call with an idempotency key "
                              "must be at most %" G_GINT64_FORMAT,
-                             e->set.key_horizon_ms);
+                             e->settings.key_horizon_ms);
       goto out;
     }
   r->body = json_dumps (v, JSON_COMPACT | JSON_ENCODE_ANY);
--- a/entry-route.c
+++ b/entry-route.c
@@ -137,7 +137,7 @@
                        r->intent->name, r->last_reason);
   cf_request_refuse (e, r, rep, 503, "unavailable",
                      r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO,
-                     MAX (r->retry_hint_ms, e->set.retry_after_ms), m);
+                     MAX (r->retry_hint_ms, e->settings.retry_after_ms), m);
 }
 
 /* Answers @r, whose key another request holds, with the answer to that
@@ -155,7 +155,8 @@
     cf_request_answer (e, r, rep, &reply, runner);
   else
     cf_request_refuse (
-        e, r, rep, 409, "fate-unknown", CF_RAN_UNKNOWN, e->set.retry_after_ms,
+        e, r, rep, 409, "fate-unknown", CF_RAN_UNKNOWN,
+        e->settings.retry_after_ms,
         "the call was sent before and may have run; retry with the same "
         "idempotency key");
   cf_msg_clear (&reply);
@@ -188,7 +189,7 @@
       break;
     case CF_CLAIM_NO_MAJORITY:
       cf_request_refuse (e, r, rep, 503, "guards-unavailable", CF_RAN_NO,
-                         MAX (c.retry_ms, e->set.retry_after_ms),
+                         MAX (c.retry_ms, e->settings.retry_after_ms),
                          "too few guards of the idempotency key could vouch "
                          "for it; come back after retry_after_ms");
       break;
@@ -232,7 +233,8 @@
                              reason);
 
       cf_request_refuse (e, r, rep, 409, "fate-unknown", m->u.refusal.ran,
-                         MAX (r->retry_hint_ms, e->set.retry_after_ms), text);
+                         MAX (r->retry_hint_ms, e->settings.retry_after_ms),
+                         text);
       return TRUE;
     }
   r->last_reason = "refused";
@@ -253,7 +255,7 @@
   if (r->key || timeout)
     {
       cf_request_refuse (e, r, rep, 504, timeout ? "deadline" : "link-lost",
-                         CF_RAN_UNKNOWN, e->set.retry_after_ms,
+                         CF_RAN_UNKNOWN, e->settings.retry_after_ms,
                          "the target may have run the request; a call with an "
                          "idempotency key may be sent again with the same key");
       return TRUE;
@@ -306,7 +308,7 @@
   release_key (e, r);
   cf_request_refuse (
       e, r, rep, 503, "draining", r->may_have_run ? CF_RAN_UNKNOWN : CF_RAN_NO,
-      e->set.retry_after_ms,
+      e->settings.retry_after_ms,
       "this entry ends before a target answered; send the request to another, "
       "with the same idempotency key if it has one");
 }
@@ -392,7 +394,7 @@
 {
   if (r->attempts == 0)
     return TRUE;
-  if (r->attempts >= e->set.max_attempts)
+  if (r->attempts >= e->settings.max_attempts)
     return FALSE;
   if (r->reached_target && !cf_retry_budget_take (&e->retry_budget))
     {
--- a/entry.c
+++ b/entry.c
@@ -119,11 +119,11 @@
           res == CF_ADMIT_FULL ? "overloaded" : "fair-share");
   if (res == CF_ADMIT_FULL)
     cf_request_refuse (
-        e, r, rep, 503, "overloaded", CF_RAN_NO, e->set.retry_after_ms,
+        e, r, rep, 503, "overloaded", CF_RAN_NO, e->settings.retry_after_ms,
         "the entry is at its admission limit; come back after retry_after_ms");
   else
     cf_request_refuse (e, r, rep, 429, "fair-share", CF_RAN_NO,
-                       e->set.retry_after_ms,
+                       e->settings.retry_after_ms,
                        "the organisation is at its fair share of a full entry; "
                        "come back after retry_after_ms");
   return FALSE;
@@ -135,7 +135,7 @@
   CfRequest r = { .http = req, .last_reason = "no-target" };
   CfConfig *c = NULL;
 
-  g_snprintf (r.id, sizeof r.id, "%s-%" G_GUINT64_FORMAT, e->set.name,
+  g_snprintf (r.id, sizeof r.id, "%s-%" G_GUINT64_FORMAT, e->settings.name,
               (guint64)__atomic_add_fetch (&e->seq, 1, __ATOMIC_RELAXED));
   g_atomic_int_inc (&e->in_flight);
   if (!cf_request_parse (e, req, &r, rep))
@@ -143,7 +143,7 @@
   if (g_atomic_int_get (&e->draining))
     {
       cf_request_refuse (
-          e, &r, rep, 503, "draining", CF_RAN_NO, e->set.retry_after_ms,
+          e, &r, rep, 503, "draining", CF_RAN_NO, e->settings.retry_after_ms,
           "this entry is shutting down; send the request to another");
       goto out;
     }
@@ -151,7 +151,7 @@
   if (c == NULL)
     {
       cf_request_refuse (
-          e, &r, rep, 503, "no-config", CF_RAN_NO, e->set.retry_after_ms,
+          e, &r, rep, 503, "no-config", CF_RAN_NO, e->settings.retry_after_ms,
           "no configuration is in force yet; check the config service");
       goto out;
     }
@@ -172,7 +172,7 @@
   if (r.key)
     {
       r.prev_config
-          = cf_config_watch_previous (&e->watch, e->set.key_horizon_ms);
+          = cf_config_watch_previous (&e->watch, e->settings.key_horizon_ms);
       g_snprintf (r.token, sizeof r.token, "%s-%016" G_GINT64_MODIFIER "x",
                   r.id, e->start_id);
     }
@@ -241,24 +241,26 @@
   CfStatus st;
 
   cf_link_table_init (&e->links);
-  cf_admission_init (&e->admission, e->set.max_in_flight,
-                     e->set.low_priority_share, e->set.fair_reserve);
-  cf_retry_budget_init (&e->retry_budget, e->set.retry_percent,
-                        e->set.retry_slack);
+  cf_admission_init (&e->admission, e->settings.max_in_flight,
+                     e->settings.low_priority_share, e->settings.fair_reserve);
+  cf_retry_budget_init (&e->retry_budget, e->settings.retry_percent,
+                        e->settings.retry_slack);
   e->start_id = (guint64)g_random_int () << 32 | g_random_int ();
-  cf_config_watch_start (&e->watch, e->set.config_url, e->set.peers,
-                         e->set.watch_wait_ms, on_config, e);
-  cf_vm_list_start (&e->vms, e->set.vmlist_url, e->set.vmlist_poll_ms);
-  if (!g_str_equal (e->set.peer_listen, "off"))
+  cf_config_watch_start (&e->watch, e->settings.config_url, e->settings.peers,
+                         e->settings.watch_wait_ms, on_config, e);
+  cf_vm_list_start (&e->vms, e->settings.vmlist_url,
+                    e->settings.vmlist_poll_ms);
+  if (!g_str_equal (e->settings.peer_listen, "off"))
     {
-      st = cf_http_server_start (e->set.peer_listen, on_peer, e, &e->peer_http);
+      st = cf_http_server_start (e->settings.peer_listen, on_peer, e,
+                                 &e->peer_http);
       if (st != CF_OK)
         return st;
     }
-  st = cf_http_server_start (e->set.listen, on_http, e, &e->http);
+  st = cf_http_server_start (e->settings.listen, on_http, e, &e->http);
   if (st == CF_OK)
-    cf_log (LOG_INFO, CF_EV_LISTEN, "addr=%s datacentre=%s", e->set.listen,
-            e->set.datacentre);
+    cf_log (LOG_INFO, CF_EV_LISTEN, "addr=%s datacentre=%s", e->settings.listen,
+            e->settings.datacentre);
   return st;
 }
 
@@ -273,7 +275,7 @@
 void
 cf_entry_drain (CfEntry *e)
 {
-  long long until = cf_now_ms () + e->set.drain_grace_ms;
+  long long until = cf_now_ms () + e->settings.drain_grace_ms;
 
   __atomic_store_n (&e->drain_deadline_ms, until, __ATOMIC_RELEASE);
   g_atomic_int_set (&e->draining, 1);
--- a/entry.h
+++ b/entry.h
@@ -45,7 +45,7 @@
  */
 typedef struct
 {
-  CfEntrySettings set;
+  CfEntrySettings settings;
   CfHttpServer *http;
   CfHttpServer *peer_http; /**< %NULL if peer_listen is "off" */
   CfConfigWatch watch;
--- a/gateway/caller.c
+++ b/gateway/caller.c
@@ -73,9 +73,9 @@
 static void
 disconnect (CfCaller *c)
 {
-  CfExchange *x = c->x;
+  CfExchange *x = c->exchange;
 
-  c->x = NULL;
+  c->exchange = NULL;
   if (x)
     cf_exchange_abandon (x);
   close_caller (c);
@@ -138,7 +138,7 @@
 {
   g_string_truncate (c->output, 0);
   c->output_sent = 0;
-  if (!c->close_after_answer || c->x || c->lingering)
+  if (!c->close_after_answer || c->exchange || c->lingering)
     return;
   c->lingering = TRUE;
   shutdown (c->io.fd, SHUT_WR);
@@ -227,7 +227,7 @@
     g_string_append (c->output, "0\r\n\r\n");
   c->chunked = FALSE;
   c->served = TRUE;
-  c->x = NULL;
+  c->exchange = NULL;
   if (!c->close_after_answer)
     await_next_request (c);
   cf_caller_flush (c);
@@ -236,7 +236,7 @@
 void
 cf_caller_abort (CfCaller *c)
 {
-  c->x = NULL;
+  c->exchange = NULL;
   close_caller (c);
 }
 
@@ -342,7 +342,7 @@
     return;
   if (n > 0)
     g_string_append_len (c->input, buf, n);
-  if (!c->x && c->input->len > 0 && !c->close_after_answer)
+  if (!c->exchange && c->input->len > 0 && !c->close_after_answer)
     parse_input (c);
   if (!c->is_closed)
     update_events (c);
@@ -357,8 +357,8 @@
   if (revents & EV_WRITE)
     {
       cf_caller_flush (c);
-      if (!c->is_closed && c->x && c->output->len == 0)
-        cf_exchange_unpause_upstream (c->x);
+      if (!c->is_closed && c->exchange && c->output->len == 0)
+        cf_exchange_unpause_upstream (c->exchange);
     }
   if (!c->is_closed && (revents & EV_READ))
     read_input (c);
@@ -415,7 +415,7 @@
 static gboolean
 is_idle (const CfCaller *c)
 {
-  return !c->x && !c->reader.started && c->output->len == 0
+  return !c->exchange && !c->reader.started && c->output->len == 0
          && !is_newly_connected (c);
 }
 
@@ -494,8 +494,8 @@
 
   while ((c = TAILQ_FIRST (&g->callers)))
     {
-      if (c->x)
-        cf_exchange_end_at_shutdown (c->x);
+      if (c->exchange)
+        cf_exchange_end_at_shutdown (c->exchange);
       else if (c->reader.started && !c->close_after_answer)
         refuse (c, 503, "the process ends");
       close_caller (c);
--- a/gateway/caller.h
+++ b/gateway/caller.h
@@ -23,7 +23,7 @@
   gsize output_sent; /**< how many bytes of @output are sent */
   gint64 accepted_ms;
   gboolean served;             /**< at least one answer was completed */
-  CfExchange *x;               /**< exchange of the current request */
+  CfExchange *exchange;        /**< exchange of the current request */
   gboolean chunked;            /**< the answer uses chunked encoding */
   gboolean close_after_answer; /**< no further request is read */
   gboolean lingering;          /**< waits for the caller to close */
--- a/gateway/control.c
+++ b/gateway/control.c
@@ -62,7 +62,7 @@
 {
   ControlListener *c;
   int fd;
-  CfStatus st = cf_socket_listen (g->set.control_addr, &fd);
+  CfStatus st = cf_socket_listen (g->settings.control_addr, &fd);
 
   if (st != CF_OK)
     return st;
--- a/gateway/exchange-crash.c
+++ b/gateway/exchange-crash.c
@@ -31,7 +31,7 @@
 may_have_crashed (const CfExchange *x)
 {
   return cf_quarantine_may_be_crash (
-      silent_ms (x), x->route->stream ? x->gateway->set.stall_ms : 0);
+      silent_ms (x), x->route->stream ? x->gateway->settings.stall_ms : 0);
 }
 
 static void
--- a/gateway/exchange-send.c
+++ b/gateway/exchange-send.c
@@ -227,7 +227,7 @@
     return CF_PICK_FULL;
 
   in.service = x->service;
-  in.data_centre = x->gateway->set.data_centre;
+  in.data_centre = x->gateway->settings.data_centre;
   in.tried = x->tried_targets;
   in.now_ms = cf_gateway_now (x->gateway);
   in.n_gateways = x->gateway->fleet_size;
--- a/gateway/exchange-silence.c
+++ b/gateway/exchange-silence.c
@@ -49,7 +49,7 @@
 cf_exchange_silence_timeout_ms (const CfExchange *x)
 {
   if (x->route->stream)
-    return x->gateway->set.stall_ms + SILENCE_MARGIN_MS;
+    return x->gateway->settings.stall_ms + SILENCE_MARGIN_MS;
   return (gint64)((double)x->route->objective_ms * SILENCE_OBJECTIVES);
 }
 
--- a/gateway/exchange-stop.c
+++ b/gateway/exchange-stop.c
@@ -115,7 +115,7 @@
 {
   if (x->answer_started)
     {
-      x->caller->x = NULL;
+      x->caller->exchange = NULL;
       cf_exchange_finish (x, CF_OUTCOME_BROKEN, x->status, "cut-by-stop");
     }
   else if (x->upstream || x->may_have_run)
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -152,7 +152,7 @@
       = cf_http_reader_header (&x->caller->reader, CF_HDR_API_KEY);
   const char *key = value ? cf_platform_parse_api_key (value) : NULL;
 
-  x->org = key ? g_hash_table_lookup (x->policy->tenants, key) : NULL;
+  x->org = key ? g_hash_table_lookup (x->policy->org_by_api_key, key) : NULL;
   return x->org || x->route->keyless || !x->policy->requires_api_key;
 }
 
@@ -234,7 +234,7 @@
   x->silence_timer.data = x;
   g->n_exchanges++;
   g->stats.requests++;
-  c->x = x;
+  c->exchange = x;
   return x;
 }
 
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -42,7 +42,7 @@
 retry_slack (const CfGateway *g)
 {
   double slack
-      = (double)g->set.retry_slack * RETRY_SHARE / MAX (g->fleet_size, 1);
+      = (double)g->settings.retry_slack * RETRY_SHARE / MAX (g->fleet_size, 1);
 
   return (gint64)MAX (slack, 1);
 }
@@ -63,7 +63,7 @@
   s = g_new0 (CfServiceState, 1);
   cf_wait_queue_init (&s->queue);
   cf_retry_budget_init (&s->budget,
-                        (gint64)(g->set.retry_ratio * RETRY_SHARE * 100),
+                        (gint64)(g->settings.retry_ratio * RETRY_SHARE * 100),
                         retry_slack (g));
   g_hash_table_insert (g->service_states, g_strdup (service), s);
   return s;
@@ -84,16 +84,18 @@
 }
 
 void
-cf_gateway_init (CfGateway *g, struct ev_loop *loop, CfPlatformSettings *set)
+cf_gateway_init (CfGateway *g, struct ev_loop *loop,
+                 CfPlatformSettings *settings)
 {
   memset (g, 0, sizeof *g);
   g->loop = loop;
-  g->set = *set;
-  memset (set, 0, sizeof *set);
+  g->settings = *settings;
+  memset (settings, 0, sizeof *settings);
   g->now_ms = cf_now_ms ();
   g->started_ms = g->now_ms;
-  g->body_bytes_max = (gsize)g->set.memory_mb * 1048576 / BODY_MEMORY_DIVISOR;
-  g->callers_max = compute_callers_max (&g->set);
+  g->body_bytes_max
+      = (gsize)g->settings.memory_mb * 1048576 / BODY_MEMORY_DIVISOR;
+  g->callers_max = compute_callers_max (&g->settings);
   TAILQ_INIT (&g->callers);
   TAILQ_INIT (&g->probes);
   TAILQ_INIT (&g->unrouted);
@@ -116,7 +118,7 @@
   g_clear_pointer (&g->quarantine, cf_quarantine_free);
   g_clear_pointer (&g->policy, cf_policy_unref);
   g_clear_pointer (&g->policy_json, g_bytes_unref);
-  cf_platform_settings_clear (&g->set);
+  cf_platform_settings_clear (&g->settings);
 }
 
 gint64
@@ -381,7 +383,7 @@
   gpointer s;
 
   /* Peers are unknown at the start, so all seeds count as running. */
-  n = MAX (n, MAX (g_strv_length (g->set.seed_addrs), 1));
+  n = MAX (n, MAX (g_strv_length (g->settings.seed_addrs), 1));
   if (n == g->fleet_size)
     return;
   g->fleet_size = n;
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -48,7 +48,7 @@
   struct ev_loop *loop;
   gint64 now_ms; /**< monotonic time at the start of the iteration */
   gint64 started_ms;
-  CfPlatformSettings set;
+  CfPlatformSettings settings;
   CfPolicy *policy;          /**< configuration in force; %NULL: none yet */
   gint64 policy_rev;         /**< store revision of @policy */
   GBytes *policy_json;       /**< @policy as stored, for peers */
@@ -86,10 +86,10 @@
  * cf_gateway_init:
  * Initializes a gateway without configuration, targets or callers.  Until it
  * hears from its peers, it assumes that all seeds are running.
- * @set: its contents are moved into @g
+ * @settings: its contents are moved into @g
  */
 void cf_gateway_init (CfGateway *g, struct ev_loop *loop,
-                      CfPlatformSettings *set);
+                      CfPlatformSettings *settings);
 
 /** cf_gateway_clear: frees the contents of @g; all callers have to be closed
  * before. */
--- a/gateway/peer-service.c
+++ b/gateway/peer-service.c
@@ -180,8 +180,8 @@
 fill_hello (const CfPeerService *s, CfPeerMsg *m)
 {
   const CfGateway *g = s->g;
-  const char *addr = g->set.control_addr ? g->set.control_addr : "";
-  const char *dc = g->set.data_centre ? g->set.data_centre : "";
+  const char *addr = g->settings.control_addr ? g->settings.control_addr : "";
+  const char *dc = g->settings.data_centre ? g->settings.data_centre : "";
 
   memset (m, 0, sizeof *m);
   m->kind = CF_PEER_GATEWAY_HELLO;
@@ -562,15 +562,15 @@
 cf_peer_service_new (CfGateway *g)
 {
   CfPeerService *s = g_new0 (CfPeerService, 1);
-  const char *own_addr = g->set.control_addr;
+  const char *own_addr = g->settings.control_addr;
 
   s->g = g;
   TAILQ_INIT (&s->peers);
-  s->membership = cf_membership_new (own_addr, g->set.data_centre);
-  for (int i = 0; i < CF_SEEDS_MAX && g->set.seed_addrs[i]; i++)
+  s->membership = cf_membership_new (own_addr, g->settings.data_centre);
+  for (int i = 0; i < CF_SEEDS_MAX && g->settings.seed_addrs[i]; i++)
     s->seed_valid[i]
-        = g_strcmp0 (g->set.seed_addrs[i], own_addr) != 0
-          && cf_socket_parse_address (g->set.seed_addrs[i], &s->seeds[i])
+        = g_strcmp0 (g->settings.seed_addrs[i], own_addr) != 0
+          && cf_socket_parse_address (g->settings.seed_addrs[i], &s->seeds[i])
                  == CF_OK;
   return s;
 }
--- a/gateway/policy.c
+++ b/gateway/policy.c
@@ -40,7 +40,8 @@
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   p->services
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, service_free);
-  p->tenants = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  p->org_by_api_key
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   p->org_priority
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return p;
@@ -60,7 +61,7 @@
     return;
   g_hash_table_destroy (p->by_host_prefix);
   g_hash_table_destroy (p->services);
-  g_hash_table_destroy (p->tenants);
+  g_hash_table_destroy (p->org_by_api_key);
   g_hash_table_destroy (p->org_priority);
   g_ptr_array_free (p->routes, TRUE);
   g_free (p);
--- a/gateway/policy.h
+++ b/gateway/policy.h
@@ -94,7 +94,7 @@
   GPtrArray *routes;          /**< of #CfRoute, owned */
   GHashTable *by_host_prefix; /**< "host prefix" -> #CfRoute */
   GHashTable *services;       /**< name -> #CfService, owned */
-  GHashTable *tenants;        /**< API key -> name of the organisation, owned */
+  GHashTable *org_by_api_key; /**< API key -> name of the organisation, owned */
   GHashTable *org_priority;   /**< organisation -> priority + 1; 0: not set */
   gboolean requires_api_key;  /**< on routes that are not @keyless */
   CfCallerLimits limits;
--- a/gateway/rank-agent-order.c
+++ b/gateway/rank-agent-order.c
@@ -113,7 +113,7 @@
     cf_rank_agent_track_copy (o->agent, o->version);
   cf_rank_call (
       o->agent->loop, o->agent->target,
-      cf_platform_rank_build_report_request (o->agent->set.target_addr),
+      cf_platform_rank_build_report_request (o->agent->settings.target_addr),
       REPORT_TIMEOUT_MS, on_report_after_order, o);
 }
 
@@ -122,8 +122,8 @@
 {
   o->attempts++;
   cf_rank_call (o->agent->loop, o->agent->target,
-                cf_platform_rank_build_order_request (o->agent->set.target_addr,
-                                                      o->body, o->n),
+                cf_platform_rank_build_order_request (
+                    o->agent->settings.target_addr, o->body, o->n),
                 ORDER_TIMEOUT_MS, on_order_answer, o);
 }
 
--- a/gateway/rank-agent.c
+++ b/gateway/rank-agent.c
@@ -116,7 +116,7 @@
     return;
   a->rank_unreachable = !answers;
   cf_log (LOG_NOTICE, CF_EV_TARGET_FAIL, "target=%s outcome=%s",
-          a->set.target_addr, answers ? "answers-again" : "no-answer");
+          a->settings.target_addr, answers ? "answers-again" : "no-answer");
 }
 
 /* The group re-formed or the rank restarted, so no copy is in progress any
@@ -131,7 +131,7 @@
   cf_log (LOG_NOTICE, CF_EV_TARGET_FAIL,
           "target=%s outcome=restarted incarnation=%" G_GINT64_FORMAT
           " before=%" G_GINT64_FORMAT,
-          a->set.target_addr, s->incarnation, a->status.incarnation);
+          a->settings.target_addr, s->incarnation, a->status.incarnation);
 }
 
 gboolean
@@ -145,7 +145,7 @@
   if (cf_platform_rank_parse_report (body->str, body->len, &s) != CF_OK)
     {
       cf_log (LOG_WARNING, CF_EV_TARGET_FAIL, "target=%s error=\"%s\"",
-              a->set.target_addr, cf_last_error ());
+              a->settings.target_addr, cf_last_error ());
       return FALSE;
     }
   if (a->has_status
@@ -213,7 +213,7 @@
                                         &counts)
              != CF_OK)
     cf_log (LOG_WARNING, CF_EV_TARGET_FAIL, "target=%s error=\"%s\"",
-            a->set.target_addr, cf_last_error ());
+            a->settings.target_addr, cf_last_error ());
   /* If the rank restarted between the two calls, the next read repeats both. */
   if (counts && incarnation != a->status.incarnation)
     g_clear_pointer (&counts, g_array_unref);
@@ -247,9 +247,10 @@
       finish_read (a);
     }
   else
-    cf_rank_call (a->loop, a->target,
-                  cf_platform_rank_build_counts_request (a->set.target_addr),
-                  CALL_TIMEOUT_MS, on_counts, a);
+    cf_rank_call (
+        a->loop, a->target,
+        cf_platform_rank_build_counts_request (a->settings.target_addr),
+        CALL_TIMEOUT_MS, on_counts, a);
 }
 
 static void
@@ -266,7 +267,7 @@
     }
   a->read_pending = TRUE;
   cf_rank_call (loop, a->target,
-                cf_platform_rank_build_report_request (a->set.target_addr),
+                cf_platform_rank_build_report_request (a->settings.target_addr),
                 CALL_TIMEOUT_MS, on_report, a);
 }
 
@@ -283,7 +284,7 @@
     {
       cf_log (LOG_WARNING, CF_EV_TARGET_FAIL,
               "target=%s call=lists status=%d error=\"%s\"",
-              s->agent->set.target_addr, status,
+              s->agent->settings.target_addr, status,
               status == 200 ? cf_last_error () : "");
       return;
     }
@@ -311,7 +312,7 @@
 {
   CfSeed *s = owner;
   CfPeerMsg m = { .kind = CF_PEER_AGENT_HELLO };
-  const char *addr = s->agent->set.target_addr;
+  const char *addr = s->agent->settings.target_addr;
 
   s->up = TRUE;
   s->status_sent_ms = 0;
@@ -393,10 +394,10 @@
         cf_rank_agent_handle_prepare (s, &m);
         break;
       case CF_PEER_REQUEST_LISTS:
-        cf_rank_call (
-            s->agent->loop, s->agent->target,
-            cf_platform_rank_build_lists_request (s->agent->set.target_addr),
-            CALL_TIMEOUT_MS, on_lists, s);
+        cf_rank_call (s->agent->loop, s->agent->target,
+                      cf_platform_rank_build_lists_request (
+                          s->agent->settings.target_addr),
+                      CALL_TIMEOUT_MS, on_lists, s);
         break;
       default:
         break;
@@ -455,10 +456,10 @@
   static ev_timer reconnect_timer;
 
   a->quarantine = cf_quarantine_new ();
-  a->target = cf_target_new_at (a->set.target_addr);
+  a->target = cf_target_new_at (a->settings.target_addr);
   if (!a->target)
     return CF_ERR_SETTINGS;
-  for (char **s = a->set.seed_addrs; *s && a->n_seeds < CF_SEEDS_MAX; s++)
+  for (char **s = a->settings.seed_addrs; *s && a->n_seeds < CF_SEEDS_MAX; s++)
     {
       CfSeed *seed = &a->seeds[a->n_seeds];
 
--- a/gateway/rank-agent.h
+++ b/gateway/rank-agent.h
@@ -37,7 +37,7 @@
 struct CfRankAgent
 {
   struct ev_loop *loop;
-  CfPlatformSettings set;
+  CfPlatformSettings settings;
   CfTarget *target; /**< the rank on this VM */
   CfSeed seeds[CF_SEEDS_MAX];
   int n_seeds;
@@ -57,6 +57,6 @@
   ev_timer read_timer;
 };
 
-/** cf_rank_agent_start: starts the agent; @a->loop and @a->set have to be
+/** cf_rank_agent_start: starts the agent; @a->loop and @a->settings have to be
  * set. */
 CfStatus cf_rank_agent_start (CfRankAgent *a);
--- a/gateway/rank-service-lead.c
+++ b/gateway/rank-service-lead.c
@@ -36,8 +36,8 @@
 static guint
 seeds_ahead (const CfLedGroup *g)
 {
-  guint n
-      = MIN (g_strv_length (g->service->gateway->set.seed_addrs), CF_SEEDS_MAX);
+  guint n = MIN (g_strv_length (g->service->gateway->settings.seed_addrs),
+                 CF_SEEDS_MAX);
   guint first = g_str_hash (g->name) % MAX (n, 1);
   guint before = 0;
 
--- a/gateway/rank-service-order.c
+++ b/gateway/rank-service-order.c
@@ -49,7 +49,7 @@
   const CfLedGroup *g = d->group;
   const CfRankToken *token = &g->rank_tokens[d->rank];
 
-  if (!g->service->gateway->set.ranks_check_fence)
+  if (!g->service->gateway->settings.ranks_check_fence)
     return 0;
   if (token->fence == d->fence && token->epoch == epoch
       && as_of >= token->since_ms)
--- a/gateway/rank-service.c
+++ b/gateway/rank-service.c
@@ -516,7 +516,7 @@
   CfRankService *s = g_new0 (CfRankService, 1);
 
   s->gateway = g;
-  s->seed = find_own_seed (&g->set);
+  s->seed = find_own_seed (&g->settings);
   s->groups = g_hash_table_new (g_str_hash, g_str_equal);
   TAILQ_INIT (&s->agents);
   ev_timer_init (&s->timer, on_timer, IDLE_INTERVAL_S, IDLE_INTERVAL_S);
--- a/gateway/store-watch.c
+++ b/gateway/store-watch.c
@@ -256,7 +256,7 @@
 static void
 send_call (CfStoreWatch *w)
 {
-  const char *addr = w->g->set.store_addr;
+  const char *addr = w->g->settings.store_addr;
   char *request;
 
   w->state = w->has_snapshot ? CF_WATCH_CHANGES : CF_WATCH_RANGE;
@@ -287,7 +287,7 @@
       send_call (w);
       return;
     }
-  if (cf_socket_parse_address (w->g->set.store_addr, &sa) != CF_OK)
+  if (cf_socket_parse_address (w->g->settings.store_addr, &sa) != CF_OK)
     {
       fail_call (w, cf_last_error ());
       return;
--- a/gateway/target-feed.c
+++ b/gateway/target-feed.c
@@ -66,7 +66,7 @@
 static gint64
 get_drain_end_ms (const CfGateway *g)
 {
-  return cf_gateway_now (g) + MAX (g->set.drain_ms - PROPAGATION_MS, 0);
+  return cf_gateway_now (g) + MAX (g->settings.drain_ms - PROPAGATION_MS, 0);
 }
 
 static void
--- a/t/t-platform.c
+++ b/t/t-platform.c
@@ -116,7 +116,7 @@
   ck_assert_ptr_null (cf_policy_route (p, "h.example", "/xx/"));
   ck_assert_ptr_null (cf_policy_route (p, "other", "/x/1"));
   ck_assert_ptr_null (cf_policy_route (p, "h.example", "/x"));
-  ck_assert_str_eq (g_hash_table_lookup (p->tenants, "k2"), "t");
+  ck_assert_str_eq (g_hash_table_lookup (p->org_by_api_key, "k2"), "t");
   ck_assert_int_eq (cf_policy_service (p, "s1")->engine.experts, 64);
   ck_assert_double_eq (cf_policy_service (p, "s1")->engine.slots, 12);
   ck_assert_double_eq_tol (cf_policy_service (p, "s1")->engine.copy_ms, 7.56,
