--- a/standins/comfrey-callers.c
+++ b/standins/comfrey-callers.c
@@ -15,7 +15,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Attempts of a request, the first one included. */
+/** Maximum number of attempts of a request, including the first. */
 #define MAX_ATTEMPTS 3
 /** The latencies of this many requests take 80 MB. */
 #define MAX_REQUESTS 10000000
@@ -71,11 +71,11 @@
   gint64 start_ms;
   int status;
   gboolean is_signed;
-  double retry_after_s; /**< as the last answer asks */
+  double retry_after_s; /**< from the last answer's Retry-After */
   CfEventStream events;
   CfTarget *gateway;    /**< of the last attempt */
   CfUpstream *upstream; /**< connection of the attempt; %NULL between them */
-  int connect_errno; /**< why the last attempt got no connection; 0: it did */
+  int connect_errno; /**< why the last attempt could not connect; 0: it could */
   ev_timer retry_timer;
   ev_timer attempt_timer;
 } Caller;
@@ -245,8 +245,9 @@
     ev_timer_set (&c->attempt_timer, ATTEMPT_TIMEOUT_S, 0);
   else
     {
-      /* Counted in the next iteration of the loop: if it were counted here, the
-       * next request would start on the stack of this one. */
+      /* The failure is counted in the next iteration of the event loop: if it
+       * were counted here, the next request would start on this one's stack.
+       */
       c->connect_errno = errno;
       ev_timer_set (&c->attempt_timer, 0, 0);
     }
--- a/standins/comfrey-fault-proxy.c
+++ b/standins/comfrey-fault-proxy.c
@@ -1,6 +1,6 @@
 /*
- * A TCP proxy on the loopback address, for tests.  It injects network faults
- * into the connections it forwards, which neither end can see as such.
+ * A TCP proxy on the loopback address, for tests.  It injects faults into
+ * the connections it forwards; neither end can tell them from real ones.
  *
  * SIGUSR1 silences the connections that are open, for good: they forward
  * nothing in either direction, and are not reset.  New connections work.
--- a/standins/fake-group.c
+++ b/standins/fake-group.c
@@ -6,15 +6,15 @@
 #include <math.h>
 #include <string.h>
 
-/** Fraction of a balanced pass that the experts take.  It grows with the skew;
- * the rest does not depend on the map. */
+/** Fraction of a balanced pass's duration that the experts take.  The time of
+ * the experts grows with the skew; the rest does not depend on the map. */
 #define EXPERT_TIME_FRACTION 0.85
-/** Experts of one set that a streaming request chooses in a pass; each rank
- * counts the choices of 100 requests. */
+/** Experts of one set that a streaming request chooses in a pass.  In each
+ * pass, each rank counts the choices of 100 requests, however many it runs. */
 #define CHOICES_PER_PASS 32
 
-/* The demand for @expert: a few experts of each set are popular, and others
- * become popular each shape.shift_s seconds. */
+/* The relative demand for @expert.  A few experts of each set are popular;
+ * every shape.shift_s seconds the demand moves to others. */
 static double
 popularity (const FakeGroup *g, int set, int expert)
 {
@@ -164,8 +164,8 @@
 }
 
 /* Ends a pass: sends the next event of each stream, and begins the next pass.
- * A pass that a rank holds is tried again a pass time later.  Without streams
- * the passes stop. */
+ * If a rank holds the next pass, tries to begin it again after another pass
+ * duration.  The passes stop when there are no streams. */
 static void
 on_pass_end (struct ev_loop *loop, ev_timer *t, int revents)
 {
@@ -220,8 +220,8 @@
   r->copying_version = 0;
 }
 
-/* The map that @sets gives as JSON, set by set and rank by rank; NULL if some
- * expert is on no rank. */
+/* Parses @sets, a JSON array that lists the experts of each set and rank.
+ * Returns NULL if some expert is on no rank. */
 static CfGroupMap *
 parse_map (const FakeGroup *g, const json_t *sets)
 {
@@ -242,9 +242,9 @@
   return m;
 }
 
-/* The functions for the single orders return the HTTP status of the answer:
- * 200 if the rank is already in that state, 202 if it accepts the order, 409
- * if its state does not allow it. */
+/* Each of the following functions executes one kind of order and returns the
+ * HTTP status of the answer: 200 if the rank is already in the ordered state,
+ * 202 if it accepts the order, 409 if its state does not allow the order. */
 
 static int
 prepare_map (FakeGroup *g, FakeRank *r, gint64 version, const json_t *sets)
--- a/standins/fake-group.h
+++ b/standins/fake-group.h
@@ -6,7 +6,7 @@
 
 #include <sys/queue.h>
 
-/** FakeStream: an event stream that a rank writes, an event each pass. */
+/** FakeStream: an event stream that a rank sends, one event per pass. */
 typedef struct FakeStream FakeStream;
 
 struct FakeStream
@@ -26,7 +26,7 @@
 typedef struct
 {
   CfRankStatus status;
-  gint64 armed_step;      /**< pass that begins with the armed map */
+  gint64 armed_step;      /**< first pass that uses the armed map */
   gint64 highest_version; /**< of the maps that it was ordered to prepare */
   gint64 fence;           /**< highest fencing token of an order */
   gint64 copying_version; /**< 0: none */
@@ -36,7 +36,7 @@
   gint64 *expert_counts; /**< sets x experts; times each was chosen */
 } FakeRank;
 
-/** FakeGroup: a rank group, whose ranks make their passes together. */
+/** FakeGroup: a rank group, whose ranks run their passes in lock step. */
 struct FakeGroup
 {
   struct ev_loop *loop;
@@ -48,11 +48,11 @@
   gint64 epoch;
   guint64 n_mixed; /**< passes begun while two ranks had different maps */
   guint64 n_passes;
-  double skew_sum; /**< of the skew, added up as each pass ends */
+  double skew_sum; /**< sum of the load skew at the end of each pass */
 };
 
 /**
- * fake_group_handle_order: carries out an order to @rank.
+ * fake_group_handle_order: executes an order to @rank.
  * @json: the body of the order, of @n bytes
  * Returns: the HTTP status of the answer
  */
@@ -63,6 +63,6 @@
  * held. */
 void fake_group_restart_rank (FakeGroup *g, int rank);
 
-/** fake_group_start_passes: starts the passes, for a new stream, unless they
- * run already. */
+/** fake_group_start_passes: starts the group's passes unless they are running;
+ * they stop by themselves once no rank has a stream. */
 void fake_group_start_passes (FakeGroup *g);
--- a/standins/fake-http.c
+++ b/standins/fake-http.c
@@ -313,8 +313,8 @@
 gboolean
 fake_http_has_path (const FakeConn *c, const char *path)
 {
-  const char *target = cf_http_reader_request_target (&c->reader);
-  gsize n = strcspn (target, "?");
+  const char *request_target = cf_http_reader_request_target (&c->reader);
+  gsize n = strcspn (request_target, "?");
 
-  return strlen (path) == n && strncmp (target, path, n) == 0;
+  return strlen (path) == n && strncmp (request_target, path, n) == 0;
 }
--- a/standins/fake-http.h
+++ b/standins/fake-http.h
@@ -34,7 +34,7 @@
                                             not completely answered */
   gboolean is_chunked;                 /**< an answer in chunks was begun */
   gboolean close_after;                /**< close after the current answer */
-  gboolean in_io; /**< on_io() runs and frees the connection itself */
+  gboolean in_io; /**< on_io() runs; it frees the connection if closed */
   gboolean is_closed;
 };
 
--- a/standins/fake-target.c
+++ b/standins/fake-target.c
@@ -12,14 +12,14 @@
 /** Delay of the first event of a stream with the fault "tardy". */
 #define TARDY_START_MS 1000
 #define TOKENS_PER_EVENT 4
-/** For this long a draining target may get new requests; those that come later
- * are counted as late. */
+/** A draining target may still get new requests for this long; requests that
+ * arrive later are counted as late. */
 #define DRAIN_GRACE_S 2.0
 /** Delay of an order under /test/late-orders. */
 #define ORDER_DELAY_S 1.0
-/** Time for which a target that crashed refuses connections. */
+/** Time for which a crashed target refuses connections. */
 #define CRASH_DOWNTIME_S 0.2
-/** How much later the start time of a restarted target is by default. */
+/** Default difference between the start times of successive incarnations. */
 #define RESTART_INTERVAL_MS 1000
 
 struct FakeTarget
@@ -37,9 +37,9 @@
   gboolean draining;
   double drain_start_s;     /**< on the loop's clock */
   gint64 started_ms;        /**< Unix time at which this incarnation started */
-  int n_running;            /**< requests */
+  int n_running;            /**< requests that it runs now */
   int delayed_order_tenths; /**< of ten orders, this many are delayed */
-  gboolean skips_order_answers; /**< carries out orders without an answer */
+  gboolean skips_order_answers; /**< executes orders without answering */
   int n_orders;
   GList *requests;  /**< of #PlainRequest: those that run now */
   char *rate_limit; /**< (nullable): requests a second that answers carry */
@@ -50,7 +50,7 @@
   GHashTable *run_counts; /**< request id -> how often it ran */
   guint64 n_runs;
   guint64 n_repeated;     /**< request ids that ran more than once */
-  guint64 n_after_drain;  /**< came after DRAIN_GRACE_S of draining */
+  guint64 n_after_drain;  /**< requests after DRAIN_GRACE_S of drain */
   guint64 n_disconnected; /**< callers that left while their requests ran */
 };
 
@@ -107,7 +107,8 @@
     t->n_repeated++;
 }
 
-/* (nullable) (transfer full): the kind of fault that the next request meets. */
+/* Counts down the remaining faults.  Returns: (nullable) (transfer full): the
+ * kind of fault that the next request meets. */
 static char *
 next_fault (FakeTarget *t)
 {
@@ -137,8 +138,8 @@
   end_plain_request (req);
 }
 
-/* Sends an answer spoiled by @fault; returns FALSE, with nothing sent, if
- * @fault leaves the answer as it is. */
+/* Sends the faulty answer that @fault stands for.  Returns FALSE and sends
+ * nothing if the answer's status, body and framing are not affected. */
 static gboolean
 answer_with_fault (FakeTarget *t, FakeConn *c, const char *fault,
                    const char *headers)
@@ -264,7 +265,7 @@
   ((FakeTarget *)c->handler_data)->n_running--;
 }
 
-/* Never answers the request, while the group of the rank goes on. */
+/* Leaves the rank's request without an answer; its group's passes continue. */
 static void
 hang_request (FakeTarget *t, FakeConn *c)
 {
@@ -494,7 +495,7 @@
   fake_http_answer (c, 200, NULL, "", 0);
 }
 
-/** DelayedOrder: an order that a rank carries out later. */
+/** DelayedOrder: an order that a rank executes later. */
 typedef struct
 {
   FakeTarget *target;
@@ -513,8 +514,9 @@
   g_free (o);
 }
 
-/* Whether the next order is delayed.  Multiples of 7 modulo 10 spread the
- * delayed orders over each ten; three in a row, say, would be too regular. */
+/* Counts an order, and returns whether it is delayed.  Multiples of 7 modulo 10
+ * spread the delayed orders over each ten; three in a row, say, would be too
+ * regular. */
 static gboolean
 is_next_order_delayed (FakeTarget *t)
 {
--- a/standins/fake-target.h
+++ b/standins/fake-target.h
@@ -19,27 +19,27 @@
  *   garbage   answered with bytes that are not HTTP
  *   extra     a second answer follows the first
  *   unsigned  answered without a signature
- *   unframed  answered without a length; the end of the connection ends it
+ *   unframed  answered without a length; closing the connection ends it
  *   hang      never answered
  *   cut       a stream is reset in the middle of an event
  *   tardy     a stream begins 1 s late
  *   crash     the target crashes, as by /test/crash
- * A rank runs requests normally under a kind that is only for plain services
- * (from fail to unframed); a plain service does so under cut and tardy.
+ * The kinds from fail to unframed affect only plain services, and cut and tardy
+ * affect only ranks; other targets run the requests normally.
  *
  * POST /test/crasher: from now on a request with the body of this call crashes
  * the target that runs it: all its connections in use are reset, and it
  * restarts under another id.
  *
- * POST /test/crash: it crashes now, in the same way.
+ * POST /test/crash: the target crashes now, in the same way.
  *
  * POST /test/limit?per-s=X: from now on its answers carry a rate limit of X
  * requests a second; without X, none.
  *
- * POST /test/late-orders?tenths=N: N of ten orders to a rank get no answer
- * and are carried out a second later.
+ * POST /test/late-orders?tenths=N: N of every ten orders to a rank get no
+ * answer and are executed a second later.
  *
- * POST /test/mute-orders: orders to a rank are carried out but not answered.
+ * POST /test/mute-orders: orders to a rank are executed but not answered.
  *
  * POST /test/drain: its store record says that it is draining.
  *
@@ -54,7 +54,7 @@
  *
  * GET /test/runs?id=ID: counters: runs, doubled (ids that ran more than once,
  * also after a restart under the same id), gone (callers that disconnected
- * while their requests ran), late (requests that came though it had been
+ * while their requests ran), late (requests that arrived after it had been
  * draining for 2 s), crashes, mixed (passes begun while ranks had different
  * maps), passes, skew (mean per pass), and times (how often ID ran).
  *
--- a/t/t-callers.c
+++ b/t/t-callers.c
@@ -147,7 +147,8 @@
 }
 END_TEST
 
-/* First too few for the event loop, then too few for connections. */
+/* There are too few file descriptors first for the event loop, then for the
+ * connections. */
 START_TEST (out_of_file_descriptors)
 {
   RunResult result
--- a/t/t-demo.c
+++ b/t/t-demo.c
@@ -5,7 +5,7 @@
  * fault" and no summary line.  That happened when a list was added to the
  * target struct: of the three places that set up a target by hand, the one in
  * the load tool comfrey-callers did not initialize the list.  The tool's first
- * request crashed where cf_upstream_send(), called by the tool's send_try(),
+ * request crashed where cf_upstream_send(), called by its send_attempt(),
  * inserted the new connection into the target's list of busy connections, whose
  * head was all zeros.  No test ran the tool.
  *
