--- a/daemon.h
+++ b/daemon.h
@@ -29,7 +29,7 @@
  * @prog: the program's name, for --help and logs
  * @summary: one paragraph for --help
  * @defaults: the embedded default settings
- * @s: (out): the loaded settings, which cf_settings_read() checks
+ * @s: (out): the loaded settings; check them with cf_settings_read()
  *
  * Parses the command line and loads settings.  Blocks SIGTERM and SIGINT in
  * this thread and those created later, so that cf_daemon_wait_for_signal()
--- a/explain.c
+++ b/explain.c
@@ -39,8 +39,7 @@
     "the same request= names the attempts" },
   { NULL, "rate-limited",
     "the service's targets limit the rate of requests, and this gateway's "
-    "share "
-    "of it was used up; E1218 shows the limits" },
+    "share of it was used up; E1218 shows the limits" },
   { NULL, "queue-full", "the service's queue was full" },
   { NULL, "more-urgent-waits",
     "requests of a more urgent priority filled the service's queue" },
@@ -81,8 +80,8 @@
   g_free (l);
 }
 
-/* Adds a line "...]: E1203 route id=..." if it is about @id.  Whatever
- * collected the logs may have put a prefix before the program's name. */
+/* Adds a line "...]: E1203 route id=..." if it is about @id.  A log collector
+ * may have put a prefix before the program's name. */
 static void
 add_line (CfTimeline *t, const char *id, const char *file, const char *line)
 {
--- a/log-line.h
+++ b/log-line.h
@@ -4,7 +4,7 @@
 
 /**
  * Parses log lines: "... PROGRAM[pid]: E1203 name key=value ... t=S".
- * Whatever collected the logs may have put a prefix before PROGRAM.
+ * A log collector may have put a prefix before PROGRAM.
  */
 
 /** cf_log_line_event: (nullable): the part of @line that begins with the event
--- a/log-writer.c
+++ b/log-writer.c
@@ -58,7 +58,7 @@
   b->lines = 0;
 }
 
-/* Writes the rest of @b.  Returns %FALSE if the pipe has no room now.  On any
+/* Writes the rest of @b.  Returns %FALSE if the pipe is full.  On any
  * other error the batch is dropped and its lines are counted. */
 static gboolean
 batch_flush (CfLogBatch *b)
@@ -137,7 +137,8 @@
   batch_flush (b);
 }
 
-/* Drops and counts the lines that will not be written any more. */
+/* Counts the lines left in the batch and in the ring as dropped, and empties
+ * the ring. */
 static void
 drop_queued_lines (CfLogBatch *b)
 {
@@ -217,6 +218,8 @@
   return writer.running;
 }
 
+/* Counts a line, and returns whether the limit of lines per second allows
+ * it. */
 static gboolean
 is_within_rate_limit (void)
 {
--- a/net.c
+++ b/net.c
@@ -14,7 +14,7 @@
 #include <glib.h>
 
 static CfStatus
-resolve (const char *addr, struct addrinfo **out)
+parse_address (const char *addr, struct addrinfo **out)
 {
   g_autofree char *host = NULL;
   const char *colon = strrchr (addr, ':');
@@ -48,7 +48,7 @@
   int one = 1;
   int s = -1;
 
-  st = resolve (addr, &ai);
+  st = parse_address (addr, &ai);
   if (st != CF_OK)
     return st;
   g_assert (ai != NULL);
@@ -84,7 +84,7 @@
   int err = 0;
   int s;
 
-  st = resolve (addr, &ai);
+  st = parse_address (addr, &ai);
   if (st != CF_OK)
     return st;
   g_assert (ai != NULL);
--- a/report.h
+++ b/report.h
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 /**
- * Shows from the log lines of a service's gateways what limits the service:
+ * Summarizes gateways' log lines to show what limits a service:
  * for each second, how many requests were answered in time, how many were late
  * and why, how the others ended, and how the expert maps changed.
  */
@@ -26,7 +26,7 @@
   guint target_failed; /**< targets' errors that were forwarded */
   guint refused;
   guint denied;
-  guint lost;         /**< failed, broken off or timed out */
+  guint lost;         /**< failed, cut short or timed out */
   guint gone;         /**< requests whose callers left */
   guint changes;      /**< expert map changes */
   guint copies;       /**< expert copies planned */
@@ -36,7 +36,8 @@
   guint pass_late;    /**< of these, the streams made late */
 } CfReportSecond;
 
-/** CfReport: all seconds, and how often requests ended for which reason. */
+/** CfReport: all seconds, and the number of requests that ended for each
+ * reason. */
 typedef struct
 {
   CfReportObjectives objectives;
--- a/t/t-platform.c
+++ b/t/t-platform.c
@@ -34,8 +34,8 @@
 }
 END_TEST
 
-/* Settings that the programs do not use are not parsed, so that no value of
- * them is an error. */
+/* Settings that the programs do not use are not parsed, so none of their values
+ * is an error. */
 START_TEST (unused_settings_are_ignored)
 {
   static const char *const fields[]
