--- a/log-writer.c
+++ b/log-writer.c
@@ -82,7 +82,7 @@
   return TRUE;
 }
 
-/* Adds a line; the batch must have room for it. */
+/* Adds a line, which must fit into the batch. */
 static void
 batch_add_line (CfLogBatch *b, const char *text, gsize n)
 {
@@ -203,8 +203,7 @@
   ck_pr_store_uint (&writer.stop_requested, 1);
   while (!ck_pr_load_uint (&writer.has_ended) && cf_now_ms () < until)
     nanosleep (&pause, NULL);
-  /* A writer that is still waiting for room in the pipe ends with the
-   * process. */
+  /* A writer that is still blocked by a full pipe ends with the process. */
   if (ck_pr_load_uint (&writer.has_ended))
     pthread_join (writer.thread, NULL);
   else
--- a/report.h
+++ b/report.h
@@ -24,16 +24,16 @@
   guint late_pause;    /**< streams with only a pause that was too long */
   guint plain;         /**< successful answers without events */
   guint target_failed; /**< targets' errors that were forwarded */
-  guint refused;
-  guint denied;
-  guint lost;         /**< failed, cut short or timed out */
-  guint gone;         /**< requests whose callers left */
-  guint changes;      /**< expert map changes */
-  guint copies;       /**< expert copies planned */
-  double skew;        /**< highest load skew before a plan; 0: no plan */
-  gint64 pass_ms;     /**< longest pass that made streams late; 0: none */
-  guint pass_streams; /**< streams active in passes that made any late */
-  guint pass_late;    /**< of these, the streams made late */
+  guint refused;       /**< logged with outcome=refused */
+  guint denied;        /**< logged with outcome=denied */
+  guint lost;          /**< any other: failed, cut short or timed out */
+  guint gone;          /**< requests whose callers left */
+  guint changes;       /**< expert map changes */
+  guint copies;        /**< expert copies planned */
+  double skew;         /**< highest load skew before a plan; 0: no plan */
+  gint64 pass_ms;      /**< longest pass that made streams late; 0: none */
+  guint pass_streams;  /**< streams active in passes that made any late */
+  guint pass_late;     /**< of these, the streams made late */
 } CfReportSecond;
 
 /** CfReport: all seconds, and the number of requests that ended for each
