--- a/log-writer.c
+++ b/log-writer.c
@@ -58,7 +58,7 @@
   b->lines = 0;
 }
 
-/* Writes the rest of @b.  Returns %FALSE if the pipe has no room now.  On any
+/* Writes the rest of @b.  Returns %FALSE if the pipe is full.  On any
  * other error the batch is dropped and its lines are counted. */
 static gboolean
 batch_flush (CfLogBatch *b)
@@ -82,7 +82,7 @@
   return TRUE;
 }
 
-/* Adds a line; the batch must have room for it. */
+/* Adds a line, which must fit into the batch. */
 static void
 batch_add_line (CfLogBatch *b, const char *text, gsize n)
 {
@@ -137,7 +137,8 @@
   batch_flush (b);
 }
 
-/* Drops and counts the lines that will not be written any more. */
+/* Counts the lines left in the batch and in the ring as dropped, and empties
+ * the ring. */
 static void
 drop_queued_lines (CfLogBatch *b)
 {
@@ -202,8 +203,7 @@
   ck_pr_store_uint (&writer.stop_requested, 1);
   while (!ck_pr_load_uint (&writer.has_ended) && cf_now_ms () < until)
     nanosleep (&pause, NULL);
-  /* A writer that is still waiting for room in the pipe ends with the
-   * process. */
+  /* A writer that is still blocked by a full pipe ends with the process. */
   if (ck_pr_load_uint (&writer.has_ended))
     pthread_join (writer.thread, NULL);
   else
@@ -217,6 +217,8 @@
   return writer.running;
 }
 
+/* Counts a line, and returns whether the limit of lines per second allows
+ * it. */
 static gboolean
 is_within_rate_limit (void)
 {
