--- a/agent-jobs.c
+++ b/agent-jobs.c
@@ -8,10 +8,12 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* The longest call is kept for this window and the one before.  A window is
- * as long as the default drain_grace_ms, so that calls made before a drain
- * still count towards the estimate for the drain's last calls. */
+/* The duration of the longest call is recorded for the current window and for
+ * the one before.  A window is as long as the default drain_grace_ms, so that
+ * the estimate for a drain's last calls still includes those made before the
+ * drain. */
 #define CALL_WINDOW_MS 30000L
+#define CANCEL_TIMEOUT_MS 500 /* for the target to accept a cancellation */
 
 /* A request or cancellation, from its frame until its worker is done. */
 typedef struct
@@ -43,8 +45,8 @@
   m->load = cf_agent_get_load (c->agent);
   pthread_mutex_lock (&c->write_lock);
   st = cf_msg_write (c->fd, m);
-  /* A failed write means that the entry is gone; the shutdown makes it see
-   * the link as lost. */
+  /* After a failed write the entry is assumed to be gone.  If it is not, the
+   * shutdown makes it see the link as lost. */
   if (st == CF_ERR_NET)
     shutdown (c->fd, SHUT_RDWR);
   pthread_mutex_unlock (&c->write_lock);
@@ -88,7 +90,7 @@
                                           a->settings.target_url, rid);
   long code = 0;
 
-  cf_http_call ("POST", url, "", NULL, 500, &code, NULL);
+  cf_http_call ("POST", url, "", NULL, CANCEL_TIMEOUT_MS, &code, NULL);
 }
 
 /* Starts a new window once the current one is over.  The caller holds
@@ -125,15 +127,15 @@
   gint64 stop_deadline
       = __atomic_load_n (&a->stop_deadline_ms, __ATOMIC_ACQUIRE);
   long long now = cf_now_ms ();
-  gint64 slowest;
+  gint64 longest;
 
   if (stop_deadline == 0)
     return FALSE;
   pthread_mutex_lock (&a->call_window_lock);
   rotate_call_window (a, now);
-  slowest = MAX (a->slowest_call_ms[0], a->slowest_call_ms[1]);
+  longest = MAX (a->slowest_call_ms[0], a->slowest_call_ms[1]);
   pthread_mutex_unlock (&a->call_window_lock);
-  return now + MIN (slowest, j->deadline_at_ms - now) >= stop_deadline;
+  return now + MIN (longest, j->deadline_at_ms - now) >= stop_deadline;
 }
 
 /* Refuses @j, which was queued but never sent to the target. */
@@ -169,7 +171,7 @@
   const char *headers[] = { prio, rid, deadline, key_header, NULL };
   g_autofree char *body = NULL;
   long code = 0;
-  long long started = cf_now_ms ();
+  long long start_ms = cf_now_ms ();
   CfStatus st;
 
   if (remaining_ms <= 0)
@@ -185,7 +187,7 @@
   st = (key ? cf_http_call_once : cf_http_call) (
       "POST", url, m->u.request.body, headers, remaining_ms, &code, &body);
   if (st != CF_ERR_NET)
-    record_call_duration (a, cf_now_ms () - started);
+    record_call_duration (a, cf_now_ms () - start_ms);
   ck_pr_dec_int (&a->in_flight);
   switch (st)
     {
--- a/agent-orders.c
+++ b/agent-orders.c
@@ -4,8 +4,10 @@
 #include "log.h"
 #include "net.h"
 
+#define TARGET_ORDER_TIMEOUT_MS 5000
+
 /* Checks the fencing token of an order to the target and records it if it is
- * the highest.  The agent does this because the target may not. */
+ * the highest.  The target itself may not check tokens. */
 static gboolean
 check_target_fence (CfAgent *a, gint64 fence, gint64 *highest)
 {
@@ -73,7 +75,9 @@
                           m->u.order.fence, m->u.order.op);
   cf_log (LOG_INFO, CF_EV_ORDER, "op=%s fence=%" G_GINT64_FORMAT, m->u.order.op,
           m->u.order.fence);
-  if (cf_http_call_once ("POST", url, body, NULL, 5000, &code, &out) != CF_OK)
+  if (cf_http_call_once ("POST", url, body, NULL, TARGET_ORDER_TIMEOUT_MS,
+                         &code, &out)
+      != CF_OK)
     cf_agent_refuse (c, m->id, CF_RAN_UNKNOWN, CF_REASON_TARGET_FAILED, 1000);
   else
     cf_agent_answer (c, m->id, code, out);
--- a/agent.c
+++ b/agent.c
@@ -6,7 +6,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Several times the one-way latency between two processes of a region. */
+/* How long a drained agent stays to reply to what was sent before the senders
+ * learned of the drain: several times the one-way latency between two
+ * processes of a region. */
 #define DRAIN_LINGER_MS 100
 
 void
--- a/guard.c
+++ b/guard.c
@@ -135,8 +135,8 @@
 }
 
 CfGuardState
-cf_guard_begin (CfGuard *g, const char *key, CfKeyState keyed, gint64 now_ms,
-                gint64 *code, char **body)
+cf_guard_begin (CfGuard *g, const char *key, CfKeyState key_state,
+                gint64 now_ms, gint64 *code, char **body)
 {
   CfGuardState st;
   Call *c;
@@ -158,10 +158,10 @@
         }
       goto out;
     }
-  if (keyed == CF_KEY_REPLAY
-      || (keyed == CF_KEY_UNCLAIMED && now_ms < g->quiet_until_ms))
+  if (key_state == CF_KEY_REPLAY
+      || (key_state == CF_KEY_UNCLAIMED && now_ms < g->quiet_until_ms))
     {
-      st = keyed == CF_KEY_REPLAY ? CF_GUARD_UNKNOWN : CF_GUARD_QUIET;
+      st = key_state == CF_KEY_REPLAY ? CF_GUARD_UNKNOWN : CF_GUARD_QUIET;
       goto out;
     }
   if (!has_room (g, g->calls, is_call_expired, now_ms))
--- a/guard.h
+++ b/guard.h
@@ -15,7 +15,7 @@
   CF_GUARD_NEW,     /**< unknown key: the call may run now */
   CF_GUARD_RUNNING, /**< running now: do not run it again */
   CF_GUARD_DONE,    /**< ran, and the answer is stored */
-  CF_GUARD_UNKNOWN, /**< sent, but it may or may not have run: do not run */
+  CF_GUARD_UNKNOWN, /**< it may or may not have run: do not run it again */
   CF_GUARD_FULL,    /**< the table is full: refuse without running */
   CF_GUARD_QUIET,   /**< in the quiet period: refuse as unknown */
 } CfGuardState;
@@ -69,13 +69,16 @@
 /** cf_guard_release: ends the claim of @key if @token holds it. */
 void cf_guard_release (CfGuard *g, const char *key, const char *token);
 
-/** cf_guard_remaining_quiet_ms: 0 once the quiet period is over. */
+/**
+ * cf_guard_remaining_quiet_ms:
+ * Returns: the time until the quiet period ends; 0 once it is over.
+ */
 gint64 cf_guard_remaining_quiet_ms (CfGuard *g, gint64 now_ms);
 
 /**
  * cf_guard_begin:
- * @keyed: what the sender knows of the key.  An unclaimed key is refused in
- *   the quiet period, and a replay is never run as a new call.
+ * @key_state: what the sender knows of the key.  An unclaimed key is refused
+ *   in the quiet period, and a replay is never run as a new call.
  * @now_ms: the monotonic clock, in ms
  * @code: (out): for %CF_GUARD_DONE, the stored HTTP status
  * @body: (out): for %CF_GUARD_DONE, a copy of the stored answer
@@ -84,7 +87,7 @@
  * the caller of this function run the call; it must then end it with
  * cf_guard_finish() or cf_guard_remove().
  */
-CfGuardState cf_guard_begin (CfGuard *g, const char *key, CfKeyState keyed,
+CfGuardState cf_guard_begin (CfGuard *g, const char *key, CfKeyState key_state,
                              gint64 now_ms, gint64 *code, char **body);
 
 /**
--- a/map-change.c
+++ b/map-change.c
@@ -1,9 +1,9 @@
 #include "map-change.h"
 
 /* Time between two rounds of reports from the ranks. */
-#define POLL_MS 20
-/* Attempts to hold a step; each is further ahead, as the group may have begun
- * the step of the one before. */
+#define POLL_INTERVAL_MS 20
+/* Attempts to hold a step.  Each chooses a step further ahead, since the group
+ * may have begun the step of the last attempt already. */
 #define MAX_HOLD_ATTEMPTS 3
 
 /* State of one call to settle or change. */
@@ -129,9 +129,9 @@
   send_order (c, rank, &op);
 }
 
-/* Whether a rank is armed, or could still be by a delayed order: only the
- * version it has prepared can be armed, and versions up to @last_version may
- * have such orders. */
+/* Whether a rank is armed, or a delayed order could still arm it.  A rank can
+ * be armed only with the version that it has prepared, and orders may be
+ * delayed for any version up to @last_version. */
 static gboolean
 may_arm (const CfRankReport *r, gint64 last_version)
 {
@@ -177,10 +177,12 @@
   return TRUE;
 }
 
-/* Runs one round of undo_change(); returns TRUE once nothing is pending. */
+/* Runs one round of undo_change(); returns TRUE once nothing is pending.
+ * @has_own_hold is kept between rounds and set once this coordinator holds the
+ * pending step itself. */
 static gboolean
 undo_round (Change *c, gint64 last_version, const CfExpertMap *in_use,
-            gboolean *held)
+            gboolean *has_own_hold)
 {
   gint64 step;
   gboolean armed = FALSE;
@@ -197,9 +199,9 @@
     armed |= c->reports[r].armed != 0;
   /* Without a hold the step could begin, and the armed ranks switch, while
    * others are already disarmed. */
-  if (armed && !*held)
-    *held = add_own_hold (c, step);
-  if (armed && !*held)
+  if (armed && !*has_own_hold)
+    *has_own_hold = add_own_hold (c, step);
+  if (armed && !*has_own_hold)
     return FALSE;
   for (int r = 0; r < c->ops->ranks && !c->fenced; r++)
     if (may_arm (&c->reports[r], last_version))
@@ -212,14 +214,14 @@
 static CfMapChangeResult
 undo_change (Change *c, gint64 last_version, const CfExpertMap *in_use)
 {
-  gboolean held = FALSE;
+  gboolean has_own_hold = FALSE;
   gint64 start_ms = now_ms (c);
 
   while (now_ms (c) - start_ms <= c->limits->settle_ms && !c->fenced)
     {
-      if (undo_round (c, last_version, in_use, &held))
+      if (undo_round (c, last_version, in_use, &has_own_hold))
         return CF_MAP_CHANGE_ABORTED;
-      if (!c->ops->pause (c->ops->data, POLL_MS))
+      if (!c->ops->pause (c->ops->data, POLL_INTERVAL_MS))
         break;
     }
   return incomplete_result (c);
@@ -258,7 +260,7 @@
         is_ready = c->reports[r].prepared == map->version;
       if (is_ready || c->fenced
           || now_ms (c) - start_ms >= c->limits->prepare_ms
-          || !c->ops->pause (c->ops->data, POLL_MS))
+          || !c->ops->pause (c->ops->data, POLL_INTERVAL_MS))
         return is_ready;
     }
 }
@@ -331,7 +333,7 @@
         case CF_RANK_OP_FENCED:
           break;
         }
-      if (!ops->pause (ops->data, POLL_MS))
+      if (!ops->pause (ops->data, POLL_INTERVAL_MS))
         break;
     }
   return incomplete_result (&c);
--- a/map-change.h
+++ b/map-change.h
@@ -49,7 +49,7 @@
   CF_RANK_OP_DONE,    /**< carried out */
   CF_RANK_OP_REFUSED, /**< not carried out, and never will be */
   CF_RANK_OP_UNKNOWN, /**< no answer: it may have run, or still run later */
-  CF_RANK_OP_FENCED,  /**< refused: a coordinator has a higher token */
+  CF_RANK_OP_FENCED,  /**< refused: another coordinator has a higher token */
 } CfRankOpResult;
 
 /** CfRankReport: one rank's state; 0 means none. */
@@ -58,7 +58,7 @@
   gint64 step;       /**< the last step begun */
   gint64 map;        /**< the map version in use */
   gint64 prepared;   /**< the map version whose experts are all copied */
-  gint64 newest;     /**< the highest version it was ever told to prepare */
+  gint64 newest;     /**< the highest version it ever began to prepare */
   gint64 armed;      /**< the map version it is armed to switch to */
   gint64 armed_step; /**< the step at which it switches */
   gint64 held;       /**< the step it holds */
@@ -89,7 +89,8 @@
   CF_MAP_CHANGE_DONE,    /**< every rank switches at the same step */
   CF_MAP_CHANGE_ABORTED, /**< no rank switches */
   CF_MAP_CHANGE_FENCED,  /**< another coordinator took over and settles it */
-  CF_MAP_CHANGE_STUCK,   /**< a rank cannot be reached: settle again soon */
+  CF_MAP_CHANGE_STUCK,   /**< not finished in time, or a rank cannot be reached:
+                          * settle again soon */
 } CfMapChangeResult;
 
 /** CfMapChangeLimits: time limits of a change, in ms and steps. */
@@ -97,13 +98,13 @@
 {
   int prepare_ms;  /**< for every rank to copy its experts */
   int settle_ms;   /**< to undo a change, or to release its hold */
-  int steps_ahead; /**< distance from the group's step to the step held */
+  int steps_ahead; /**< how far ahead of the group's step to hold one */
 } CfMapChangeLimits;
 
 /**
  * cf_map_change_settle:
  * @term: a number that differs between successive coordinators, such as a
- *   count of takeovers; it selects the rank that is told to hold a step
+ *   count of takeovers; it selects the rank that has to hold a step
  * @in_use: the map that the group uses
  *
  * Takes over the group.  Requests a report from every rank, which also fences
@@ -119,6 +120,8 @@
 
 /**
  * cf_map_change_run:
+ * @term: as for cf_map_change_settle()
+ * @in_use: the map that the group uses
  * @map: the map to change to; gets a version above all others
  *
  * Changes a settled group to @map; call cf_map_change_settle() first.
--- a/placement.c
+++ b/placement.c
@@ -246,8 +246,8 @@
       cf_expert_map_set (m, r, p, c->expert);
       load[r] += c->load;
     }
-  /* Keep the current map if no rank with room could take the first copy of
-   * an expert. */
+  /* Keep the current map if an expert got no copy, because no rank had an
+   * empty place left for its first one. */
   for (int e = 0; e < m->experts; e++)
     if (m->copies[e] == 0)
       {
--- a/placement.h
+++ b/placement.h
@@ -27,7 +27,7 @@
     {
       double skew_weight; /**< value of reducing the skew by 1.0 */
       double move_weight; /**< cost of copying one expert */
-      int max_moves;      /**< limit of experts copied in one change */
+      int max_moves;      /**< most copies to make in one change */
     } bounded;
   } u;
 } CfPlacement;
--- a/rank-group.c
+++ b/rank-group.c
@@ -8,20 +8,24 @@
 #include <unistd.h>
 
 #define ORDER_TIMEOUT_MS 1000 /* for one order to a rank */
-#define LOCAL_TIMEOUT_MS 500  /* for the own rank to report */
-#define POLL_INTERVAL_MS 100
+/* For the own rank's engine to return its token counts; also added to
+ * ORDER_TIMEOUT_MS for the agent that passes an order to its rank. */
+#define LOCAL_TIMEOUT_MS 500
+#define POLL_INTERVAL_MS 100 /* of the coordination thread */
 #define SETTLE_TIMEOUT_MS 5000
-#define STEPS_AHEAD 8
-#define REPORT_WEIGHT 0.5
+#define STEPS_AHEAD 8     /* from the group's step to the step to hold */
+#define REPORT_WEIGHT 0.5 /* of the latest token counts in the average */
 #define MAX_TERM_INCREMENT 64
+/* Added to hold_max_ms once for each lower rank. */
+#define STALL_TIMEOUT_PER_RANK_MS 300
 
 struct CfRankGroup
 {
   CfRankGroupSettings settings;
   char *target_url;
-  CfLink **links;        /* [members]: to each rank's agent */
-  json_t **rank_experts; /* [members]: each rank's experts, last reported */
-  gint64 experts, places;
+  CfLink **links;         /* [members]: to each rank's agent */
+  json_t **rank_experts;  /* [members]: each rank's experts, last reported */
+  gint64 experts, places; /* of the model, and per rank; last reported */
   CfExpertPopularity popularity;
   gint64 term;           /* this agent's latest term as coordinator */
   gint64 term_increment; /* for the next term; above 1 if the last was fenced */
@@ -453,8 +457,10 @@
 static gboolean
 is_rank_stalled (CfRankGroup *g, long long now)
 {
-  /* Lower ranks wait less, so that not all agents take over at once. */
-  long long stall_timeout_ms = g->settings.hold_max_ms + g->settings.rank * 300;
+  /* Agents of lower ranks wait less, so that not all agents take over at
+   * once. */
+  long long stall_timeout_ms
+      = g->settings.hold_max_ms + g->settings.rank * STALL_TIMEOUT_PER_RANK_MS;
   g_autofree char *body = NULL;
   CfRankReport r = { 0 };
   json_t *o;
--- a/rank-group.h
+++ b/rank-group.h
@@ -26,12 +26,13 @@
 
 /**
  * CfRankGroup:
- * An agent's part in coordinating its group's expert map.  Every agent can
- * be the coordinator; fencing tokens ensure that only the latest one has any
- * effect.  The agent of rank 0 decides placement.  The agent of rank r does so
- * after it has seen no other coordinator for 1 + 2r intervals.  Any agent
- * settles the group when its own rank has held a step, or has had work waiting
- * without beginning a step, for too long.  See docs/MAP-CHANGE.md.
+ * Coordinates the expert map of a rank group from one of its agents.  Every
+ * agent can become the coordinator; fencing tokens ensure that only the latest
+ * one has any effect.  Placement is decided by the agent of rank 0 or, if rank
+ * r's agent has seen no other coordinator for 1 + 2r intervals, by that agent.
+ * Any agent settles the group when its own rank has held a step, or has had
+ * work waiting without beginning a step, for longer than hold_max_ms plus a
+ * delay that grows with the rank.  See docs/MAP-CHANGE.md.
  */
 typedef struct CfRankGroup CfRankGroup;
 
--- a/t/t-map.c
+++ b/t/t-map.c
@@ -48,6 +48,8 @@
   gboolean is_idle; /* no work, so no steps */
   gint64 now_ms;
   int report_ms; /* how long a rank takes to report */
+  /* Steps begun, changes of the map, ranks that used another map than rank 0
+   * in a step, and injected faults. */
   gint64 steps, switches, mixed, faults;
 } Simulation;
 
