--- a/agent-jobs.c
+++ b/agent-jobs.c
@@ -102,8 +102,8 @@
 
   if (age < CALL_WINDOW_MS)
     return;
-  a->slowest_call_ms[1] = age < 2 * CALL_WINDOW_MS ? a->slowest_call_ms[0] : 0;
-  a->slowest_call_ms[0] = 0;
+  a->longest_call_ms[1] = age < 2 * CALL_WINDOW_MS ? a->longest_call_ms[0] : 0;
+  a->longest_call_ms[0] = 0;
   a->call_window_start_ms = now;
 }
 
@@ -112,7 +112,7 @@
 {
   pthread_mutex_lock (&a->call_window_lock);
   rotate_call_window (a, cf_now_ms ());
-  a->slowest_call_ms[0] = MAX (a->slowest_call_ms[0], ms);
+  a->longest_call_ms[0] = MAX (a->longest_call_ms[0], ms);
   pthread_mutex_unlock (&a->call_window_lock);
 }
 
@@ -133,7 +133,7 @@
     return FALSE;
   pthread_mutex_lock (&a->call_window_lock);
   rotate_call_window (a, now);
-  longest = MAX (a->slowest_call_ms[0], a->slowest_call_ms[1]);
+  longest = MAX (a->longest_call_ms[0], a->longest_call_ms[1]);
   pthread_mutex_unlock (&a->call_window_lock);
   return now + MIN (longest, j->deadline_at_ms - now) >= stop_deadline;
 }
--- a/agent.h
+++ b/agent.h
@@ -47,7 +47,7 @@
   int draining;
   gint64 stop_deadline_ms; /**< when the process ends at the latest; 0: never */
   pthread_mutex_t call_window_lock; /**< for the two fields below */
-  gint64 slowest_call_ms[2]; /**< longest call in this window and the last */
+  gint64 longest_call_ms[2]; /**< longest call in this window and the last */
   long long call_window_start_ms;
   pthread_mutex_t conns_lock;
   struct CfAgentConn *conns; /**< intrusive list of open connections */
--- a/map-change.c
+++ b/map-change.c
@@ -104,7 +104,7 @@
 static CfRankOpResult
 release_hold (Change *c, int rank, gint64 step)
 {
-  CfRankOp op = { .kind = CF_RANK_GO, .u.hold.step = step };
+  CfRankOp op = { .kind = CF_RANK_RELEASE, .u.hold.step = step };
 
   return send_order (c, rank, &op);
 }
--- a/map-change.h
+++ b/map-change.h
@@ -17,7 +17,7 @@
   CF_RANK_ARM,     /**< switch to map @version when @step begins */
   CF_RANK_DISARM,  /**< cancel the switch to map @version */
   CF_RANK_HOLD,    /**< hold @step: it begins on no rank until released */
-  CF_RANK_GO,      /**< release the hold of @step */
+  CF_RANK_RELEASE, /**< release the hold of @step */
 } CfRankOpKind;
 
 /** CfRankOp: an order to one rank. */
@@ -39,7 +39,7 @@
     struct
     {
       gint64 step;
-    } hold; /**< also for go */
+    } hold; /**< also for release */
   } u;
 } CfRankOp;
 
--- a/rank-group.c
+++ b/rank-group.c
@@ -72,7 +72,7 @@
       return "disarm";
     case CF_RANK_HOLD:
       return "hold";
-    case CF_RANK_GO:
+    case CF_RANK_RELEASE:
       return "go";
     }
   return "none";
@@ -206,7 +206,7 @@
       json_object_set_new (o, "step", json_integer (op->u.arm.step));
       break;
     case CF_RANK_HOLD:
-    case CF_RANK_GO:
+    case CF_RANK_RELEASE:
       json_object_set_new (o, "step", json_integer (op->u.hold.step));
       break;
     }
--- a/t/t-map.c
+++ b/t/t-map.c
@@ -82,7 +82,7 @@
         return CF_RANK_OP_REFUSED;
       r->held = op->u.hold.step;
       return CF_RANK_OP_DONE;
-    case CF_RANK_GO:
+    case CF_RANK_RELEASE:
       if (r->held != op->u.hold.step)
         return CF_RANK_OP_REFUSED;
       r->held = 0;
