--- a/agent.h
+++ b/agent.h
@@ -17,7 +17,7 @@
   gint64 workers;        /**< concurrent calls to the target */
   gint64 queue;          /**< queue length before refusing, a power of two */
   gint64 guard_ttl_ms;   /**< how long the guard keeps ended calls and claims */
-  gint64 guard_max;      /**< calls and claims the guard keeps, each */
+  gint64 guard_max;      /**< the guard's limit of calls, and of claims */
   gint64 guard_quiet_ms; /**< the guard's quiet period after a start; guard.h */
   gint64 drain_grace_ms; /**< how long a drain waits for pending replies */
   gint64 config_grace_ms; /**< how long a replaced version is still served */
--- a/expert-map.h
+++ b/expert-map.h
@@ -16,7 +16,7 @@
   gint64 version;
   int experts;
   int ranks;
-  int places;  /**< per rank */
+  int places;  /**< number of places on each rank */
   int *held;   /**< [ranks * places]: an expert, or -1 for an empty place */
   int *copies; /**< [experts]: the number of ranks that hold each */
 } CfExpertMap;
--- a/guard.c
+++ b/guard.c
@@ -5,7 +5,7 @@
   CfGuardState state;
   gint64 code;
   char *body;
-  gint64 expires_ms; /**< 0 while running */
+  gint64 expires_ms; /* 0 while running */
 } Call;
 
 typedef struct
--- a/placement.c
+++ b/placement.c
@@ -77,7 +77,7 @@
   int rank;
   int place;
   int expert;
-  double score; /* the smooth skew after it */
+  double score; /* the smooth skew after the copy; lower is better */
 } Move;
 
 /* Returns the smooth skew after @mv; uses @load as scratch space. */
--- a/rank-group.c
+++ b/rank-group.c
@@ -31,8 +31,8 @@
   gint64 term_increment; /* for the next term; above 1 if the last was fenced */
   gint64 fence;          /* token of the current term */
   gint rebalance;        /* a placement decision was requested */
-  /* The own rank's last report, and when its state last differed, to detect
-   * a stall. */
+  /* Values of the own rank's last report, and the times of their last change,
+   * to detect a stall. */
   gint64 last_step, last_held;
   long long last_progress_ms, held_since_ms;
   long long next_plan_ms, popularity_read_ms;
