--- a/agent.h
+++ b/agent.h
@@ -17,7 +17,7 @@
   gint64 workers;        /**< concurrent calls to the target */
   gint64 queue;          /**< queue length before refusing, a power of two */
   gint64 guard_ttl_ms;   /**< how long the guard keeps ended calls and claims */
-  gint64 guard_max;      /**< calls and claims the guard keeps, each */
+  gint64 guard_max;      /**< the guard's limit of calls, and of claims */
   gint64 guard_quiet_ms; /**< the guard's quiet period after a start; guard.h */
   gint64 drain_grace_ms; /**< how long a drain waits for pending replies */
   gint64 config_grace_ms; /**< how long a replaced version is still served */
@@ -47,7 +47,7 @@
   int draining;
   gint64 stop_deadline_ms; /**< when the process ends at the latest; 0: never */
   pthread_mutex_t call_window_lock; /**< for the two fields below */
-  gint64 slowest_call_ms[2]; /**< longest call: this window, the one before */
+  gint64 longest_call_ms[2]; /**< longest call in this window and the last */
   long long call_window_start_ms;
   pthread_mutex_t conns_lock;
   struct CfAgentConn *conns; /**< intrusive list of open connections */
--- a/rank-group.c
+++ b/rank-group.c
@@ -8,27 +8,31 @@
 #include <unistd.h>
 
 #define ORDER_TIMEOUT_MS 1000 /* for one order to a rank */
-#define LOCAL_TIMEOUT_MS 500  /* for the own rank to report */
-#define POLL_INTERVAL_MS 100
+/* For the own rank's engine to return its token counts; also added to
+ * ORDER_TIMEOUT_MS for the agent that passes an order to its rank. */
+#define LOCAL_TIMEOUT_MS 500
+#define POLL_INTERVAL_MS 100 /* of the coordination thread */
 #define SETTLE_TIMEOUT_MS 5000
-#define STEPS_AHEAD 8
-#define REPORT_WEIGHT 0.5
+#define STEPS_AHEAD 8     /* from the group's step to the step to hold */
+#define REPORT_WEIGHT 0.5 /* of the latest token counts in the average */
 #define MAX_TERM_INCREMENT 64
+/* Added to hold_max_ms once for each lower rank. */
+#define STALL_TIMEOUT_PER_RANK_MS 300
 
 struct CfRankGroup
 {
   CfRankGroupSettings settings;
   char *target_url;
-  CfLink **links;        /* [members]: to each rank's agent */
-  json_t **rank_experts; /* [members]: each rank's experts, last reported */
-  gint64 experts, places;
+  CfLink **links;         /* [members]: to each rank's agent */
+  json_t **rank_experts;  /* [members]: each rank's experts, last reported */
+  gint64 experts, places; /* of the model, and per rank; last reported */
   CfExpertPopularity popularity;
   gint64 term;           /* this agent's latest term as coordinator */
   gint64 term_increment; /* for the next term; above 1 if the last was fenced */
   gint64 fence;          /* token of the current term */
   gint rebalance;        /* a placement decision was requested */
-  /* The own rank's last report, and when its state last differed, to detect
-   * a stall. */
+  /* Values of the own rank's last report, and the times of their last change,
+   * to detect a stall. */
   gint64 last_step, last_held;
   long long last_progress_ms, held_since_ms;
   long long next_plan_ms, popularity_read_ms;
@@ -68,7 +72,7 @@
       return "disarm";
     case CF_RANK_HOLD:
       return "hold";
-    case CF_RANK_GO:
+    case CF_RANK_RELEASE:
       return "go";
     }
   return "none";
@@ -202,7 +206,7 @@
       json_object_set_new (o, "step", json_integer (op->u.arm.step));
       break;
     case CF_RANK_HOLD:
-    case CF_RANK_GO:
+    case CF_RANK_RELEASE:
       json_object_set_new (o, "step", json_integer (op->u.hold.step));
       break;
     }
@@ -453,8 +457,10 @@
 static gboolean
 is_rank_stalled (CfRankGroup *g, long long now)
 {
-  /* Lower ranks wait less, so that not all agents take over at once. */
-  long long stall_timeout_ms = g->settings.hold_max_ms + g->settings.rank * 300;
+  /* Agents of lower ranks wait less, so that not all agents take over at
+   * once. */
+  long long stall_timeout_ms
+      = g->settings.hold_max_ms + g->settings.rank * STALL_TIMEOUT_PER_RANK_MS;
   g_autofree char *body = NULL;
   CfRankReport r = { 0 };
   json_t *o;
--- a/t/t-map.c
+++ b/t/t-map.c
@@ -48,6 +48,8 @@
   gboolean is_idle; /* no work, so no steps */
   gint64 now_ms;
   int report_ms; /* how long a rank takes to report */
+  /* Steps begun, changes of the map, ranks that used another map than rank 0
+   * in a step, and injected faults. */
   gint64 steps, switches, mixed, faults;
 } Simulation;
 
@@ -80,7 +82,7 @@
         return CF_RANK_OP_REFUSED;
       r->held = op->u.hold.step;
       return CF_RANK_OP_DONE;
-    case CF_RANK_GO:
+    case CF_RANK_RELEASE:
       if (r->held != op->u.hold.step)
         return CF_RANK_OP_REFUSED;
       r->held = 0;
