--- a/agent-link.c
+++ b/agent-link.c
@@ -246,7 +246,7 @@
       res = CF_CALL_NOT_SENT;
       goto out;
     }
-  req->id = ++l->next_id;
+  req->id = ++l->last_id;
   st = cf_msg_write (l->fd, req);
   if (st == CF_ERR_FULL)
     {
--- a/agent-link.h
+++ b/agent-link.h
@@ -26,7 +26,7 @@
   pthread_cond_t cond;   /**< broadcast when any pending call ends */
   int fd;                /**< -1 while down */
   gboolean ready;        /**< the agent has answered on this connection */
-  guint64 next_id;       /**< the id of the latest request */
+  guint64 last_id;       /**< the id of the latest request */
   gint64 config_version; /**< this process's version, sent with every ping */
   GHashTable *pending;   /**< from id to CfPending * */
   CfLoad load;           /**< as the agent last reported it */
--- a/entry-request.c
+++ b/entry-request.c
@@ -123,7 +123,7 @@
       goto out;
     }
   r->body = json_dumps (v, JSON_COMPACT | JSON_ENCODE_ANY);
-  r->deadline_at = cf_now_ms () + deadline;
+  r->deadline_at_ms = cf_now_ms () + deadline;
   ok = TRUE;
 out:
   if (!ok)
--- a/entry-request.h
+++ b/entry-request.h
@@ -13,7 +13,7 @@
   char *key;
   char *body;
   gint64 priority;
-  long long deadline_at;     /**< on the cf_now_ms() clock */
+  long long deadline_at_ms;  /**< on the cf_now_ms() clock */
   gboolean admitted;         /**< counts as in progress in the admission */
   gboolean may_have_run;     /**< sent once without getting a reply */
   gboolean reached_target;   /**< the last attempt was sent to a target */
--- a/entry-route.c
+++ b/entry-route.c
@@ -102,7 +102,7 @@
   req.u.request.priority = r->priority;
   req.u.request.deadline_ms = remaining_ms;
   return cf_link_call_while (cf_link_table_get (&e->links, addr), &req,
-                             r->deadline_at, is_wanted, &w, reply);
+                             r->deadline_at_ms, is_wanted, &w, reply);
 }
 
 /* Refuses @r because no target could accept it; logs the reason for each. */
@@ -146,7 +146,7 @@
 replay (CfEntry *e, CfRequest *r, CfHttpReply *rep, const char *runner)
 {
   CfMsg reply = { 0 };
-  long long remaining_ms = r->deadline_at - cf_now_ms ();
+  long long remaining_ms = r->deadline_at_ms - cf_now_ms ();
 
   if (runner
       && send_to (e, r, runner, CF_KEY_REPLAY, remaining_ms, &reply)
@@ -171,7 +171,7 @@
 {
   CfClaim c = { .key = r->key, .token = r->token, .runner = addr };
   CfClaimResult res = cf_claim_acquire (&e->links, r->config, r->prev_config,
-                                        &c, r->deadline_at);
+                                        &c, r->deadline_at_ms);
 
   cf_log (LOG_INFO, CF_EV_CLAIM, "req=%s target=%s result=%s granted=%u/%u",
           r->id, addr,
@@ -346,7 +346,7 @@
   r->reached_target = TRUE;
   t0 = cf_now_ms ();
   res = send_to (e, r, addr, r->claimed ? CF_KEY_CLAIMED : CF_KEY_UNCLAIMED,
-                 r->deadline_at - t0, &reply);
+                 r->deadline_at_ms - t0, &reply);
   record_outcome (e, addr, res, &reply, cf_now_ms () - t0);
   switch (res)
     {
@@ -419,7 +419,7 @@
       best = cf_route_pick (c, r->group->agents->len, r->key, r->id);
       if (best == NULL || !may_attempt (e, r))
         return FALSE;
-      if (r->deadline_at <= cf_now_ms ())
+      if (r->deadline_at_ms <= cf_now_ms ())
         {
           release_key (e, r);
           cf_request_refuse (e, r, rep, 504, "deadline",
--- a/entry.c
+++ b/entry.c
@@ -198,7 +198,7 @@
   o = json_pack (
       "{s:I, s:I, s:I, s:I, s:i, s:b, s:I, s:I, s:I, s:I}", "config_version",
       (json_int_t)(c ? c->version : 0), "links_up", (json_int_t)links.up,
-      "guards_quiet", (json_int_t)links.quiet, "ejected",
+      "guards_quiet", (json_int_t)links.quiet_guards, "ejected",
       (json_int_t)links.ejected, "in_flight", g_atomic_int_get (&e->in_flight),
       "draining", g_atomic_int_get (&e->draining), "answered",
       (json_int_t)e->answered, "refused", (json_int_t)e->refused, "retries",
--- a/link-table.c
+++ b/link-table.c
@@ -71,7 +71,7 @@
       CfLinkSnapshot link = cf_link_snapshot (v);
 
       sum.up += link.up;
-      sum.quiet += link.up && link.load.quiet_remaining_ms > 0;
+      sum.quiet_guards += link.up && link.load.quiet_remaining_ms > 0;
       sum.ejected += link.ejected;
       sum.pings += link.pings;
     }
--- a/link-table.h
+++ b/link-table.h
@@ -18,9 +18,10 @@
 typedef struct
 {
   gint64 up;
-  gint64 quiet;   /**< links that are up, but whose guard abstains; guard.h */
-  gint64 ejected; /**< links whose target is ejected; outlier.h */
-  guint64 pings;  /**< heartbeats sent */
+  gint64
+      quiet_guards; /**< links that are up, but whose guard abstains; guard.h */
+  gint64 ejected;   /**< links whose target is ejected; outlier.h */
+  guint64 pings;    /**< heartbeats sent */
 } CfLinkTotals;
 
 void cf_link_table_init (CfLinkTable *t);
