--- a/admission.c
+++ b/admission.c
@@ -27,8 +27,9 @@
   return GPOINTER_TO_INT (g_hash_table_lookup (a->by_org, org));
 }
 
-/* Returns the fair share of an organisation that has @own requests; it counts
- * as one that shares even if it has none yet. */
+/* Returns the fair share of an organisation that has @own requests in
+ * progress.  An organisation that has none yet is counted in, as it is about
+ * to get its first. */
 static gint64
 fair_share (CfAdmission *a, gint64 own)
 {
--- a/admission.h
+++ b/admission.h
@@ -13,11 +13,11 @@
 
 /**
  * CfAdmission:
- * The limit on an entry's requests in progress.  Requests of low priority
- * may use only a part of it.  A reserve, its last part, is open only to
+ * The limit on an entry's requests in progress.  Requests of priority below 5
+ * may use only a part of it.  The last part of it is a reserve, open only to
  * organisations below their fair share (the limit divided by the number of
  * organisations with requests in progress), so that a few large ones cannot
- * lock out the small ones.  Below the reserve any organisation may use what
+ * lock out the small ones.  Outside the reserve any organisation may use what
  * is free.
  */
 typedef struct
@@ -25,7 +25,7 @@
   pthread_mutex_t lock;
   GHashTable *by_org;      /**< from organisation to requests in progress */
   gint64 max;              /**< the limit on requests in progress */
-  gint64 low_priority_max; /**< the limit that holds for priorities below 5 */
+  gint64 low_priority_max; /**< the limit for priorities below 5 */
   gint64 unreserved_max;   /**< up to this limit fair shares are not checked */
   gint64 in_progress;
 } CfAdmission;
--- a/agent-link.c
+++ b/agent-link.c
@@ -216,8 +216,9 @@
 
       if (now >= deadline_ms)
         return FALSE;
-      /* Checks the clock instead of the result of the wait: replies to other
-       * calls wake this one too, on a busy link before every timeout. */
+      /* Checks the clock rather than the result of the wait: replies to other
+       * calls wake this one too, so on a busy link the wait may never time
+       * out. */
       if (is_wanted && now >= next_check)
         {
           if (!is_wanted (data))
@@ -255,7 +256,8 @@
     }
   if (st != CF_OK)
     {
-      /* The agent got at most a part of the frame, which it never decodes. */
+      /* The agent received at most a part of the frame, which it does not
+       * decode. */
       drop_connection (l, "write-failed");
       res = CF_CALL_NOT_SENT;
       goto out;
--- a/agent-link.h
+++ b/agent-link.h
@@ -34,7 +34,8 @@
   long long last_receive_ms;
   long long guard_quiet_until_ms; /**< the agent's guard abstains until then */
   long long last_ping_ms;
-  long long unanswered_since_ms; /**< oldest unanswered ping; 0 if none */
+  long long unanswered_since_ms; /**< when the oldest unanswered ping was
+                                      sent; 0 if none */
   gint64 idle_ping_interval_ms;  /**< while no calls are outstanding */
   CfOutlier outlier;             /**< failures of the agent's target */
   guint64 pings;                 /**< heartbeats sent */
--- a/claim.c
+++ b/claim.c
@@ -16,7 +16,7 @@
 
 static GuardReply
 claim_at_guard (CfLinkTable *links, const char *guard, CfClaim *claim,
-                long long deadline)
+                long long deadline_ms)
 {
   CfMsg m = { .kind = CF_MSG_CLAIM };
   CfMsg r = { 0 };
@@ -26,7 +26,7 @@
   m.u.claim.token = (char *)claim->token;
   m.u.claim.runner = (char *)claim->runner;
   if (cf_link_call (cf_link_table_get (links, guard), &m,
-                    MIN (deadline, cf_now_ms () + GUARD_TIMEOUT_MS), &r)
+                    MIN (deadline_ms, cf_now_ms () + GUARD_TIMEOUT_MS), &r)
       != CF_CALL_REPLY)
     return REPLY_NONE;
   if (r.kind == CF_MSG_CLAIMED)
@@ -51,7 +51,7 @@
 /* Claims the key from the guards of configuration @c. */
 static CfClaimResult
 claim_at_majority (CfLinkTable *links, const CfConfig *c, CfClaim *claim,
-                   long long deadline)
+                   long long deadline_ms)
 {
   const char *guards[CF_GUARDS_PER_KEY];
   guint n = cf_route_find_guards (c, claim->key, guards);
@@ -60,7 +60,7 @@
   claim->guards = n;
   claim->granted = 0;
   for (guint i = 0; i < n && claim->granted < majority; i++)
-    switch (claim_at_guard (links, guards[i], claim, deadline))
+    switch (claim_at_guard (links, guards[i], claim, deadline_ms))
       {
       case REPLY_GRANTED:
         claim->granted++;
--- a/claim.h
+++ b/claim.h
@@ -29,7 +29,9 @@
   const char *runner; /**< the agent that is to run the call */
   /** (out): for %CF_CLAIM_HELD_ELSEWHERE, the holder's runner; owned */
   char *holder;
-  gint64 retry_ms; /**< (out): for %CF_CLAIM_NO_MAJORITY, when to retry */
+  gint64 retry_ms; /**< (out): for %CF_CLAIM_NO_MAJORITY, the longest
+                        remaining quiet period of a guard that abstained, or
+                        0 */
   guint granted;   /**< (out): grants in the guard set asked last */
   guint guards;    /**< (out): guards in that set */
 } CfClaim;
@@ -41,8 +43,8 @@
  *   the claim must then win a majority in both guard sets
  * @deadline_ms: the caller's deadline on cf_now_ms()'s clock
  *
- * To claim again with the same token sets a new runner.  On any result but
- * %CF_CLAIM_ACQUIRED the grants that were won are released.
+ * A second claim with the same token replaces the runner.  On any result but
+ * %CF_CLAIM_ACQUIRED the grants that were given are released.
  */
 CfClaimResult cf_claim_acquire (CfLinkTable *links, const CfConfig *c,
                                 const CfConfig *prev, CfClaim *claim,
--- a/config-watch.h
+++ b/config-watch.h
@@ -54,7 +54,10 @@
 void cf_config_watch_serve (CfConfigWatch *w, const CfHttpRequest *req,
                             CfHttpReply *rep);
 
-/** cf_config_watch_get: a new reference to the current version, or %NULL. */
+/**
+ * cf_config_watch_get: a new reference to the current version; %NULL before
+ * the first version is applied.
+ */
 CfConfig *cf_config_watch_get (CfConfigWatch *w);
 
 /**
--- a/entry-request.c
+++ b/entry-request.c
@@ -54,7 +54,7 @@
   json_error_t jerr;
   json_t *o = json_loads (req->body, 0, &jerr);
   json_t *v;
-  gint64 deadline = e->settings.deadline_ms;
+  gint64 deadline_ms = e->settings.deadline_ms;
   gboolean ok = FALSE;
 
   if (!json_is_object (o))
@@ -91,7 +91,7 @@
       goto out;
     }
   if (v)
-    deadline = json_integer_value (v);
+    deadline_ms = json_integer_value (v);
   v = json_object_get (o, "worth");
   if (v && (!json_is_number (v) || json_number_value (v) < 0))
     {
@@ -114,8 +114,8 @@
       goto out;
     }
   if (r->key && json_object_get (o, "deadline_ms") == NULL)
-    deadline = MIN (deadline, e->settings.key_horizon_ms);
-  if (r->key && deadline > e->settings.key_horizon_ms)
+    deadline_ms = MIN (deadline_ms, e->settings.key_horizon_ms);
+  if (r->key && deadline_ms > e->settings.key_horizon_ms)
     {
       msg = g_strdup_printf ("'deadline_ms' of a call with an idempotency key "
                              "must be at most %" G_GINT64_FORMAT,
@@ -123,7 +123,7 @@
       goto out;
     }
   r->body = json_dumps (v, JSON_COMPACT | JSON_ENCODE_ANY);
-  r->deadline_at_ms = cf_now_ms () + deadline;
+  r->deadline_at_ms = cf_now_ms () + deadline_ms;
   ok = TRUE;
 out:
   if (!ok)
--- a/entry-request.h
+++ b/entry-request.h
@@ -13,13 +13,13 @@
   char *key;
   char *body;
   gint64 priority;
-  long long deadline_at_ms;  /**< on the cf_now_ms() clock */
-  gboolean admitted;         /**< counts as in progress in the admission */
-  gboolean may_have_run;     /**< sent once without getting a reply */
-  gboolean reached_target;   /**< the last attempt was sent to a target */
-  gint64 attempts;           /**< targets tried so far */
-  const char *last_reason;   /**< why the last attempt failed */
-  gint64 retry_hint_ms;      /**< the largest retry_after_ms of a target */
+  long long deadline_at_ms; /**< on the cf_now_ms() clock */
+  gboolean admitted;        /**< counts as in progress in the admission */
+  gboolean may_have_run;    /**< an attempt was sent and got no reply */
+  gboolean reached_target;  /**< the last attempt was sent to a target */
+  gint64 attempts;          /**< targets tried so far */
+  const char *last_reason;  /**< why the last attempt failed */
+  gint64 retry_hint_ms; /**< the largest retry_after_ms that a target gave */
   const CfHttpRequest *http; /**< the caller's HTTP request */
   const CfConfig *config;    /**< the configuration it is routed by */
   CfConfig *prev_config;     /**< with a key: the version before, while other
--- a/entry-route.c
+++ b/entry-route.c
@@ -5,18 +5,18 @@
 #include "net.h"
 #include "route.h"
 
-/** How long before the drain deadline pending requests are refused.  It takes
- * up to 250 ms until the next check of whether a call is still wanted, and
- * some time to send the refusal. */
-#define SHUTDOWN_ANSWER_MS 500
+/** Pending requests are refused this long before the drain deadline: a call
+ * checks only every 250 ms whether its reply is still needed, and sending the
+ * refusal takes some time too. */
+#define DRAIN_REFUSAL_MARGIN_MS 500
 
 /* Whether the drain deadline is so close that requests must be refused now. */
 static gboolean
-is_shutdown_close (const CfEntry *e)
+is_drain_deadline_near (const CfEntry *e)
 {
   gint64 deadline = __atomic_load_n (&e->drain_deadline_ms, __ATOMIC_ACQUIRE);
 
-  return deadline > 0 && cf_now_ms () >= deadline - SHUTDOWN_ANSWER_MS;
+  return deadline > 0 && cf_now_ms () >= deadline - DRAIN_REFUSAL_MARGIN_MS;
 }
 
 /* Returns why a target must not be tried; NULL if it may be. */
@@ -76,7 +76,7 @@
 {
   const WaitContext *w = data;
 
-  if (is_shutdown_close (w->entry))
+  if (is_drain_deadline_near (w->entry))
     return FALSE;
   return w->request->key != NULL || !cf_http_is_caller_gone (w->request->http);
 }
@@ -266,8 +266,8 @@
   return FALSE;
 }
 
-/* After a shorter wait a timeout is due to a short deadline, rather than to
- * the target. */
+/* A timeout counts as a failure of the target only after a wait of at least
+ * this long; after a shorter one the request's deadline was too short. */
 #define TARGET_SILENCE_MS 1000
 
 /* Records for outlier ejection how an attempt at @addr ended after
@@ -301,7 +301,8 @@
     }
 }
 
-/* Refuses @r because the shutdown will close its connection soon. */
+/* Refuses @r because the drain deadline is near, at which the entry closes
+ * all connections. */
 static void
 refuse_at_shutdown (CfEntry *e, CfRequest *r, CfHttpReply *rep)
 {
@@ -387,7 +388,7 @@
   return final;
 }
 
-/* Whether one more attempt is allowed.  A retry after an attempt that reached
+/* Whether another attempt is allowed.  A retry after an attempt that reached
  * a target is taken from the retry budget. */
 static gboolean
 may_attempt (CfEntry *e, CfRequest *r)
@@ -427,7 +428,7 @@
                              "the deadline passed before a target answered");
           return TRUE;
         }
-      if (is_shutdown_close (e))
+      if (is_drain_deadline_near (e))
         {
           refuse_at_shutdown (e, r, rep);
           return TRUE;
--- a/entry.c
+++ b/entry.c
@@ -209,7 +209,7 @@
 }
 
 static void
-on_http (void *data, const CfHttpRequest *req, CfHttpReply *rep)
+on_caller_request (void *data, const CfHttpRequest *req, CfHttpReply *rep)
 {
   CfEntry *e = data;
 
@@ -225,7 +225,7 @@
 
 /* Serves the other entries, on an address that callers do not reach. */
 static void
-on_peer (void *data, const CfHttpRequest *req, CfHttpReply *rep)
+on_peer_request (void *data, const CfHttpRequest *req, CfHttpReply *rep)
 {
   CfEntry *e = data;
 
@@ -252,19 +252,21 @@
                     e->settings.vmlist_poll_ms);
   if (!g_str_equal (e->settings.peer_listen, "off"))
     {
-      st = cf_http_server_start (e->settings.peer_listen, on_peer, e,
+      st = cf_http_server_start (e->settings.peer_listen, on_peer_request, e,
                                  &e->peer_http);
       if (st != CF_OK)
         return st;
     }
-  st = cf_http_server_start (e->settings.listen, on_http, e, &e->http);
+  st = cf_http_server_start (e->settings.listen, on_caller_request, e,
+                             &e->http);
   if (st == CF_OK)
     cf_log (LOG_INFO, CF_EV_LISTEN, "addr=%s datacentre=%s", e->settings.listen,
             e->settings.datacentre);
   return st;
 }
 
-/* Waits until all active requests have their replies sent, or @until. */
+/* Waits until the replies to all active requests are sent, at most until
+ * @until on the cf_now_ms() clock. */
 static void
 wait_for_replies (CfEntry *e, long long until)
 {
--- a/entry.h
+++ b/entry.h
@@ -27,9 +27,10 @@
   gint64 deadline_ms;    /**< the default if the caller sets none */
   gint64 key_horizon_ms; /**< longest deadline of a keyed call; docs/API.md */
   gint64 max_attempts;   /**< the most targets to try for one request */
-  gint64 retry_after_ms; /**< least retry_after_ms of a load refusal */
+  gint64 retry_after_ms; /**< the least retry_after_ms of refusals with one */
   gint64 low_priority_share; /**< percent of max_in_flight for priorities < 5 */
-  gint64 fair_reserve;       /**< percent of it reserved for fair shares */
+  gint64 fair_reserve;       /**< percent of it for organisations below
+                                their fair share */
   gint64 retry_percent;      /**< retries allowed for 100 requests */
   gint64 retry_slack;        /**< retries allowed beyond that share */
   gint64 drain_grace_ms;     /**< how long a shutdown waits for replies */
@@ -54,7 +55,7 @@
   guint64 start_id; /**< random; different at each start of the process */
   CfAdmission admission;
   CfRetryBudget retry_budget;
-  gint in_flight; /**< requests without a reply yet, admitted or not */
+  gint in_flight; /**< requests being handled, admitted or not */
   gint draining;
   gint64 drain_deadline_ms; /**< when a shutdown closes connections; else 0 */
   guint64 seq;              /**< the number of the latest request */
@@ -75,8 +76,8 @@
 /**
  * cf_entry_drain:
  * Shuts down gracefully: accepts no new connections and refuses new requests
- * on open ones as not run.  Returns 200 ms after the last reply, so that
- * requests that are on their way are refused too, or once drain_grace_ms have
- * passed.
+ * on open ones, stating that they did not run.  Returns 200 ms after the last
+ * reply, so that requests that are on their way are refused too, or once
+ * drain_grace_ms have passed.
  */
 void cf_entry_drain (CfEntry *e);
--- a/http-server.h
+++ b/http-server.h
@@ -33,8 +33,8 @@
 
 /**
  * CfHttpHandler:
- * Called with a complete request, on the connection's own thread.  It may
- * block, as each connection has a thread.
+ * Called with a complete request, on the connection's own thread, so it may
+ * block.
  */
 typedef void (*CfHttpHandler) (void *data, const CfHttpRequest *req,
                                CfHttpReply *rep);
--- a/link-table.h
+++ b/link-table.h
@@ -4,7 +4,8 @@
 
 /**
  * CfLinkTable:
- * A process's links to agents, one for each address that was ever requested.
+ * A process's links to agents, one for each address that cf_link_table_get()
+ * was called with.
  * Links live as long as the process.
  */
 typedef struct
@@ -18,10 +19,9 @@
 typedef struct
 {
   gint64 up;
-  gint64
-      quiet_guards; /**< links that are up, but whose guard abstains; guard.h */
-  gint64 ejected;   /**< links whose target is ejected; outlier.h */
-  guint64 pings;    /**< heartbeats sent */
+  gint64 quiet_guards; /**< links that are up whose guard abstains; guard.h */
+  gint64 ejected;      /**< links whose target is ejected; outlier.h */
+  guint64 pings;       /**< heartbeats sent */
 } CfLinkTotals;
 
 void cf_link_table_init (CfLinkTable *t);
--- a/records.h
+++ b/records.h
@@ -12,7 +12,7 @@
   CF_TARGET_SERVICE, /**< a plain service; path /v1/call */
 } CfTargetKind;
 
-/** CfGroup: a group record, naming the agents that lead to its targets. */
+/** CfGroup: a group record, naming the agents in front of its targets. */
 typedef struct
 {
   char *name;
@@ -83,7 +83,8 @@
 /**
  * cf_config_find_intent:
  * Returns: (nullable): the intent of the highest priority that permits
- *   @org, @service and @model; of several, the one recorded first.
+ *   @org, @service and @model; of several with that priority,
+ *   the first in record order.
  */
 const CfIntent *cf_config_find_intent (const CfConfig *c, const char *org,
                                        const char *service, const char *model);
--- a/route.c
+++ b/route.c
@@ -4,9 +4,9 @@
 #include <xxhash.h>
 
 static guint64
-rendezvous (const char *what, const char *addr)
+rendezvous_hash (const char *input, const char *addr)
 {
-  XXH64_hash_t seed = XXH3_64bits (what, strlen (what));
+  XXH64_hash_t seed = XXH3_64bits (input, strlen (input));
 
   return XXH3_64bits_withSeed (addr, strlen (addr), seed);
 }
@@ -27,7 +27,7 @@
 
       if (c[i].excluded || (key == NULL && c[i].load > least))
         continue;
-      score = rendezvous (key ? key : req_id, c[i].addr);
+      score = rendezvous_hash (key ? key : req_id, c[i].addr);
       if (best == NULL || score > best_score
           || (score == best_score && strcmp (c[i].addr, best->addr) < 0))
         {
@@ -55,7 +55,7 @@
       for (guint i = 0; i < g->agents->len; i++)
         {
           const char *addr = g_ptr_array_index (g->agents, i);
-          guint64 score = rendezvous (key, addr);
+          guint64 score = rendezvous_hash (key, addr);
           guint at = n;
           gboolean known = FALSE;
 
--- a/route.h
+++ b/route.h
@@ -6,7 +6,8 @@
 
 /**
  * CfCandidate:
- * A target that an entry may send a request to, as far as the entry knows.
+ * A target that an entry may send a request to, with its state as the entry
+ * knows it.
  */
 typedef struct
 {
--- a/t/t-admission.c
+++ b/t/t-admission.c
@@ -18,7 +18,7 @@
   return admitted;
 }
 
-START_TEST (test_low_priority_uses_only_its_part)
+START_TEST (test_low_priority_stops_at_its_limit)
 {
   CfAdmission a;
 
@@ -62,7 +62,7 @@
   Suite *s = suite_create ("admission");
   TCase *tc = tcase_create ("core");
 
-  tcase_add_test (tc, test_low_priority_uses_only_its_part);
+  tcase_add_test (tc, test_low_priority_stops_at_its_limit);
   tcase_add_test (tc, test_large_org_cannot_lock_out_small_org);
   suite_add_tcase (s, tc);
   return t_run_suite (s);
--- a/t/t-config.c
+++ b/t/t-config.c
@@ -133,18 +133,18 @@
 start_entry (char which, gboolean peers)
 {
   g_autofree char *name = g_strdup_printf ("c-entry-%c", which);
-  int a = which == 'b';
-  g_autofree char *more
+  int is_b = which == 'b';
+  g_autofree char *peer_settings
       = peers ? g_strdup_printf ("[peers]\nlisten = \"127.0.0.1:1768%d\"\n"
                                  "urls = [\"http://127.0.0.1:1768%d\"]\n",
-                                 4 + a, 5 - a)
+                                 4 + is_b, 5 - is_b)
               : g_strdup ("");
   g_autofree char *s
       = g_strdup_printf ("[entry]\nname = \"%c\"\nlisten = "
                          "\"127.0.0.1:1768%d\"\n"
                          "[config]\nurl = \"http://127.0.0.1:17600\"\n"
                          "[vmlist]\nurl = \"http://127.0.0.1:17609\"\n%s",
-                         which, 2 + a, more);
+                         which, 2 + is_b, peer_settings);
 
   return t_start_program (name, "./comfrey-entry", s);
 }
--- a/t/t-entry.c
+++ b/t/t-entry.c
@@ -84,7 +84,8 @@
   start_agent ("e-agent-2", "17502");
 }
 
-/* Posts @body; returns the status, and in @value the reply's @field. */
+/* Posts @body; returns the status, in @value the reply's @field, and in @ms
+ * how long it took. */
 static long
 post (const char *body, const char *field, char **value, long long *ms)
 {
--- a/t/t-link.c
+++ b/t/t-link.c
@@ -113,7 +113,7 @@
   char body[32];
   CfCallResult res;
   CfMsg reply;
-  long long deadline;
+  long long deadline_ms;
   gboolean (*is_wanted) (void *data);
 } Caller;
 
@@ -129,7 +129,7 @@
   m.u.request.path = "/v1/call";
   m.u.request.rid = "r";
   m.u.request.body = c->body;
-  c->res = cf_link_call_while (c->link, &m, c->deadline, c->is_wanted, c,
+  c->res = cf_link_call_while (c->link, &m, c->deadline_ms, c->is_wanted, c,
                                &c->reply);
   return NULL;
 }
@@ -151,7 +151,7 @@
 
   /* With a call outstanding the interval is 1 s again, so that a dead agent
    * is detected soon. */
-  c.deadline = cf_now_ms () + 4500;
+  c.deadline_ms = cf_now_ms () + 4500;
   pthread_create (&t, NULL, call, &c);
   busy = g_atomic_int_get (&fake.pings);
   pthread_join (t, NULL);
@@ -173,7 +173,7 @@
       for (int i = 0; i < CALLERS; i++)
         {
           c[i].link = l;
-          c[i].deadline = cf_now_ms () + 5000;
+          c[i].deadline_ms = cf_now_ms () + 5000;
           g_snprintf (c[i].body, sizeof c[i].body, "round%d-caller%d", round,
                       i);
           pthread_create (&t[i], NULL, call, &c[i]);
@@ -192,7 +192,7 @@
 START_TEST (test_link_to_agent_that_stops_reading_is_lost)
 {
   CfLink *l = start_link (STOPS_READING);
-  Caller c = { .link = l, .body = "x", .deadline = cf_now_ms () + 20000 };
+  Caller c = { .link = l, .body = "x", .deadline_ms = cf_now_ms () + 20000 };
   long long t0 = cf_now_ms ();
 
   cf_link_set_idle_ping_interval (l, 10000);
@@ -221,8 +221,8 @@
 {
   CfLink *l = start_link (NO_ANSWER_TO_ONE);
   long long until = cf_now_ms () + 3000;
-  Caller held = { .link = l, .body = "x", .deadline = until };
-  Caller busy = { .link = l, .body = "y", .deadline = until + 2000 };
+  Caller held = { .link = l, .body = "x", .deadline_ms = until };
+  Caller busy = { .link = l, .body = "y", .deadline_ms = until + 2000 };
   long long t0 = cf_now_ms ();
   pthread_t t;
 
--- a/vm-list.h
+++ b/vm-list.h
@@ -22,5 +22,8 @@
 /** cf_vm_list_start: starts a thread that polls the list at @url. */
 void cf_vm_list_start (CfVmList *v, const char *url, gint64 poll_ms);
 
-/** cf_vm_list_is_leaving: whether @addr is leaving by the last poll. */
+/**
+ * cf_vm_list_is_leaving: whether the last successful poll listed @addr as
+ * leaving.
+ */
 gboolean cf_vm_list_is_leaving (CfVmList *v, const char *addr);
--- a/wire.h
+++ b/wire.h
@@ -53,13 +53,15 @@
   CF_MSG_REQUEST = 1, /**< entry to agent: a request to run */
   CF_MSG_ANSWER,      /**< agent to entry: the target's complete answer */
   CF_MSG_REFUSAL,     /**< agent to entry: the reason why there is no answer */
-  CF_MSG_PING,        /**< either way: heartbeat that asks for a status */
+  CF_MSG_PING,        /**< to agent: heartbeat that asks for a status */
   CF_MSG_STATUS,      /**< agent's reply to a ping */
   CF_MSG_DRAIN,       /**< operator to agent: accept no new requests */
-  CF_MSG_ORDER,       /**< to agent: an order for the target, fenced */
+  CF_MSG_ORDER,       /**< to agent: an order for the target, with a fencing
+                          token */
   CF_MSG_CLAIM,       /**< entry to agent as guard: claims a key */
   CF_MSG_CLAIMED,     /**< the guard's verdict on a claim */
-  CF_MSG_RELEASE,     /**< entry to guard: the call did not run; no reply */
+  CF_MSG_RELEASE,     /**< entry to guard: releases a claim, as the call did
+                          not run; no reply */
   CF_MSG_CANCEL,      /**< entry to agent: abandons a request; no reply */
 } CfMsgKind;
 
