--- a/agent-link.h
+++ b/agent-link.h
@@ -26,7 +26,7 @@
   pthread_cond_t cond;   /**< broadcast when any pending call ends */
   int fd;                /**< -1 while down */
   gboolean ready;        /**< the agent has answered on this connection */
-  guint64 next_id;       /**< the id of the latest request */
+  guint64 last_id;       /**< the id of the latest request */
   gint64 config_version; /**< this process's version, sent with every ping */
   GHashTable *pending;   /**< from id to CfPending * */
   CfLoad load;           /**< as the agent last reported it */
@@ -34,7 +34,8 @@
   long long last_receive_ms;
   long long guard_quiet_until_ms; /**< the agent's guard abstains until then */
   long long last_ping_ms;
-  long long unanswered_since_ms; /**< oldest unanswered ping; 0 if none */
+  long long unanswered_since_ms; /**< when the oldest unanswered ping was
+                                      sent; 0 if none */
   gint64 idle_ping_interval_ms;  /**< while no calls are outstanding */
   CfOutlier outlier;             /**< failures of the agent's target */
   guint64 pings;                 /**< heartbeats sent */
